--- a/src/balance/balancer.rs
+++ b/src/balance/balancer.rs
@@ -22,7 +22,7 @@
         speed::Speed,
         standing::NoPermits,
     },
-    limits::{rest::Rests, standings::EndpointStandings},
+    limits::{announcements::EndpointAnnouncements, back_off::BackOffs},
     prelude::{Incarnation, Micros, Name, Rank},
 };
 
@@ -157,8 +157,8 @@
     pub(super) news: Vec<(ChainKey, EndpointKey)>,
     /// Endpoints found gone, to be told to the others.
     dead: Vec<EndpointKey>,
-    pub(super) standings: EndpointStandings,
-    pub(super) rests: Rests,
+    pub(super) standings: EndpointAnnouncements,
+    pub(super) rests: BackOffs,
     pub(super) cold: ColdEndpoints,
     /// Data centres whose endpoints get nothing.
     pub(super) evacuated: HashSet<Name>,
@@ -186,8 +186,8 @@
             holders: PrefixHolders::default(),
             news: Vec::new(),
             dead: Vec::new(),
-            standings: EndpointStandings::default(),
-            rests: Rests::default(),
+            standings: EndpointAnnouncements::default(),
+            rests: BackOffs::default(),
             cold: ColdEndpoints::default(),
             evacuated: HashSet::new(),
             regions: HashMap::new(),
@@ -215,7 +215,7 @@
         let before = self.keys.insert(entry.id.clone(), key);
         if let Some(before) = before.filter(|before| *before != key) {
             self.forget(before);
-            self.standings.forget(before);
+            self.standings.remove(before);
         }
         self.cold.note_entry(key, entry.warmup_left_ms * 1_000);
         let same_hall = entry.hall == self.hall;
--- a/src/balance/choosing.rs
+++ b/src/balance/choosing.rs
@@ -192,7 +192,7 @@
         let typical = self.typical.get(&endpoint.entry.service);
         let typical = typical.filter(|_| ask.is_stream);
         let mut load = self.believed(now_us, key, endpoint);
-        if self.standings.wants_rest(now_us, key) {
+        if self.standings.wants_back_off(now_us, key) {
             // It asked others for rest: as one whose slots are taken beside.
             load.requests += f64::from(endpoint.entry.slots);
         }
--- a/src/balance/standing.rs
+++ b/src/balance/standing.rs
@@ -8,10 +8,12 @@
         load::EndpointKey,
     },
     limits::{
-        rate::LimitWord,
-        rest::{Rest, Rests},
-        standings::{EndpointStandings, LimitChange, StandingChange, ToldStanding},
-        telling::Audience,
+        announcements::{
+            AnnouncementChange, AnnouncementUpdate, EndpointAnnouncements, LimitChange,
+        },
+        back_off::{BackOff, BackOffs},
+        dissemination::Audience,
+        rate::LimitHeader,
     },
     prelude::{Micros, Rank},
 };
@@ -75,7 +77,7 @@
             return Standing::Evacuated;
         }
         let is_used = || self.picture.has_others(key);
-        if let Rest::Until(until_us) = self.rests.rest(now_us, key, is_used) {
+        if let BackOff::Until(until_us) = self.rests.back_off(now_us, key, is_used) {
             return Standing::RestsUntil(until_us);
         }
         if self.rate(now_us, key).is_some() {
@@ -85,22 +87,22 @@
     }
 
     /// Returns what endpoints said that all instances are to know.
-    pub fn standings(&self) -> &EndpointStandings {
+    pub fn standings(&self) -> &EndpointAnnouncements {
         &self.standings
     }
 
     /// Returns the rests that endpoints asked this instance for.
-    pub fn rests(&self) -> &Rests {
+    pub fn rests(&self) -> &BackOffs {
         &self.rests
     }
 
     /// Takes an endpoint's own word that it leaves, also of one that is in no list now: its entry may come back.
     /// Returns whether that is new.
     pub fn heard_leaving(&mut self, now_us: Micros, key: EndpointKey) -> bool {
-        self.standings.heard_leaving(now_us, key)
+        self.standings.note_leaving(now_us, key)
     }
 
-    /// Takes an endpoint's own word that it wants rest, as [`Rests::asked`].
+    /// Takes an endpoint's own word that it wants rest, as [`BackOffs::note_requested`].
     pub fn heard_rest(
         &mut self,
         now_us: Micros,
@@ -109,8 +111,9 @@
         instances: usize,
         draw: f64,
     ) -> bool {
-        self.standings.note_rest(now_us, key, rest_us);
-        self.rests.asked(now_us, key, rest_us, instances, draw)
+        self.standings.note_back_off(now_us, key, rest_us);
+        self.rests
+            .note_requested(now_us, key, rest_us, instances, draw)
     }
 
     /// Notes that an endpoint's word on rest could not be read; returns whether the one before could be.
@@ -197,16 +200,16 @@
         none.is_none_or(|none| none.until_us <= now_us || rank < none.rank)
     }
 
-    /// Takes an endpoint's own word on its limit, as [`EndpointStandings::heard`]; one that is gone has none.
+    /// Takes an endpoint's own word on its limit, as [`EndpointAnnouncements::note_limit`]; one that is gone has none.
     pub fn heard_limit(
         &mut self,
         now_us: Micros,
         key: EndpointKey,
         sent_at: u32,
-        word: &LimitWord,
+        word: &LimitHeader,
     ) -> Option<LimitChange> {
         self.entry(key)?;
-        let change = self.standings.heard(now_us, key, sent_at, word)?;
+        let change = self.standings.note_limit(now_us, key, sent_at, word)?;
         self.no_permits.remove(&key);
         Some(change)
     }
@@ -217,8 +220,12 @@
     }
 
     /// Takes standings that another instance told; returns what changed.
-    pub fn told_standings(&mut self, now_us: Micros, told: &[ToldStanding]) -> Vec<StandingChange> {
-        let changes = self.standings.told(now_us, told);
+    pub fn told_standings(
+        &mut self,
+        now_us: Micros,
+        told: &[AnnouncementUpdate],
+    ) -> Vec<AnnouncementChange> {
+        let changes = self.standings.receive(now_us, told);
         for change in &changes {
             self.no_permits.remove(&change.endpoint());
         }
@@ -227,19 +234,23 @@
 
     /// Returns whether standings are to be told at once, if that was not asked since.
     pub fn take_standing_news(&mut self) -> bool {
-        self.standings.take_news()
+        self.standings.take_has_changes()
     }
 
     /// Returns the standings that an audience is to be told in this round.
-    pub fn take_told_standings(&mut self, now_us: Micros, audience: Audience) -> Vec<ToldStanding> {
+    pub fn take_told_standings(
+        &mut self,
+        now_us: Micros,
+        audience: Audience,
+    ) -> Vec<AnnouncementUpdate> {
         let endpoints = &self.endpoints;
         let is_listed = |key: EndpointKey| endpoints.contains_key(&key);
-        self.standings.take_told(now_us, audience, is_listed)
+        self.standings.take_due_updates(now_us, audience, is_listed)
     }
 
     /// Returns what is known of one endpoint, to be told beside a question on it.
-    pub fn told_standing(&self, now_us: Micros, key: EndpointKey) -> ToldStanding {
-        self.standings.told_one(now_us, key)
+    pub fn told_standing(&self, now_us: Micros, key: EndpointKey) -> AnnouncementUpdate {
+        self.standings.update_for(now_us, key)
     }
 
     /// Forgets what is over, and limits of endpoints that are in no list.
--- a/src/gateway/block_list.rs
+++ b/src/gateway/block_list.rs
@@ -12,7 +12,7 @@
 use crate::{
     clock::unix_s,
     gateway::{protocol::Protocol, state::Gateway},
-    limits::suspects::ToldSuspect,
+    limits::suspects::SuspectUpdate,
     prelude::Micros,
     store::{Store, WriteError},
 };
@@ -31,20 +31,20 @@
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct BlockList {
     written_unix_s: u64,
-    suspects: Vec<ToldSuspect>,
+    suspects: Vec<SuspectUpdate>,
 }
 
 /// What is known of the store's list.
 #[derive(Debug, Default)]
 struct Kept {
     version: u64,
-    suspects: Vec<ToldSuspect>,
+    suspects: Vec<SuspectUpdate>,
 }
 
 impl Kept {
-    fn has_same(&self, suspects: &[ToldSuspect]) -> bool {
-        let same = |(a, b): (&ToldSuspect, &ToldSuspect)| {
-            a.fingerprint == b.fingerprint && a.endings == b.endings
+    fn has_same(&self, suspects: &[SuspectUpdate]) -> bool {
+        let same = |(a, b): (&SuspectUpdate, &SuspectUpdate)| {
+            a.fingerprint == b.fingerprint && a.crashes == b.crashes
         };
         self.suspects.len() == suspects.len() && self.suspects.iter().zip(suspects).all(same)
     }
@@ -95,7 +95,7 @@
         let Some(kept) = &self.kept else {
             return self.read().await;
         };
-        let wanted = self.gateway.suspects().to_keep(now_us);
+        let wanted = self.gateway.suspects().to_persist(now_us);
         if kept.has_same(&wanted) {
             self.due = Due::Nothing;
             return;
@@ -130,18 +130,18 @@
     /// Takes the store's list as word of another instance, older by the time since it was written.
     fn take(&self, list: &BlockList) {
         let age_s = unix_s().saturating_sub(list.written_unix_s);
-        let aged = |told: &ToldSuspect| ToldSuspect {
+        let aged = |told: &SuspectUpdate| SuspectUpdate {
             age_s: u16::try_from(age_s + u64::from(told.age_s)).unwrap_or(u16::MAX),
             ..told.clone()
         };
-        let told: Vec<ToldSuspect> = list.suspects.iter().map(aged).collect();
+        let told: Vec<SuspectUpdate> = list.suspects.iter().map(aged).collect();
         let now_us = self.gateway.clock.now_us();
-        self.gateway.suspects().told(now_us, &told);
+        self.gateway.suspects().receive(now_us, &told);
         let requests = told.len();
         log::info!(target: "ryevalve::process", requests, age_s; "block_list_read");
     }
 
-    async fn write(&mut self, suspects: Vec<ToldSuspect>) {
+    async fn write(&mut self, suspects: Vec<SuspectUpdate>) {
         let version = self.kept.as_ref().map_or(0, |kept| kept.version);
         let list = BlockList {
             written_unix_s: unix_s(),
--- a/src/gateway/endings.rs
+++ b/src/gateway/endings.rs
@@ -104,8 +104,8 @@
     let fingerprint = job.fingerprint();
     let endings = {
         let mut suspects = gateway.suspects();
-        suspects.note_ending(now_us, fingerprint, choice.key);
-        suspects.endings(fingerprint)
+        suspects.note_crash(now_us, fingerprint, choice.key);
+        suspects.crashes(fingerprint)
     };
     log_ending(&gateway, &job, &choice.id, endings);
 }
--- a/src/gateway/endpoint_words.rs
+++ b/src/gateway/endpoint_words.rs
@@ -16,9 +16,9 @@
         state::Gateway,
     },
     limits::{
-        rate::{LimitWord, RequestRate},
-        rest::RestWord,
-        standings::{LimitChange, StandingChange, ToldStanding},
+        announcements::{AnnouncementChange, AnnouncementUpdate, LimitChange},
+        back_off::BackOffHeader,
+        rate::{LimitHeader, RequestRate},
     },
     prelude::Micros,
 };
@@ -64,14 +64,14 @@
         heard_leaving(gateway, &sent.choice);
     }
     match &head.words.rest {
-        RestWord::Asked(rest_us) => heard_rest(gateway, &sent.choice, *rest_us),
-        RestWord::Unreadable(text) => {
+        BackOffHeader::Period(rest_us) => heard_rest(gateway, &sent.choice, *rest_us),
+        BackOffHeader::Unreadable(text) => {
             gateway.metrics.rest_words_unreadable.inc();
             if gateway.balancer().note_unreadable_rest(sent.choice.key) {
                 log_unreadable("endpoint_rest_unreadable", &sent.choice.id, text);
             }
         }
-        RestWord::None => {
+        BackOffHeader::Absent => {
             let mut balancer = gateway.balancer();
             balancer.note_answered(sent.choice.key, sent.at_us);
         }
@@ -109,7 +109,7 @@
     let now_us = gateway.clock.now_us();
     let mut balancer = gateway.balancer();
     let change = match &head.words.limit {
-        LimitWord::Unreadable(text) => {
+        LimitHeader::Unreadable(text) => {
             gateway.metrics.limit_words_unreadable.inc();
             if balancer.note_unreadable_limit(choice.key) {
                 log_unreadable("endpoint_limit_unreadable", &choice.id, text);
@@ -117,7 +117,7 @@
             return;
         }
         // Spoiled bytes without proof do not say that a limit is over.
-        LimitWord::Free if !head.is_signed => return,
+        LimitHeader::Absent if !head.is_signed => return,
         word => balancer.heard_limit(now_us, choice.key, sent.limit_version, word),
     };
     let version = balancer.standings().version(choice.key);
@@ -128,7 +128,7 @@
 }
 
 /// Takes what another instance told.
-pub(super) fn told<P: Protocol>(gateway: &Gateway<P>, told: &[ToldStanding]) {
+pub(super) fn told<P: Protocol>(gateway: &Gateway<P>, told: &[AnnouncementUpdate]) {
     if told.is_empty() {
         return;
     }
@@ -144,8 +144,8 @@
     drop(balancer);
     for (id, change, version) in lines {
         match change {
-            StandingChange::Limit(change) => log_limit(&id, change, version, "peer"),
-            StandingChange::Leaves(_) => log_leaving(&id, "peer"),
+            AnnouncementChange::Limit(change) => log_limit(&id, change, version, "peer"),
+            AnnouncementChange::Leaves(_) => log_leaving(&id, "peer"),
         }
     }
 }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -34,7 +34,7 @@
         quota,
         state::Gateway,
     },
-    limits::sharers::Sharers,
+    limits::instance_counts::InstanceCounts,
     peers::{
         datagram::{Authenticator, MemberInfo},
         gossip::Gossip,
@@ -240,7 +240,7 @@
         quota::tick(&self.gateway).await;
         let group = self.count_sharers(now_us, &view);
         let has_news = self.take_state_news();
-        let is_suspected = self.gateway.suspects().take_news();
+        let is_suspected = self.gateway.suspects().take_has_changes();
         let has_limits = self.gateway.balancer().take_standing_news();
         let changed = self.gateway.balancer().take_changed() || is_suspected || has_limits;
         let is_due = {
@@ -340,7 +340,7 @@
                 let halls = silent_halls.into_iter().map(teller_of_hall).collect();
                 let heard = state.halls.sharers(now_us).heard.max(1);
                 let all = (known + 1).max(heard);
-                let sharers = Sharers { all, heard };
+                let sharers = InstanceCounts { all, heard };
                 (Group::Large, halls, sharers, sharers)
             }
         };
@@ -377,7 +377,7 @@
     }
 
     /// Shows in the counters what the exchange believes.
-    fn show(&self, now_us: Micros, sharers: Sharers) {
+    fn show(&self, now_us: Micros, sharers: InstanceCounts) {
         let state = self.lock();
         let age_s = |hall: u32| {
             let age_us = state.halls.age_us(now_us, hall);
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     gateway::heard::{HEARD_US, SHARER_US},
-    limits::sharers::Sharers,
+    limits::instance_counts::InstanceCounts,
     peers::update::HallSummary,
     prelude::{Incarnation, Micros},
 };
@@ -121,11 +121,11 @@
     }
 
     /// Counts the instances of all halls, and those of them that are heard.
-    pub fn sharers(&self, now_us: Micros) -> Sharers {
+    pub fn sharers(&self, now_us: Micros) -> InstanceCounts {
         let counts = self.by_key.values().map(|h| h.headcount(now_us));
         let (all, heard) = counts.fold((0, 0), |(all, heard), hall| {
             (all + hall.0 as usize, heard + hall.1 as usize)
         });
-        Sharers { all, heard }
+        InstanceCounts { all, heard }
     }
 }
--- a/src/gateway/heard.rs
+++ b/src/gateway/heard.rs
@@ -5,7 +5,7 @@
 use std::{collections::HashMap, net::IpAddr};
 
 use crate::{
-    limits::sharers::Sharers,
+    limits::instance_counts::InstanceCounts,
     peers::update::Update,
     prelude::{Incarnation, Micros},
 };
@@ -112,17 +112,17 @@
 
     /// Counts the sharers, and those of them that are heard, this instance
     /// included.
-    pub fn sharers(&self, now_us: Micros) -> Sharers {
+    pub fn sharers(&self, now_us: Micros) -> InstanceCounts {
         let is_heard = |h: &&Heard| now_us.saturating_sub(h.at_us) < HEARD_US;
-        Sharers {
+        InstanceCounts {
             all: self.by_addr.len() + 1,
             heard: self.spoken().filter(is_heard).count() + 1,
         }
     }
 
     /// The same without those that were met and never heard: a seed may be long gone.
-    pub fn spoken_sharers(&self, now_us: Micros) -> Sharers {
-        Sharers {
+    pub fn spoken_sharers(&self, now_us: Micros) -> InstanceCounts {
+        InstanceCounts {
             all: self.spoken().count() + 1,
             ..self.sharers(now_us)
         }
--- a/src/gateway/hearing.rs
+++ b/src/gateway/hearing.rs
@@ -44,7 +44,7 @@
             self.answer(now_us, from);
             return;
         }
-        self.gateway.suspects().told(now_us, &update.suspects);
+        self.gateway.suspects().receive(now_us, &update.suspects);
         endpoint_words::told(&self.gateway, &update.standings);
         let group = self.gateway.balancer().picture().group();
         match (group, update.purpose) {
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -24,9 +24,9 @@
         state::Gateway,
     },
     limits::{
-        permits::{Permit, PermitGiver},
+        announcements::AnnouncementUpdate,
+        permits::{Permit, PermitIssuer},
         rate::RequestRate,
-        standings::ToldStanding,
     },
     peers::view::{Member, View},
     prelude::{Micros, Rank},
@@ -53,7 +53,7 @@
     /// Asks for one, under the datagram's number.
     Ask {
         /// What is known of the endpoint's limit.
-        limit: ToldStanding,
+        limit: AnnouncementUpdate,
         /// How urgent the request is.
         rank: Rank,
         /// For how much longer the endpoint is cold, as far as the sender knows; 0 if it is not.
@@ -62,7 +62,7 @@
     /// Answers what was asked under the datagram's number.
     Answer {
         /// What is known of the endpoint's limit.
-        limit: ToldStanding,
+        limit: AnnouncementUpdate,
         /// The answer.
         permit: Permit,
     },
@@ -74,7 +74,7 @@
     view: Arc<View>,
     /// The share of the instances known that are heard.
     heard_share: f64,
-    giver: PermitGiver,
+    giver: PermitIssuer,
     last_number: u64,
     /// Questions that are not answered, by number.
     pending: HashMap<u64, oneshot::Sender<Permit>>,
@@ -85,7 +85,7 @@
         Self {
             view: Arc::default(),
             heard_share: 1.0,
-            giver: PermitGiver::default(),
+            giver: PermitIssuer::default(),
             last_number: 0,
             pending: HashMap::new(),
         }
@@ -284,7 +284,7 @@
     let now_us = gateway.clock.now_us();
     let permit = {
         let giver = &mut gateway.permits.lock().giver;
-        giver.give(now_us, endpoint, rate, rank)
+        giver.issue(now_us, endpoint, rate, rank)
     };
     if permit == Permit::Given {
         gateway.metrics.permits_given.inc();
@@ -294,7 +294,7 @@
 
 fn take_back<P: Protocol>(gateway: &Gateway<P>, endpoint: EndpointKey) {
     if let Some(rate) = rate_given(gateway, endpoint) {
-        gateway.permits.lock().giver.take_back(endpoint, rate);
+        gateway.permits.lock().giver.refund(endpoint, rate);
     }
 }
 
@@ -303,5 +303,5 @@
     let now_us = gateway.clock.now_us();
     let rate = gateway.balancer().rate(now_us, endpoint)?;
     let part = gateway.permits.lock().heard_share * HEARD_PART;
-    Some(rate.part(part.min(1.0)))
+    Some(rate.scaled(part.min(1.0)))
 }
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -65,7 +65,7 @@
     /// Returns the endpoints that a place is not to be given at: those tried, and those that rest from this instance.
     fn closed_to_me(&self, tried: &[EndpointKey]) -> Vec<EndpointKey> {
         let now_us = self.clock.now_us();
-        let at_rest = self.balancer().rests().at_rest(now_us);
+        let at_rest = self.balancer().rests().in_back_off(now_us);
         let mut closed = tried.to_vec();
         closed.extend(at_rest.into_iter().take(MOST_CLOSED_TOLD));
         closed
--- a/src/gateway/protocol.rs
+++ b/src/gateway/protocol.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     balance::{load::OwnWord, prefixes::PromptPart},
-    limits::{rate::LimitWord, rest::RestWord},
+    limits::{back_off::BackOffHeader, rate::LimitHeader},
     prelude::Name,
 };
 
@@ -82,9 +82,9 @@
     /// It leaves: nothing more is to be sent to it.
     pub leaves: bool,
     /// For how long it wants nothing from this instance.
-    pub rest: RestWord,
+    pub rest: BackOffHeader,
     /// How many requests it takes from all instances together.
-    pub limit: LimitWord,
+    pub limit: LimitHeader,
 }
 
 /// The headers of one platform.
--- a/src/gateway/rounds.rs
+++ b/src/gateway/rounds.rs
@@ -18,7 +18,7 @@
         pace::Pace,
         protocol::Protocol,
     },
-    limits::telling::Audience,
+    limits::dissemination::Audience,
     peers::{
         update::{self, HallSummary, Purpose, Update},
         view::{Member, View},
@@ -412,7 +412,7 @@
 
     /// Adds what an audience is to know for as long as it stands.
     fn add_standing(&self, now_us: Micros, update: &mut Update, audience: Audience) {
-        update.suspects = self.gateway.suspects().take_told(now_us, audience);
+        update.suspects = self.gateway.suspects().take_due_updates(now_us, audience);
         update.standings = self
             .gateway
             .balancer()
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -37,11 +37,11 @@
     },
     limits::{
         fingerprint::Fingerprint,
+        instance_counts::InstanceCounts,
         permits::ColdTolerance,
         quota::Tolerance,
         retries::{RetryBounds, RetryBudget},
-        sharers::Sharers,
-        suspects::SuspectBook,
+        suspects::SuspectTable,
     },
     prelude::{Micros, Name},
 };
@@ -107,7 +107,7 @@
     pub(super) waiters: Mutex<HashMap<WaitKey, oneshot::Sender<Placement>>>,
     retries: Mutex<RetryBudget>,
     patience: Mutex<UsualPatience>,
-    suspects: Mutex<SuspectBook>,
+    suspects: Mutex<SuspectTable>,
     /// When a caller that may come back was refused last; 0 if none was.
     refused_us: AtomicU64,
     /// Instances that share limits, and those heard of late, this one included.
@@ -234,7 +234,7 @@
     }
 
     /// Returns what is known of requests that end endpoints; not to be held across a wait.
-    pub fn suspects(&self) -> MutexGuard<'_, SuspectBook> {
+    pub fn suspects(&self) -> MutexGuard<'_, SuspectTable> {
         lock(&self.suspects)
     }
 
@@ -253,19 +253,19 @@
     /// Notes that a request ran to its end.
     pub fn note_whole(&self, fingerprint: impl FnOnce() -> Fingerprint) {
         let now_us = self.clock.now_us();
-        self.suspects().note_whole(now_us, fingerprint());
+        self.suspects().note_completed(now_us, fingerprint());
     }
 
     /// Counts a request for a service.
     pub fn count_request(&self, service: &Name) {
-        lock(&self.retries).request(self.clock.now_us(), service);
+        lock(&self.retries).count_request(self.clock.now_us(), service);
     }
 
     /// Takes a retry for a service; false if none is left.
     pub fn take_retry(&self, service: &Name) -> bool {
         let now_us = self.clock.now_us();
         let instances = self.instances_sharing(now_us);
-        let taken = lock(&self.retries).take(now_us, service, instances);
+        let taken = lock(&self.retries).try_take(now_us, service, instances);
         if !taken {
             self.metrics.retries_denied.inc();
         }
@@ -276,7 +276,7 @@
     pub fn retries_left(&self, service: &Name) -> f64 {
         let now_us = self.clock.now_us();
         let instances = self.instances_sharing(now_us);
-        lock(&self.retries).left(now_us, service, instances)
+        lock(&self.retries).remaining(now_us, service, instances)
     }
 
     /// Returns how many instances share a bound, those that are cut off included.
@@ -300,15 +300,15 @@
     }
 
     /// Returns how many instances share limits, and how many are heard.
-    pub fn sharers(&self) -> Sharers {
-        Sharers {
+    pub fn sharers(&self) -> InstanceCounts {
+        InstanceCounts {
             all: self.instances_known.load(Ordering::Relaxed),
             heard: self.instances_heard.load(Ordering::Relaxed),
         }
     }
 
     /// Sets how many instances share limits, and how many are heard.
-    pub fn set_sharers(&self, sharers: Sharers) {
+    pub fn set_sharers(&self, sharers: InstanceCounts) {
         self.instances_known.store(sharers.all, Ordering::Relaxed);
         self.instances_heard.store(sharers.heard, Ordering::Relaxed);
     }
@@ -453,7 +453,7 @@
     /// retries.
     pub fn set_place_to_watch(&self, place: usize) {
         self.place_to_watch.store(place, Ordering::Relaxed);
-        lock(&self.retries).set_place(place);
+        lock(&self.retries).set_position(place);
     }
 
     /// Returns whether others ask the store for this instance while it starts.
--- a/src/limits/standings.rs
+++ b/src/limits/announcements.rs
@@ -24,9 +24,9 @@
 use crate::{
     balance::load::EndpointKey,
     limits::{
-        rate::{LimitWord, RequestRate},
-        rest::LONGEST_US,
-        telling::{Audience, Telling},
+        back_off::MAX_BACK_OFF_US,
+        dissemination::{Audience, Dissemination},
+        rate::{LimitHeader, RequestRate},
     },
     prelude::Micros,
 };
@@ -105,7 +105,7 @@
 
 /// What an instance tells of an endpoint's standing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldStanding {
+pub struct AnnouncementUpdate {
     /// The start of the endpoint.
     pub endpoint: EndpointKey,
     /// Its limit.
@@ -118,14 +118,14 @@
 
 /// A standing that changed here by what another instance told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StandingChange {
+pub enum AnnouncementChange {
     /// Its limit changed.
     Limit(LimitChange),
     /// It leaves.
     Leaves(EndpointKey),
 }
 
-impl StandingChange {
+impl AnnouncementChange {
     /// Returns the endpoint that it is of.
     pub fn endpoint(self) -> EndpointKey {
         match self {
@@ -154,12 +154,12 @@
     rests_until_us: Micros,
     /// When it was in a list last, or word of it came first.
     listed_us: Micros,
-    telling: Telling,
+    dissemination: Dissemination,
 }
 
 /// The standings of all endpoints that said something of themselves.
 #[derive(Debug)]
-pub struct EndpointStandings {
+pub struct EndpointAnnouncements {
     /// Names the versions that count from a first word to this instance.
     lineage: u32,
     by_endpoint: HashMap<EndpointKey, Entry>,
@@ -174,7 +174,7 @@
     has_news: bool,
 }
 
-impl Default for EndpointStandings {
+impl Default for EndpointAnnouncements {
     fn default() -> Self {
         Self {
             lineage: rand::random(),
@@ -188,7 +188,7 @@
     }
 }
 
-impl EndpointStandings {
+impl EndpointAnnouncements {
     /// Returns whether any endpoint has a limit.
     pub fn has_limits(&self) -> bool {
         self.limited > 0
@@ -200,7 +200,7 @@
     }
 
     /// Returns the version of what is known of an endpoint's limit, 0 if it never had one: whoever sends a
-    /// request there keeps it, for [`Self::heard`].
+    /// request there keeps it, for [`Self::note_limit`].
     pub fn version(&self, endpoint: EndpointKey) -> u32 {
         let entry = self.by_endpoint.get(&endpoint);
         entry.map_or(0, |entry| entry.known.version)
@@ -228,14 +228,14 @@
     }
 
     /// Takes an endpoint's own word that it leaves; returns whether that is new.
-    pub fn heard_leaving(&mut self, now_us: Micros, endpoint: EndpointKey) -> bool {
+    pub fn note_leaving(&mut self, now_us: Micros, endpoint: EndpointKey) -> bool {
         if self.leaves(endpoint) {
             return false;
         }
         let is_known = self.entry(now_us, endpoint).is_some_and(|entry| {
             entry.leaves = true;
-            entry.telling.renew(Audience::Peers);
-            entry.telling.renew(Audience::Hall);
+            entry.dissemination.renew(Audience::Peers);
+            entry.dissemination.renew(Audience::Hall);
             true
         });
         self.has_news |= is_known;
@@ -244,14 +244,14 @@
     }
 
     /// Returns whether an endpoint asked some instance for rest that is not over.
-    pub fn wants_rest(&self, now_us: Micros, endpoint: EndpointKey) -> bool {
+    pub fn wants_back_off(&self, now_us: Micros, endpoint: EndpointKey) -> bool {
         let until_us = || self.by_endpoint.get(&endpoint).map(|e| e.rests_until_us);
         now_us < self.last_rest_us && until_us().is_some_and(|until_us| now_us < until_us)
     }
 
     /// Notes that an endpoint asked an instance for rest.
-    pub fn note_rest(&mut self, now_us: Micros, endpoint: EndpointKey, rest_us: Micros) {
-        let until_us = now_us + rest_us.min(LONGEST_US);
+    pub fn note_back_off(&mut self, now_us: Micros, endpoint: EndpointKey, rest_us: Micros) {
+        let until_us = now_us + rest_us.min(MAX_BACK_OFF_US);
         let Some(entry) = self.entry(now_us, endpoint) else {
             return;
         };
@@ -260,8 +260,8 @@
             return;
         }
         entry.rests_until_us = until_us;
-        entry.telling.renew(Audience::Peers);
-        entry.telling.renew(Audience::Hall);
+        entry.dissemination.renew(Audience::Peers);
+        entry.dissemination.renew(Audience::Hall);
         self.last_rest_us = self.last_rest_us.max(until_us);
         self.has_news = true;
     }
@@ -277,7 +277,7 @@
             leaves: false,
             rests_until_us: 0,
             listed_us: now_us,
-            telling: Telling::default(),
+            dissemination: Dissemination::default(),
         });
         Some(entry)
     }
@@ -294,17 +294,17 @@
     }
 
     /// Takes an endpoint's own word from the answer to a request that was sent when `sent_at` was the version.
-    pub fn heard(
+    pub fn note_limit(
         &mut self,
         now_us: Micros,
         endpoint: EndpointKey,
         sent_at: u32,
-        word: &LimitWord,
+        word: &LimitHeader,
     ) -> Option<LimitChange> {
         let said = match word {
-            LimitWord::Free => None,
-            LimitWord::Named(rate) => Some(*rate),
-            LimitWord::Unreadable(_) => return None,
+            LimitHeader::Absent => None,
+            LimitHeader::Rate(rate) => Some(*rate),
+            LimitHeader::Unreadable(_) => return None,
         };
         self.unreadable.remove(&endpoint);
         let known = self.by_endpoint.get(&endpoint).map(|entry| entry.known);
@@ -346,23 +346,27 @@
     }
 
     /// Takes what another instance told; returns what changed. One that knows less is told.
-    pub fn told(&mut self, now_us: Micros, told: &[ToldStanding]) -> Vec<StandingChange> {
+    pub fn receive(
+        &mut self,
+        now_us: Micros,
+        told: &[AnnouncementUpdate],
+    ) -> Vec<AnnouncementChange> {
         let mut changes = Vec::new();
         for told in told {
-            if told.leaves && self.heard_leaving(now_us, told.endpoint) {
-                changes.push(StandingChange::Leaves(told.endpoint));
+            if told.leaves && self.note_leaving(now_us, told.endpoint) {
+                changes.push(AnnouncementChange::Leaves(told.endpoint));
             }
             if told.rest_ms > 0 {
                 let rest_us = Micros::from(told.rest_ms) * 1_000;
-                self.note_rest(now_us, told.endpoint, rest_us);
+                self.note_back_off(now_us, told.endpoint, rest_us);
             }
-            let limit = self.told_limit(now_us, told);
-            changes.extend(limit.map(StandingChange::Limit));
+            let limit = self.receive_limit(now_us, told);
+            changes.extend(limit.map(AnnouncementChange::Limit));
         }
         changes
     }
 
-    fn told_limit(&mut self, now_us: Micros, told: &ToldStanding) -> Option<LimitChange> {
+    fn receive_limit(&mut self, now_us: Micros, told: &AnnouncementUpdate) -> Option<LimitChange> {
         let Some(entry) = self.by_endpoint.get_mut(&told.endpoint) else {
             // Whoever asked may know of no limit, either.
             let names_limit = told.known.version > 0;
@@ -372,8 +376,8 @@
         };
         let merged = entry.known.merged(told.known);
         if merged != told.known || entry.leaves != told.leaves {
-            entry.telling.renew(Audience::Peers);
-            entry.telling.renew(Audience::Hall);
+            entry.dissemination.renew(Audience::Peers);
+            entry.dissemination.renew(Audience::Hall);
             self.has_news = true;
         }
         if merged == entry.known {
@@ -390,8 +394,8 @@
     ) -> Option<LimitChange> {
         let entry = self.entry(now_us, endpoint)?;
         let before = std::mem::replace(&mut entry.known, known).rate;
-        entry.telling.renew(Audience::Peers);
-        entry.telling.renew(Audience::Hall);
+        entry.dissemination.renew(Audience::Peers);
+        entry.dissemination.renew(Audience::Hall);
         self.has_news = true;
         self.count();
         (before != known.rate).then_some(LimitChange {
@@ -402,14 +406,14 @@
     }
 
     /// Returns whether something is to be told at once, if that was not asked since.
-    pub fn take_news(&mut self) -> bool {
+    pub fn take_has_changes(&mut self) -> bool {
         std::mem::take(&mut self.has_news)
     }
 
     /// Returns what is known of one endpoint, to be told beside a question on it.
-    pub fn told_one(&self, now_us: Micros, endpoint: EndpointKey) -> ToldStanding {
+    pub fn update_for(&self, now_us: Micros, endpoint: EndpointKey) -> AnnouncementUpdate {
         let entry = self.by_endpoint.get(&endpoint);
-        ToldStanding {
+        AnnouncementUpdate {
             endpoint,
             known: entry.map_or(KnownLimit::UNKNOWN, |e| e.known),
             leaves: entry.is_some_and(|e| e.leaves),
@@ -420,24 +424,24 @@
     /// Returns what an audience is to be told in this round of the endpoints that are listed here: of others two
     /// instances would remind each other for ever. A limit is told again and again, and that one leaves; that a limit
     /// is over, a few times and to whoever does not know.
-    pub fn take_told(
+    pub fn take_due_updates(
         &mut self,
         now_us: Micros,
         audience: Audience,
         is_listed: impl Fn(EndpointKey) -> bool,
-    ) -> Vec<ToldStanding> {
+    ) -> Vec<AnnouncementUpdate> {
         let listed = self.by_endpoint.iter_mut();
         let listed = listed.filter(|(endpoint, _)| is_listed(**endpoint));
         let is_due = |e: &Entry| {
             let stands = e.leaves || e.known.rate.is_some() || now_us < e.rests_until_us;
-            e.telling.is_due(now_us, audience, stands)
+            e.dissemination.is_due(now_us, audience, stands)
         };
         let mut due: Vec<_> = listed.filter(|(_, entry)| is_due(entry)).collect();
-        due.sort_by_key(|(_, entry)| entry.telling.order(audience));
+        due.sort_by_key(|(_, entry)| entry.dissemination.order(audience));
         let told = due.into_iter().take(MOST_TOLD);
         let told = told.map(|(endpoint, entry)| {
-            entry.telling.note_told(now_us, audience);
-            ToldStanding {
+            entry.dissemination.note_told(now_us, audience);
+            AnnouncementUpdate {
                 endpoint: *endpoint,
                 known: entry.known,
                 leaves: entry.leaves,
@@ -448,7 +452,7 @@
     }
 
     /// Forgets a start of an endpoint that is gone: a later one has a standing of its own.
-    pub fn forget(&mut self, endpoint: EndpointKey) {
+    pub fn remove(&mut self, endpoint: EndpointKey) {
         if self.by_endpoint.remove(&endpoint).is_none() {
             return;
         }
--- a/src/limits/rest.rs
+++ b/src/limits/back_off.rs
@@ -1,7 +1,7 @@
 //! Rest that endpoints ask this instance for: how long each is to be sent nothing, and how requests come back after it.
 //!
 //! Rest is asked of one instance, so each keeps to its own; to the others it is a sign of load
-//! ([`crate::limits::standings`]). All rests may end in the same moment, and an endpoint at rest looks idle to all. So instances come back by turns, each with one request first; only its
+//! ([`crate::limits::announcements`]). All rests may end in the same moment, and an endpoint at rest looks idle to all. So instances come back by turns, each with one request first; only its
 //! answer says whether the endpoint is well.
 //!
 //! Free of clock, socket and random source, so that tests drive it step by step.
@@ -11,7 +11,7 @@
 use crate::{balance::load::EndpointKey, prelude::Micros};
 
 /// The longest rest that is kept. One word that was spoiled on its way must not lose an endpoint for good.
-pub const LONGEST_US: Micros = 600_000_000;
+pub const MAX_BACK_OFF_US: Micros = 600_000_000;
 /// Instances that come back are this far apart in the mean: what one of them sent is known to the others some turns later.
 const TURN_US: Micros = 10_000;
 /// Nobody's turn comes later than this.
@@ -28,19 +28,19 @@
 
 /// What an endpoint's answer says of rest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum RestWord {
+pub enum BackOffHeader {
     /// Nothing.
     #[default]
-    None,
+    Absent,
     /// It wants nothing from this instance for so long, in microseconds.
-    Asked(Micros),
+    Period(Micros),
     /// Something that is no time; it counts for nothing.
     Unreadable(String),
 }
 
 /// When this instance may send to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rest {
+pub enum BackOff {
     /// Now.
     Over,
     /// Not before this time.
@@ -49,7 +49,7 @@
 
 /// What is known of one endpoint's rest.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct Requested {
     until_us: Micros,
     /// This instance's turn comes so long after that.
     turn_us: Micros,
@@ -59,18 +59,18 @@
 
 /// The rests that endpoints asked this instance for.
 #[derive(Debug, Default)]
-pub struct Rests {
-    by_endpoint: HashMap<EndpointKey, Asked>,
+pub struct BackOffs {
+    by_endpoint: HashMap<EndpointKey, Requested>,
     /// Endpoints whose last word could not be read.
     unreadable: HashSet<EndpointKey>,
 }
 
-impl Rests {
+impl BackOffs {
     /// Takes an endpoint's word that it wants nothing for `rest_us`; returns whether it served until then. Of several
     /// words the one that lasts longest holds: answers overtake each other, and each asks for itself.
     ///
     /// `draw`, from 0 to 1, places this instance among `instances` that may come back in the same moment.
-    pub fn asked(
+    pub fn note_requested(
         &mut self,
         now_us: Micros,
         endpoint: EndpointKey,
@@ -84,8 +84,8 @@
         }
         self.make_room(endpoint);
         let spread_us = (instances as Micros * TURN_US).min(LAST_TURN_US);
-        let asked = Asked {
-            until_us: now_us + rest_us.min(LONGEST_US),
+        let asked = Requested {
+            until_us: now_us + rest_us.min(MAX_BACK_OFF_US),
             turn_us: (spread_us as f64 * draw) as Micros,
             tried_us: None,
         };
@@ -110,32 +110,32 @@
     }
 
     /// Returns whether an endpoint's rest is over for this instance; `is_used` says that others have requests there.
-    pub fn rest(
+    pub fn back_off(
         &self,
         now_us: Micros,
         endpoint: EndpointKey,
         is_used: impl FnOnce() -> bool,
-    ) -> Rest {
+    ) -> BackOff {
         let Some(asked) = self.by_endpoint.get(&endpoint) else {
-            return Rest::Over;
+            return BackOff::Over;
         };
         if now_us < asked.until_us {
-            return Rest::Until(asked.until_us);
+            return BackOff::Until(asked.until_us);
         }
         if let Some(tried_us) = asked.tried_us {
             let again_us = tried_us + UNANSWERED_US;
             return if now_us < again_us {
-                Rest::Until(again_us)
+                BackOff::Until(again_us)
             } else {
-                Rest::Over
+                BackOff::Over
             };
         }
         let turn_us = asked.until_us + asked.turn_us;
         let unused_us = asked.until_us + UNUSED_US;
         if now_us >= turn_us || (now_us >= unused_us && !is_used()) {
-            return Rest::Over;
+            return BackOff::Over;
         }
-        Rest::Until(turn_us.min(unused_us.max(now_us + TURN_US)))
+        BackOff::Until(turn_us.min(unused_us.max(now_us + TURN_US)))
     }
 
     /// Notes that a request goes to an endpoint.
@@ -176,7 +176,7 @@
     }
 
     /// Returns the endpoints that may not be sent to now, those that rest longest first.
-    pub fn at_rest(&self, now_us: Micros) -> Vec<EndpointKey> {
+    pub fn in_back_off(&self, now_us: Micros) -> Vec<EndpointKey> {
         let at_rest = self.by_endpoint.iter();
         let at_rest = at_rest.filter(|(_, asked)| now_us < asked.until_us);
         let mut at_rest: Vec<_> = at_rest.collect();
--- a/src/limits/telling.rs
+++ b/src/limits/dissemination.rs
@@ -19,13 +19,13 @@
 
 /// What was told of one thing, by audience.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Telling {
+pub struct Dissemination {
     /// Rounds in which it is still to be told as news.
     untold: [u8; 2],
     told_us: [Micros; 2],
 }
 
-impl Telling {
+impl Dissemination {
     /// Makes it news to an audience.
     pub fn renew(&mut self, audience: Audience) {
         self.untold[audience as usize] = TELLINGS;
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,12 +1,12 @@
 //! Limits: those that all instances keep together, and the rest that endpoints ask of one.
 
+pub mod announcements;
+pub mod back_off;
+pub mod dissemination;
 pub mod fingerprint;
+pub mod instance_counts;
 pub mod permits;
 pub mod quota;
 pub mod rate;
-pub mod rest;
 pub mod retries;
-pub mod sharers;
-pub mod standings;
 pub mod suspects;
-pub mod telling;
--- a/src/limits/permits.rs
+++ b/src/limits/permits.rs
@@ -57,7 +57,7 @@
     pub fn rate(&self, per_s: f64) -> RequestRate {
         let each = (per_s * self.overage + self.slack) / MOST_KEEPERS;
         let rate = (each - SAVED - 1.0) / (1.0 + SAVED_US / 1e6);
-        RequestRate::of(rate.min(per_s).max(0.0))
+        RequestRate::from_per_s(rate.min(per_s).max(0.0))
     }
 }
 
@@ -84,7 +84,7 @@
 
 /// The accounts of the endpoints for which this instance gives permits.
 #[derive(Debug, Default)]
-pub struct PermitGiver {
+pub struct PermitIssuer {
     by_endpoint: HashMap<EndpointKey, Account>,
 }
 
@@ -92,9 +92,9 @@
     1e6 / rate.per_s().max(LEAST_PER_S)
 }
 
-impl PermitGiver {
+impl PermitIssuer {
     /// Gives a permit for a request of `rank` to an endpoint that takes `rate`, if one is due.
-    pub fn give(
+    pub fn issue(
         &mut self,
         now_us: Micros,
         endpoint: EndpointKey,
@@ -128,7 +128,7 @@
     }
 
     /// Takes back a permit that was not used.
-    pub fn take_back(&mut self, endpoint: EndpointKey, rate: RequestRate) {
+    pub fn refund(&mut self, endpoint: EndpointKey, rate: RequestRate) {
         if let Some(account) = self.by_endpoint.get_mut(&endpoint) {
             account.next_us -= interval_us(rate);
         }
--- a/src/limits/rate.rs
+++ b/src/limits/rate.rs
@@ -26,14 +26,14 @@
     }
 
     /// Returns the rate of a number of requests a second; thousandths are rounded down.
-    pub fn of(per_s: f64) -> Self {
+    pub fn from_per_s(per_s: f64) -> Self {
         // A cast keeps to the bounds of the type.
         let milli_per_s = (per_s * 1e3) as u32;
         Self { milli_per_s }
     }
 
     /// Returns a part of it.
-    pub fn part(self, share: f64) -> Self {
+    pub fn scaled(self, share: f64) -> Self {
         // A cast keeps to the bounds of the type.
         let milli_per_s = (f64::from(self.milli_per_s) * share) as u32;
         Self { milli_per_s }
@@ -53,12 +53,12 @@
 
 /// What an endpoint's answer says of its limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum LimitWord {
+pub enum LimitHeader {
     /// It has none.
     #[default]
-    Free,
+    Absent,
     /// It has one.
-    Named(RequestRate),
+    Rate(RequestRate),
     /// Something that is no rate; it counts for nothing.
     Unreadable(String),
 }
--- a/src/limits/retries.rs
+++ b/src/limits/retries.rs
@@ -57,18 +57,18 @@
     }
 
     /// Sets this instance's place among those that share the slack.
-    pub fn set_place(&mut self, place: usize) {
+    pub fn set_position(&mut self, place: usize) {
         self.place = place;
     }
 
     /// Counts a request for a service.
-    pub fn request(&mut self, now_us: Micros, service: &Name) {
+    pub fn count_request(&mut self, now_us: Micros, service: &Name) {
         self.part(now_us, service).requests += 1;
     }
 
     /// Takes one retry for a service, if `instances` sharing the slack leave one.
-    pub fn take(&mut self, now_us: Micros, service: &Name, instances: usize) -> bool {
-        let allowed = self.left(now_us, service, instances) >= 1.0;
+    pub fn try_take(&mut self, now_us: Micros, service: &Name, instances: usize) -> bool {
+        let allowed = self.remaining(now_us, service, instances) >= 1.0;
         if allowed {
             self.part(now_us, service).retries += 1;
         }
@@ -76,7 +76,7 @@
     }
 
     /// Returns how many retries are left for a service.
-    pub fn left(&self, now_us: Micros, service: &Name, instances: usize) -> f64 {
+    pub fn remaining(&self, now_us: Micros, service: &Name, instances: usize) -> f64 {
         let oldest = self.index(now_us).saturating_sub(PARTS);
         let parts = self.services.get(service).into_iter().flatten();
         let recent = parts.filter(|p| p.index > oldest);
--- a/src/limits/suspects.rs
+++ b/src/limits/suspects.rs
@@ -16,8 +16,8 @@
 use crate::{
     balance::load::EndpointKey,
     limits::{
+        dissemination::{Audience, Dissemination},
         fingerprint::Fingerprint,
-        telling::{Audience, Telling},
     },
     prelude::Micros,
 };
@@ -69,7 +69,7 @@
 
 /// An endpoint that ended while a request was there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ending {
+pub struct Crash {
     /// The start of the endpoint.
     pub endpoint: EndpointKey,
     /// The request ran to its end elsewhere, so it is not the cause.
@@ -78,32 +78,33 @@
 
 /// What an instance tells of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldSuspect {
+pub struct SuspectUpdate {
     /// The request.
     pub fingerprint: Fingerprint,
     /// The time since the last change of what is known of it, in seconds.
     pub age_s: u16,
     /// The endpoints that ended under it.
-    pub endings: Vec<Ending>,
+    #[serde(rename = "endings")]
+    pub crashes: Vec<Crash>,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    endings: Vec<Ending>,
+    crashes: Vec<Crash>,
     /// When an ending was added or cleared last.
     changed_us: Micros,
-    telling: Telling,
+    telling: Dissemination,
 }
 
 impl Suspect {
     fn uncleared(&self) -> usize {
-        self.endings.iter().filter(|e| !e.is_cleared).count()
+        self.crashes.iter().filter(|e| !e.is_cleared).count()
     }
 
     /// Adds an ending or learns that one was cleared; returns whether anything is new.
-    fn merge(&mut self, told: Ending) -> bool {
+    fn merge(&mut self, told: Crash) -> bool {
         let known = self
-            .endings
+            .crashes
             .iter_mut()
             .find(|e| e.endpoint == told.endpoint);
         if let Some(known) = known {
@@ -111,29 +112,29 @@
             known.is_cleared |= told.is_cleared;
             return is_news;
         }
-        if self.endings.len() >= MOST_ENDINGS {
-            let cleared = self.endings.iter().position(|e| e.is_cleared);
+        if self.crashes.len() >= MOST_ENDINGS {
+            let cleared = self.crashes.iter().position(|e| e.is_cleared);
             let Some(cleared) = cleared else {
                 // It is blocked already.
                 return false;
             };
-            self.endings.remove(cleared);
+            self.crashes.remove(cleared);
         }
-        self.endings.push(told);
+        self.crashes.push(told);
         true
     }
 
-    fn told(&self, now_us: Micros, fingerprint: Fingerprint) -> ToldSuspect {
+    fn told(&self, now_us: Micros, fingerprint: Fingerprint) -> SuspectUpdate {
         let age_us = now_us.saturating_sub(self.changed_us);
-        ToldSuspect {
+        SuspectUpdate {
             fingerprint,
             age_s: u16::try_from(age_us / 1_000_000).unwrap_or(u16::MAX),
-            endings: self.endings.clone(),
+            crashes: self.crashes.clone(),
         }
     }
 
-    fn clears_more_than(&self, told: &[Ending]) -> bool {
-        let cleared = self.endings.iter().filter(|e| e.is_cleared);
+    fn clears_more_than(&self, told: &[Crash]) -> bool {
+        let cleared = self.crashes.iter().filter(|e| e.is_cleared);
         let mut cleared = cleared.map(|e| e.endpoint);
         cleared.any(|endpoint| told.iter().any(|t| t.endpoint == endpoint && !t.is_cleared))
     }
@@ -161,7 +162,7 @@
 
 /// The requests under which endpoints ended of late.
 #[derive(Debug, Default)]
-pub struct SuspectBook {
+pub struct SuspectTable {
     suspects: HashMap<Fingerprint, Suspect>,
     /// When endpoints ended of late, whatever was there.
     ended: HashMap<EndpointKey, Micros>,
@@ -170,7 +171,7 @@
     has_news: bool,
 }
 
-impl SuspectBook {
+impl SuspectTable {
     /// Returns whether nothing is known of any request.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
@@ -183,11 +184,11 @@
 
     /// Returns whether endpoints ended under a request of which it has not been cleared.
     pub fn is_suspected(&self, fingerprint: Fingerprint) -> bool {
-        self.endings(fingerprint) > 0
+        self.crashes(fingerprint) > 0
     }
 
     /// Returns how many endpoints ended under a request of which it has not been cleared.
-    pub fn endings(&self, fingerprint: Fingerprint) -> usize {
+    pub fn crashes(&self, fingerprint: Fingerprint) -> usize {
         let suspect = self.suspects.get(&fingerprint);
         suspect.map_or(0, Suspect::uncleared)
     }
@@ -213,13 +214,13 @@
     fn others_ended(&self, now_us: Micros, suspect: &Suspect) -> usize {
         let is_recent = |at_us: Micros| now_us.saturating_sub(at_us) < OTHERS_WINDOW_US;
         let recent = self.ended.iter().filter(|(_, at_us)| is_recent(**at_us));
-        let others = recent.filter(|(key, _)| suspect.endings.iter().all(|e| e.endpoint != **key));
+        let others = recent.filter(|(key, _)| suspect.crashes.iter().all(|e| e.endpoint != **key));
         others.count()
     }
 
     /// Notes that an endpoint ended while a request was there.
-    pub fn note_ending(&mut self, now_us: Micros, fingerprint: Fingerprint, endpoint: EndpointKey) {
-        let ending = Ending {
+    pub fn note_crash(&mut self, now_us: Micros, fingerprint: Fingerprint, endpoint: EndpointKey) {
+        let ending = Crash {
             endpoint,
             is_cleared: self.is_trusted(now_us, fingerprint),
         };
@@ -229,7 +230,7 @@
     }
 
     /// Notes that a request ran to its end: it is not the cause of the endings.
-    pub fn note_whole(&mut self, now_us: Micros, fingerprint: Fingerprint) {
+    pub fn note_completed(&mut self, now_us: Micros, fingerprint: Fingerprint) {
         if self.whole.len() < MOST_WHOLE || self.whole.contains_key(&fingerprint) {
             self.whole.insert(fingerprint, now_us);
         }
@@ -249,7 +250,7 @@
         if suspect.uncleared() == 0 {
             return;
         }
-        for ending in &mut suspect.endings {
+        for ending in &mut suspect.crashes {
             ending.is_cleared = true;
         }
         suspect.changed_us = now_us;
@@ -259,15 +260,15 @@
 
     /// Takes what another instance told. What is new goes on to the hall; its other peers hear it from
     /// whoever found it. One that holds against a request what it was cleared of has not heard, and is told.
-    pub fn told(&mut self, now_us: Micros, told: &[ToldSuspect]) {
+    pub fn receive(&mut self, now_us: Micros, told: &[SuspectUpdate]) {
         for told in told {
             let changed_us = now_us.saturating_sub(Micros::from(told.age_s) * 1_000_000);
-            self.merge(changed_us, told.fingerprint, &told.endings);
+            self.merge(changed_us, told.fingerprint, &told.crashes);
             if self.is_trusted(changed_us, told.fingerprint) {
                 self.clear(now_us, told.fingerprint);
             }
             let known = self.suspects.get(&told.fingerprint);
-            if known.is_some_and(|known| known.clears_more_than(&told.endings)) {
+            if known.is_some_and(|known| known.clears_more_than(&told.crashes)) {
                 self.tell(told.fingerprint, Audience::Peers);
                 self.tell(told.fingerprint, Audience::Hall);
             }
@@ -275,7 +276,7 @@
     }
 
     /// Adds endings to what is known of a request; returns whether anything is new.
-    fn merge(&mut self, at_us: Micros, fingerprint: Fingerprint, endings: &[Ending]) -> bool {
+    fn merge(&mut self, at_us: Micros, fingerprint: Fingerprint, endings: &[Crash]) -> bool {
         if !self.suspects.contains_key(&fingerprint) {
             self.make_room();
         }
@@ -324,12 +325,12 @@
     }
 
     /// Returns whether something is to be told at once, if that was not asked since.
-    pub fn take_news(&mut self) -> bool {
+    pub fn take_has_changes(&mut self) -> bool {
         std::mem::take(&mut self.has_news)
     }
 
     /// Returns what an audience is to be told in this round.
-    pub fn take_told(&mut self, now_us: Micros, audience: Audience) -> Vec<ToldSuspect> {
+    pub fn take_due_updates(&mut self, now_us: Micros, audience: Audience) -> Vec<SuspectUpdate> {
         let due = self.suspects.iter_mut();
         let due = due.filter(|(_, s)| s.is_due(now_us, audience));
         let mut due: Vec<_> = due.collect();
@@ -344,7 +345,7 @@
 
     /// Returns what instances are to know that start when none is left to tell them: what is blocked, or nearly
     /// so, the latest if there is much of it; by fingerprint.
-    pub fn to_keep(&self, now_us: Micros) -> Vec<ToldSuspect> {
+    pub fn to_persist(&self, now_us: Micros) -> Vec<SuspectUpdate> {
         let kept = self.suspects.iter().filter(|(_, s)| s.is_retold(now_us));
         let mut kept: Vec<_> = kept.collect();
         kept.sort_unstable_by_key(|(_, s)| Reverse(s.changed_us));
--- a/src/peers/update.rs
+++ b/src/peers/update.rs
@@ -12,7 +12,7 @@
         speed::{Evidence, ToldSpeed},
     },
     gateway::evacuations::EvacuationSet,
-    limits::{standings::ToldStanding, suspects::ToldSuspect},
+    limits::{announcements::AnnouncementUpdate, suspects::SuspectUpdate},
     peers::datagram::{Authenticator, DatagramError, UnreadableSnafu},
     prelude::Incarnation,
 };
@@ -98,9 +98,9 @@
     /// Endpoints whose address another start has taken.
     pub dead: Vec<EndpointKey>,
     /// Requests under which endpoints ended.
-    pub suspects: Vec<ToldSuspect>,
+    pub suspects: Vec<SuspectUpdate>,
     /// What endpoints said of themselves that all instances are to know.
-    pub standings: Vec<ToldStanding>,
+    pub standings: Vec<AnnouncementUpdate>,
     /// Summaries of halls.
     pub halls: Vec<HallSummary>,
 }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -11,8 +11,8 @@
     balance::{load::OwnWord, prefixes::PromptPart},
     gateway::protocol::{AnswerHead, CallHead, EndpointWords, Forward, Protocol, TokenCounts},
     limits::{
-        rate::{LimitWord, RequestRate},
-        rest::RestWord,
+        back_off::BackOffHeader,
+        rate::{LimitHeader, RequestRate},
     },
     prelude::Micros,
 };
@@ -194,8 +194,8 @@
 
 /// Returns the rest that an answer asks for; the longest of several. Only with 503 does the time to come back say
 /// something of the endpoint: with another status it is the caller's alone.
-fn rest(status: StatusCode, headers: &HeaderMap) -> RestWord {
-    let mut longest = RestWord::None;
+fn rest(status: StatusCode, headers: &HeaderMap) -> BackOffHeader {
+    let mut longest = BackOffHeader::Absent;
     if status != StatusCode::SERVICE_UNAVAILABLE {
         return longest;
     }
@@ -204,11 +204,13 @@
         let word = value.to_str().ok().map(str::trim);
         let rest_us = word.and_then(|word| seconds(word).or_else(|| until_date(word, answered)));
         longest = match (rest_us, longest) {
-            (Some(rest_us), RestWord::Asked(longer_us)) => RestWord::Asked(rest_us.max(longer_us)),
-            (Some(rest_us), _) => RestWord::Asked(rest_us),
-            (None, asked @ RestWord::Asked(_)) => asked,
+            (Some(rest_us), BackOffHeader::Period(longer_us)) => {
+                BackOffHeader::Period(rest_us.max(longer_us))
+            }
+            (Some(rest_us), _) => BackOffHeader::Period(rest_us),
+            (None, asked @ BackOffHeader::Period(_)) => asked,
             (None, _) => {
-                RestWord::Unreadable(String::from_utf8_lossy(value.as_bytes()).into_owned())
+                BackOffHeader::Unreadable(String::from_utf8_lossy(value.as_bytes()).into_owned())
             }
         };
     }
@@ -237,8 +239,8 @@
 }
 
 /// Returns the limit that an answer names; the lowest of several.
-fn limit(headers: &HeaderMap) -> LimitWord {
-    let mut lowest = LimitWord::Free;
+fn limit(headers: &HeaderMap) -> LimitHeader {
+    let mut lowest = LimitHeader::Absent;
     for value in headers.get_all(LIMIT) {
         let rate = value
             .to_str()
@@ -246,11 +248,11 @@
             .map(str::trim)
             .and_then(RequestRate::parse);
         let Some(rate) = rate else {
-            return LimitWord::Unreadable(String::from_utf8_lossy(value.as_bytes()).into_owned());
+            return LimitHeader::Unreadable(String::from_utf8_lossy(value.as_bytes()).into_owned());
         };
         lowest = match lowest {
-            LimitWord::Named(lower) => LimitWord::Named(lower.min(rate)),
-            _ => LimitWord::Named(rate),
+            LimitHeader::Rate(lower) => LimitHeader::Rate(lower.min(rate)),
+            _ => LimitHeader::Rate(rate),
         };
     }
     lowest
--- a/tests/edge/endpoint_limits.rs
+++ b/tests/edge/endpoint_limits.rs
@@ -18,7 +18,7 @@
 use ryevalve::{
     balance::load::EndpointKey,
     explain::explain,
-    limits::rate::{LimitWord, RequestRate},
+    limits::rate::{LimitHeader, RequestRate},
 };
 use serde_json::Value;
 
@@ -290,7 +290,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn eighty_five_instances_keep_to_a_limit_that_one_of_them_heard() {
     let all = Arc::new(start_group(46, 85).await);
-    let hear = |instance: usize, word: LimitWord| {
+    let hear = |instance: usize, word: LimitHeader| {
         let mut balancer = all[instance].gateway.balancer();
         let version = balancer.standings().version(key());
         let now_us = all[instance].gateway.clock.now_us();
@@ -306,7 +306,7 @@
     };
     let rate = RequestRate::parse("1.9");
     let heard = Instant::now();
-    hear(7, LimitWord::Named(rate.expect("a rate")));
+    hear(7, LimitHeader::Rate(rate.expect("a rate")));
     until("all to know the limit", || all_know(rate)).await;
     assert!(heard.elapsed() < CONTACT, "{:?}", heard.elapsed());
 
@@ -333,7 +333,7 @@
     assert!(most <= 16, "{most} in 4 s");
     assert!(sent.len() >= 13, "{} of 15 in 8 s", sent.len());
 
-    hear(30, LimitWord::Free);
+    hear(30, LimitHeader::Absent);
     let over = Instant::now();
     until("all to know that it is over", || all_know(None)).await;
     assert!(over.elapsed() < CONTACT, "{:?}", over.elapsed());
--- a/tests/edge/large_group.rs
+++ b/tests/edge/large_group.rs
@@ -5,7 +5,7 @@
 use ryevalve::{
     balance::balancer::Placement,
     gateway::aggregators::Aggregators,
-    limits::sharers::Sharers,
+    limits::instance_counts::InstanceCounts,
     prelude::{Incarnation, Name},
 };
 
@@ -56,7 +56,7 @@
         all.push(instance);
     }
     let heard = |all: &[Instance], heard: usize| {
-        let expected = Sharers { all: ALL, heard };
+        let expected = InstanceCounts { all: ALL, heard };
         all.iter().all(|i| i.gateway.sharers() == expected)
     };
     until("all to hear of all", || heard(&all, ALL)).await;
--- a/tests/gateway/cold.rs
+++ b/tests/gateway/cold.rs
@@ -13,7 +13,7 @@
     },
     gateway::evacuations::{EvacuationChange, EvacuationSet, Evacuations},
     limits::{
-        permits::{ColdTolerance, Permit, PermitGiver},
+        permits::{ColdTolerance, Permit, PermitIssuer},
         rate::RequestRate,
     },
     prelude::Name,
@@ -49,15 +49,15 @@
         let tolerance = ColdTolerance { overage, slack };
         let rate = tolerance.rate(per_s);
         let key = EndpointKey::of("one");
-        let mut keepers = [PermitGiver::default(), PermitGiver::default()];
+        let mut keepers = [PermitIssuer::default(), PermitIssuer::default()];
         let mut given_us = Vec::new();
         for keeper in &mut keepers {
-            keeper.give(0, key, rate, 0);
+            keeper.issue(0, key, rate, 0);
         }
         let mut now_us = pause_us;
         while now_us < pause_us + 4 * SECOND {
             for keeper in &mut keepers {
-                if keeper.give(now_us, key, rate, 0) == Permit::Given {
+                if keeper.issue(now_us, key, rate, 0) == Permit::Given {
                     given_us.push(now_us);
                 }
             }
@@ -89,7 +89,7 @@
 fn balancer() -> Balancer {
     let mut balancer = Balancer::new("a".into());
     let rate = ColdRate {
-        rate: RequestRate::of(4.0),
+        rate: RequestRate::from_per_s(4.0),
         lasts_us: 3 * SECOND,
     };
     balancer.set_cold_rates(HashMap::from([(Name::from("model"), rate)]));
--- a/tests/gateway/endpoint_limits.rs
+++ b/tests/gateway/endpoint_limits.rs
@@ -10,10 +10,10 @@
         picture::Group,
     },
     limits::{
-        permits::{Permit, PermitGiver},
-        rate::{LimitWord, RequestRate},
-        standings::{EndpointStandings, ToldStanding},
-        telling::Audience,
+        announcements::{AnnouncementUpdate, EndpointAnnouncements},
+        dissemination::Audience,
+        permits::{Permit, PermitIssuer},
+        rate::{LimitHeader, RequestRate},
     },
 };
 
@@ -25,22 +25,22 @@
     RequestRate::parse(text).expect("a rate")
 }
 
-fn named(text: &str) -> LimitWord {
-    LimitWord::Named(rate(text))
+fn named(text: &str) -> LimitHeader {
+    LimitHeader::Rate(rate(text))
 }
 
-fn limit(limits: &EndpointStandings) -> Option<String> {
+fn limit(limits: &EndpointAnnouncements) -> Option<String> {
     limits.rate(ENDPOINT).map(|rate| rate.to_string())
 }
 
 /// Says a word to a request that was sent knowing all that is known.
-fn hear(limits: &mut EndpointStandings, word: &LimitWord) {
+fn hear(limits: &mut EndpointAnnouncements, word: &LimitHeader) {
     let version = limits.version(ENDPOINT);
-    limits.heard(SECOND, ENDPOINT, version, word);
+    limits.note_limit(SECOND, ENDPOINT, version, word);
 }
 
-fn told(limits: &mut EndpointStandings, now_us: u64) -> Vec<ToldStanding> {
-    limits.take_told(now_us, Audience::Peers, |_| true)
+fn told(limits: &mut EndpointAnnouncements, now_us: u64) -> Vec<AnnouncementUpdate> {
+    limits.take_due_updates(now_us, Audience::Peers, |_| true)
 }
 
 #[test]
@@ -67,32 +67,32 @@
 
 #[test]
 fn a_lower_word_holds_at_once_and_a_higher_one_only_if_it_is_known_to_be_later() {
-    let mut limits = EndpointStandings::default();
+    let mut limits = EndpointAnnouncements::default();
     hear(&mut limits, &named("4"));
     let early = limits.version(ENDPOINT);
     hear(&mut limits, &named("2"));
     assert_eq!(limit(&limits).as_deref(), Some("2.000"));
     // Answers to requests that were sent before it was lowered overtake nothing.
-    for word in [named("4"), LimitWord::Free] {
-        limits.heard(SECOND, ENDPOINT, early, &word);
+    for word in [named("4"), LimitHeader::Absent] {
+        limits.note_limit(SECOND, ENDPOINT, early, &word);
         assert_eq!(limit(&limits).as_deref(), Some("2.000"));
     }
-    limits.heard(SECOND, ENDPOINT, early, &named("1"));
+    limits.note_limit(SECOND, ENDPOINT, early, &named("1"));
     assert_eq!(limit(&limits).as_deref(), Some("1.000"), "it may be later");
     hear(&mut limits, &named("3"));
     assert_eq!(limit(&limits).as_deref(), Some("3.000"));
-    hear(&mut limits, &LimitWord::Free);
+    hear(&mut limits, &LimitHeader::Absent);
     assert_eq!(limit(&limits), None);
     assert!(!limits.has_limits());
-    limits.heard(SECOND, ENDPOINT, early, &named("3"));
+    limits.note_limit(SECOND, ENDPOINT, early, &named("3"));
     assert_eq!(limit(&limits).as_deref(), Some("3.000"), "named again");
 }
 
 #[test]
 fn a_word_that_cannot_be_read_changes_nothing_and_is_noted_once() {
-    let mut limits = EndpointStandings::default();
+    let mut limits = EndpointAnnouncements::default();
     hear(&mut limits, &named("4"));
-    let spoiled = LimitWord::Unreadable("four".into());
+    let spoiled = LimitHeader::Unreadable("four".into());
     hear(&mut limits, &spoiled);
     assert_eq!(limit(&limits).as_deref(), Some("4.000"));
     assert!(limits.note_unreadable(ENDPOINT));
@@ -106,29 +106,35 @@
 
 #[test]
 fn one_that_knows_less_is_told_and_what_is_over_is_not_told_for_ever() {
-    let (mut one, mut other) = (EndpointStandings::default(), EndpointStandings::default());
+    let (mut one, mut other) = (
+        EndpointAnnouncements::default(),
+        EndpointAnnouncements::default(),
+    );
     hear(&mut one, &named("4"));
     let late = told(&mut one, SECOND);
-    other.told(SECOND, &late);
-    hear(&mut other, &LimitWord::Free);
+    other.receive(SECOND, &late);
+    hear(&mut other, &LimitHeader::Absent);
     for round in 2..20 {
         told(&mut other, round * SECOND);
     }
     assert_eq!(told(&mut other, 20 * SECOND), [], "it is over");
-    other.told(20 * SECOND, &late);
+    other.receive(20 * SECOND, &late);
     assert_eq!(limit(&other), None, "late word of what is over");
-    one.told(21 * SECOND, &told(&mut other, 21 * SECOND));
+    one.receive(21 * SECOND, &told(&mut other, 21 * SECOND));
     assert_eq!(limit(&one), None);
 }
 
 #[test]
 fn a_limit_that_stands_is_told_again_and_again_but_not_of_endpoints_in_no_list() {
-    let mut limits = EndpointStandings::default();
+    let mut limits = EndpointAnnouncements::default();
     hear(&mut limits, &named("4"));
     for round in 1..10 {
         let now_us = round * 2 * SECOND;
         assert_eq!(told(&mut limits, now_us).len(), 1);
-        assert_eq!(limits.take_told(now_us + 1, Audience::Hall, |_| false), []);
+        assert_eq!(
+            limits.take_due_updates(now_us + 1, Audience::Hall, |_| false),
+            []
+        );
     }
     limits.expire(30 * SECOND, |_| true);
     limits.expire(59 * SECOND, |_| false);
@@ -139,17 +145,17 @@
 
 #[test]
 fn memory_for_limits_is_bounded() {
-    let mut limits = EndpointStandings::default();
+    let mut limits = EndpointAnnouncements::default();
     for number in 0..10_000 {
-        limits.heard(SECOND, EndpointKey(number), 0, &named("1"));
+        limits.note_limit(SECOND, EndpointKey(number), 0, &named("1"));
     }
     assert_eq!(limits.limited(), 4_096);
 }
 
 #[test]
 fn permits_come_at_the_rate_and_few_are_saved() {
-    let mut giver = PermitGiver::default();
-    let mut given = |now_us: u64| giver.give(now_us, ENDPOINT, rate("2"), 0) == Permit::Given;
+    let mut giver = PermitIssuer::default();
+    let mut given = |now_us: u64| giver.issue(now_us, ENDPOINT, rate("2"), 0) == Permit::Given;
     assert!(given(0), "one at once");
     assert!(!given(100_000));
     assert!(given(500_000));
@@ -162,12 +168,12 @@
 #[test]
 fn what_is_due_goes_to_the_more_urgent_first_and_whole_to_the_others_if_they_are_alone() {
     let given_of = |asks: &[(u8, u64)], of: u8| {
-        let mut giver = PermitGiver::default();
+        let mut giver = PermitIssuer::default();
         let mut given = 0;
         for tenth in 0..600_u64 {
             let due = asks.iter().filter(|(_, every)| tenth % every == 0);
             for (rank, _) in due {
-                let permit = giver.give(tenth * SECOND / 10, ENDPOINT, rate("2"), *rank);
+                let permit = giver.issue(tenth * SECOND / 10, ENDPOINT, rate("2"), *rank);
                 given += u32::from(permit == Permit::Given && *rank == of);
             }
         }
@@ -183,9 +189,9 @@
 
 #[test]
 fn one_that_gets_no_permit_hears_when_to_ask_again_later_the_more_ask() {
-    let mut giver = PermitGiver::default();
-    giver.give(0, ENDPOINT, rate("2"), 0);
-    let mut waits = (0..10).map(|_| match giver.give(0, ENDPOINT, rate("2"), 0) {
+    let mut giver = PermitIssuer::default();
+    giver.issue(0, ENDPOINT, rate("2"), 0);
+    let mut waits = (0..10).map(|_| match giver.issue(0, ENDPOINT, rate("2"), 0) {
         Permit::Denied { wait_us } => wait_us,
         Permit::Given => panic!("none is due"),
     });
@@ -196,30 +202,30 @@
 
 #[test]
 fn an_endpoint_that_takes_nothing_is_still_asked_now_and_then() {
-    let mut giver = PermitGiver::default();
+    let mut giver = PermitIssuer::default();
     let given =
-        (0..600).filter(|n| giver.give(n * SECOND / 10, ENDPOINT, rate("0"), 0) == Permit::Given);
+        (0..600).filter(|n| giver.issue(n * SECOND / 10, ENDPOINT, rate("0"), 0) == Permit::Given);
     assert_eq!(given.count(), 12, "once in five seconds of a minute");
 }
 
 #[test]
 fn a_raised_rate_holds_at_once_and_a_permit_that_is_given_back_is_due_again() {
-    let mut giver = PermitGiver::default();
-    assert_eq!(giver.give(0, ENDPOINT, rate("0"), 0), Permit::Given);
-    let denied = giver.give(SECOND, ENDPOINT, rate("0"), 0);
+    let mut giver = PermitIssuer::default();
+    assert_eq!(giver.issue(0, ENDPOINT, rate("0"), 0), Permit::Given);
+    let denied = giver.issue(SECOND, ENDPOINT, rate("0"), 0);
     assert_matches!(denied, Permit::Denied { .. });
     assert_eq!(
-        giver.give(SECOND * 2, ENDPOINT, rate("10"), 0),
+        giver.issue(SECOND * 2, ENDPOINT, rate("10"), 0),
         Permit::Denied { wait_us: 150_000 },
         "due in 100 ms, and one has been denied before"
     );
     assert_eq!(
-        giver.give(SECOND * 21 / 10, ENDPOINT, rate("10"), 0),
+        giver.issue(SECOND * 21 / 10, ENDPOINT, rate("10"), 0),
         Permit::Given
     );
-    giver.take_back(ENDPOINT, rate("10"));
+    giver.refund(ENDPOINT, rate("10"));
     assert_eq!(
-        giver.give(SECOND * 21 / 10, ENDPOINT, rate("10"), 0),
+        giver.issue(SECOND * 21 / 10, ENDPOINT, rate("10"), 0),
         Permit::Given
     );
 }
@@ -385,10 +391,10 @@
         last in proptest::option::of(1..4_u16),
     ) {
         let word = |milli_per_s: Option<u16>| {
-            milli_per_s.map_or(LimitWord::Free, |m| named(&format!("0.00{m}")))
+            milli_per_s.map_or(LimitHeader::Absent, |m| named(&format!("0.00{m}")))
         };
-        let mut all: Vec<EndpointStandings> = (0..INSTANCES).map(|_| EndpointStandings::default()).collect();
-        let mut words: Vec<Vec<ToldStanding>> = Vec::new();
+        let mut all: Vec<EndpointAnnouncements> = (0..INSTANCES).map(|_| EndpointAnnouncements::default()).collect();
+        let mut words: Vec<Vec<AnnouncementUpdate>> = Vec::new();
         let mut now_us = 0;
         for step in steps {
             now_us += 2 * SECOND;
@@ -396,26 +402,26 @@
                 Step::Says { to, milli_per_s, is_late } => {
                     let version = all[to].version(ENDPOINT);
                     let sent_at = if is_late { version.saturating_sub(1) } else { version };
-                    all[to].heard(now_us, ENDPOINT, sent_at, &word(milli_per_s));
+                    all[to].note_limit(now_us, ENDPOINT, sent_at, &word(milli_per_s));
                 }
                 Step::Tells { from, to } => {
                     let told = told(&mut all[from], now_us);
-                    all[to].told(now_us, &told);
+                    all[to].receive(now_us, &told);
                     words.push(told);
                 }
                 Step::TellsAgain { word, to } => {
                     if let Some(told) = words.get(word) {
-                        all[to].told(now_us, told);
+                        all[to].receive(now_us, told);
                     }
                 }
             }
         }
-        let mut tell_all = |all: &mut Vec<EndpointStandings>| {
+        let mut tell_all = |all: &mut Vec<EndpointAnnouncements>| {
             for _ in 0..2 * INSTANCES {
                 now_us += 2 * SECOND;
                 for from in 0..INSTANCES {
                     let told = told(&mut all[from], now_us);
-                    all.iter_mut().for_each(|to| drop(to.told(now_us, &told)));
+                    all.iter_mut().for_each(|to| drop(to.receive(now_us, &told)));
                 }
             }
         };
--- a/tests/gateway/endpoint_limits_weighed.rs
+++ b/tests/gateway/endpoint_limits_weighed.rs
@@ -16,7 +16,7 @@
 use ryevalve::{
     balance::load::EndpointKey,
     limits::{
-        permits::{Permit, PermitGiver},
+        permits::{Permit, PermitIssuer},
         rate::RequestRate,
     },
 };
@@ -156,7 +156,7 @@
     random: ChaCha8Rng,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     number: u64,
-    giver: PermitGiver,
+    giver: PermitIssuer,
     /// Until when each instance asks for no permit.
     no_permits_until_us: Vec<u64>,
     /// Requests that each instance may send, and when that was worked out.
@@ -177,7 +177,7 @@
             random,
             events: BinaryHeap::new(),
             number: 0,
-            giver: PermitGiver::default(),
+            giver: PermitIssuer::default(),
             no_permits_until_us: vec![0; load.instances],
             levels,
             sent_us: Vec::new(),
@@ -212,7 +212,9 @@
             match event {
                 Event::Wanted => self.wanted(now_us),
                 Event::Asked { by, at_us } => {
-                    let permit = self.giver.give(now_us, ENDPOINT, self.rate, self.load.rank);
+                    let permit = self
+                        .giver
+                        .issue(now_us, ENDPOINT, self.rate, self.load.rank);
                     let wait_us = match permit {
                         Permit::Given => 0,
                         Permit::Denied { wait_us } => wait_us,
@@ -231,7 +233,7 @@
                     permit,
                     wait_us,
                 } => self.answered(now_us, to, at_us, permit, wait_us),
-                Event::Returned => self.giver.take_back(ENDPOINT, self.rate),
+                Event::Returned => self.giver.refund(ENDPOINT, self.rate),
                 Event::Heard { by } => {
                     self.fill(now_us, by);
                     self.levels[by].0 -= 1.0;
--- a/tests/gateway/endpoint_rests.rs
+++ b/tests/gateway/endpoint_rests.rs
@@ -10,8 +10,8 @@
         standing::{ENDPOINTS_REST, Standing},
     },
     limits::{
-        rest::{Rest, Rests},
-        telling::Audience,
+        back_off::{BackOff, BackOffs},
+        dissemination::Audience,
     },
 };
 
@@ -23,22 +23,22 @@
 const USED: fn() -> bool = || true;
 
 /// Returns rests of which one, of an instance alone, began at second 1.
-fn begun() -> Rests {
-    let mut rests = Rests::default();
-    assert!(rests.asked(SECOND, ENDPOINT, REST_US, 1, 0.0));
+fn begun() -> BackOffs {
+    let mut rests = BackOffs::default();
+    assert!(rests.note_requested(SECOND, ENDPOINT, REST_US, 1, 0.0));
     rests
 }
 
-fn is_over(rests: &Rests, now_us: u64) -> bool {
-    rests.rest(now_us, ENDPOINT, UNUSED) == Rest::Over
+fn is_over(rests: &BackOffs, now_us: u64) -> bool {
+    rests.back_off(now_us, ENDPOINT, UNUSED) == BackOff::Over
 }
 
 #[test]
 fn a_rest_lasts_as_long_as_was_asked_and_one_request_goes_first_after_it() {
     let mut rests = begun();
     assert_eq!(
-        rests.rest(SECOND, ENDPOINT, UNUSED),
-        Rest::Until(4 * SECOND)
+        rests.back_off(SECOND, ENDPOINT, UNUSED),
+        BackOff::Until(4 * SECOND)
     );
     assert!(!is_over(&rests, 4 * SECOND - 1));
     assert!(is_over(&rests, 4 * SECOND));
@@ -69,44 +69,47 @@
 fn of_several_words_the_one_that_lasts_longest_holds() {
     let mut rests = begun();
     assert!(
-        !rests.asked(2 * SECOND, ENDPOINT, SECOND / 2, 1, 0.0),
+        !rests.note_requested(2 * SECOND, ENDPOINT, SECOND / 2, 1, 0.0),
         "it rests already"
     );
     assert!(!is_over(&rests, 4 * SECOND - 1), "a shorter one");
-    rests.asked(3 * SECOND, ENDPOINT, REST_US, 1, 0.0);
+    rests.note_requested(3 * SECOND, ENDPOINT, REST_US, 1, 0.0);
     assert!(!is_over(&rests, 6 * SECOND - 1), "a longer one");
     assert!(is_over(&rests, 6 * SECOND));
     // Asked again by the first request after it.
     rests.note_sent(6 * SECOND, ENDPOINT);
-    rests.asked(6 * SECOND + MS, ENDPOINT, SECOND, 1, 0.0);
+    rests.note_requested(6 * SECOND + MS, ENDPOINT, SECOND, 1, 0.0);
     assert!(!is_over(&rests, 7 * SECOND));
     assert!(is_over(&rests, 7 * SECOND + MS));
 }
 
 #[test]
 fn no_rest_is_none_and_one_without_end_ends() {
-    let mut rests = Rests::default();
-    assert!(!rests.asked(SECOND, ENDPOINT, 0, 1, 0.0));
+    let mut rests = BackOffs::default();
+    assert!(!rests.note_requested(SECOND, ENDPOINT, 0, 1, 0.0));
     assert!(is_over(&rests, SECOND));
-    rests.asked(SECOND, ENDPOINT, u64::MAX, 1, 0.0);
+    rests.note_requested(SECOND, ENDPOINT, u64::MAX, 1, 0.0);
     assert!(!is_over(&rests, 500 * SECOND));
     assert!(is_over(&rests, 601 * SECOND), "one word is not for good");
     assert!(rests.note_unreadable(ENDPOINT));
     assert!(!rests.note_unreadable(ENDPOINT), "once");
-    rests.asked(602 * SECOND, ENDPOINT, SECOND, 1, 0.0);
+    rests.note_requested(602 * SECOND, ENDPOINT, SECOND, 1, 0.0);
     assert!(rests.note_unreadable(ENDPOINT), "after one that was sound");
 }
 
 #[test]
 fn memory_is_bounded_and_what_is_over_is_forgotten() {
-    let mut rests = Rests::default();
+    let mut rests = BackOffs::default();
     for number in 0..10_000 {
         let rest_us = SECOND + u64::from(number) * MS;
-        rests.asked(SECOND, EndpointKey(number), rest_us, 1, 0.0);
+        rests.note_requested(SECOND, EndpointKey(number), rest_us, 1, 0.0);
     }
     assert!(rests.len() <= 4_096, "{}", rests.len());
     let longest = EndpointKey(9_999);
-    assert_matches!(rests.rest(2 * SECOND, longest, UNUSED), Rest::Until(_));
+    assert_matches!(
+        rests.back_off(2 * SECOND, longest, UNUSED),
+        BackOff::Until(_)
+    );
     rests.expire(30 * SECOND, |_| true);
     assert!(rests.is_empty());
 }
@@ -116,17 +119,19 @@
 #[test]
 fn the_end_of_many_rests_is_no_herd_and_no_pause() {
     for instances in [1, 7, 18, 85, 295] {
-        let mut all: Vec<Rests> = (0..instances).map(|_| Rests::default()).collect();
+        let mut all: Vec<BackOffs> = (0..instances).map(|_| BackOffs::default()).collect();
         for (number, rests) in all.iter_mut().enumerate() {
             let draw = number as f64 / instances as f64;
-            rests.asked(SECOND, ENDPOINT, REST_US, instances, draw);
+            rests.note_requested(SECOND, ENDPOINT, REST_US, instances, draw);
         }
         let mut came = Vec::new();
         for step in 0..4_000 {
             let now_us = 4 * SECOND + step * MS;
             let is_used = !came.is_empty();
             for rests in &mut all {
-                if rests.rest(now_us, ENDPOINT, || is_used) == Rest::Over && !rests.is_empty() {
+                if rests.back_off(now_us, ENDPOINT, || is_used) == BackOff::Over
+                    && !rests.is_empty()
+                {
                     rests.note_sent(now_us, ENDPOINT);
                     // It is answered at once, and the instance is done.
                     rests.note_answered(ENDPOINT, now_us);
@@ -149,21 +154,21 @@
 /// One of many alone has requests for the endpoint, and its turn is the last.
 #[test]
 fn one_that_sees_nobody_there_does_not_wait_for_its_turn() {
-    let mut rests = Rests::default();
-    rests.asked(SECOND, ENDPOINT, REST_US, 295, 0.99);
+    let mut rests = BackOffs::default();
+    rests.note_requested(SECOND, ENDPOINT, REST_US, 295, 0.99);
     assert_eq!(
-        rests.rest(4 * SECOND + 400 * MS, ENDPOINT, UNUSED),
-        Rest::Until(4 * SECOND + 500 * MS)
+        rests.back_off(4 * SECOND + 400 * MS, ENDPOINT, UNUSED),
+        BackOff::Until(4 * SECOND + 500 * MS)
     );
     assert_eq!(
-        rests.rest(4 * SECOND + 500 * MS, ENDPOINT, UNUSED),
-        Rest::Over
+        rests.back_off(4 * SECOND + 500 * MS, ENDPOINT, UNUSED),
+        BackOff::Over
     );
     assert_matches!(
-        rests.rest(4 * SECOND + 500 * MS, ENDPOINT, USED),
-        Rest::Until(_)
+        rests.back_off(4 * SECOND + 500 * MS, ENDPOINT, USED),
+        BackOff::Until(_)
     );
-    assert_eq!(rests.rest(7 * SECOND, ENDPOINT, USED), Rest::Over);
+    assert_eq!(rests.back_off(7 * SECOND, ENDPOINT, USED), BackOff::Over);
 }
 
 fn balancer(ids: &[&str]) -> Balancer {
@@ -283,8 +288,8 @@
     // It is over for all in the same moment, and is told on with the time that is left.
     let later = other.take_told_standings(3 * SECOND, Audience::Peers);
     assert_eq!(later[0].rest_ms, 1_000);
-    assert!(other.standings().wants_rest(4 * SECOND - 1, key));
-    assert!(!other.standings().wants_rest(4 * SECOND, key));
+    assert!(other.standings().wants_back_off(4 * SECOND - 1, key));
+    assert!(!other.standings().wants_back_off(4 * SECOND, key));
 }
 
 /// Many instances are asked one after the other: that is told once, not by each anew.
@@ -308,22 +313,22 @@
     /// more the endpoint serves within a second of the end.
     #[test]
     fn no_request_goes_in_any_rest(steps in prop::collection::vec((0_u8..5, 0_u64..900, 0_u64..2_000), 1..80)) {
-        let mut rests = Rests::default();
+        let mut rests = BackOffs::default();
         let (mut now_us, mut until_us, mut sent_us) = (SECOND, 0, 0);
         for (what, pause_ms, rest_ms) in steps {
             now_us += pause_ms * MS;
             match what {
                 0 => {
-                    rests.asked(now_us, ENDPOINT, rest_ms * MS, 7, 0.3);
+                    rests.note_requested(now_us, ENDPOINT, rest_ms * MS, 7, 0.3);
                     until_us = until_us.max(now_us + rest_ms * MS);
                 }
                 1 => { rests.note_answered(ENDPOINT, sent_us); }
                 2 => rests.note_unanswered(ENDPOINT, sent_us),
                 3 => rests.expire(now_us, |_| true),
                 _ => {
-                    let rest = rests.rest(now_us, ENDPOINT, || rest_ms % 2 == 0);
-                    prop_assert!(rest != Rest::Over || now_us >= until_us, "{now_us} {until_us}");
-                    if rest == Rest::Over {
+                    let rest = rests.back_off(now_us, ENDPOINT, || rest_ms % 2 == 0);
+                    prop_assert!(rest != BackOff::Over || now_us >= until_us, "{now_us} {until_us}");
+                    if rest == BackOff::Over {
                         rests.note_sent(now_us, ENDPOINT);
                         sent_us = now_us;
                     }
@@ -331,6 +336,6 @@
             }
         }
         let late_us = until_us.max(now_us) + SECOND;
-        prop_assert_eq!(rests.rest(late_us, ENDPOINT, UNUSED), Rest::Over);
+        prop_assert_eq!(rests.back_off(late_us, ENDPOINT, UNUSED), BackOff::Over);
     }
 }
--- a/tests/gateway/endpoint_rests_weighed.rs
+++ b/tests/gateway/endpoint_rests_weighed.rs
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 use ryevalve::{
     balance::load::EndpointKey,
-    limits::rest::{Rest, Rests},
+    limits::back_off::{BackOff, BackOffs},
 };
 
 use crate::support::{MS, SECOND};
@@ -184,7 +184,7 @@
     number: u64,
     endpoints: Vec<Endpoint>,
     requests: Vec<Request>,
-    rests: Vec<Rests>,
+    rests: Vec<BackOffs>,
     /// Of each instance, its requests at each endpoint.
     own: Vec<Vec<usize>>,
     /// What all had when it was told last, and who was asked for rest until when.
@@ -206,7 +206,7 @@
             number: 0,
             endpoints: vec![Endpoint::default(); load.endpoints],
             requests: Vec::new(),
-            rests: (0..load.instances).map(|_| Rests::default()).collect(),
+            rests: (0..load.instances).map(|_| BackOffs::default()).collect(),
             own: vec![vec![0; load.endpoints]; load.instances],
             told: vec![0; load.endpoints],
             own_told: vec![vec![0; load.endpoints]; load.instances],
@@ -277,7 +277,8 @@
     fn is_closed(&self, instance: usize, endpoint: usize) -> bool {
         let key = EndpointKey(endpoint as u32);
         let is_used = || self.others(instance, endpoint) > 0;
-        self.way != Way::None && self.rests[instance].rest(self.now_us, key, is_used) != Rest::Over
+        self.way != Way::None
+            && self.rests[instance].back_off(self.now_us, key, is_used) != BackOff::Over
     }
 
     fn choose(&mut self, request: usize) -> Option<usize> {
@@ -407,7 +408,7 @@
         match rest_us {
             Some(rest_us) => {
                 let draw = self.rng.random();
-                self.rests[instance].asked(now_us, key, rest_us, instances, draw);
+                self.rests[instance].note_requested(now_us, key, rest_us, instances, draw);
                 self.signs[endpoint] = now_us + rest_us;
             }
             None => {
--- a/tests/gateway/halls.rs
+++ b/tests/gateway/halls.rs
@@ -1,7 +1,7 @@
 //! What an instance knows of halls from the summaries of their aggregators.
 
 use ryevalve::{
-    gateway::halls::Halls, limits::sharers::Sharers, peers::update::HallSummary,
+    gateway::halls::Halls, limits::instance_counts::InstanceCounts, peers::update::HallSummary,
     prelude::Incarnation,
 };
 
@@ -37,13 +37,22 @@
     };
     let taken = halls.note(0, &few).expect("news");
     assert!(!taken.takes_loads, "it hears two of ten");
-    assert_eq!(halls.sharers(MS), Sharers { all: 10, heard: 10 });
+    assert_eq!(halls.sharers(MS), InstanceCounts { all: 10, heard: 10 });
     assert!(halls.expire(2 * SECOND).is_empty());
     assert_eq!(halls.expire(3 * SECOND), vec![1]);
-    assert_eq!(halls.sharers(3 * SECOND), Sharers { all: 10, heard: 0 });
+    assert_eq!(
+        halls.sharers(3 * SECOND),
+        InstanceCounts { all: 10, heard: 0 }
+    );
     assert!(halls.expire(4 * SECOND).is_empty());
     halls.note(5 * SECOND, &summary(1, 2));
-    assert_eq!(halls.sharers(5 * SECOND), Sharers { all: 10, heard: 10 });
+    assert_eq!(
+        halls.sharers(5 * SECOND),
+        InstanceCounts { all: 10, heard: 10 }
+    );
     halls.expire(26 * SECOND);
-    assert_eq!(halls.sharers(26 * SECOND), Sharers { all: 0, heard: 0 });
+    assert_eq!(
+        halls.sharers(26 * SECOND),
+        InstanceCounts { all: 0, heard: 0 }
+    );
 }
--- a/tests/gateway/headers.rs
+++ b/tests/gateway/headers.rs
@@ -11,7 +11,7 @@
         config::{GatewayConfig, RouteKind, UseUnit},
         protocol::{Forward, Protocol},
     },
-    limits::rest::RestWord,
+    limits::back_off::BackOffHeader,
     platform::{configuration::ConfigSpec, endpoints::EndpointSpec, headers::PlatformProtocol},
 };
 
@@ -164,7 +164,7 @@
 }
 
 /// Returns what a refusal says of rest.
-fn rest(status: StatusCode, words: &[&str]) -> RestWord {
+fn rest(status: StatusCode, words: &[&str]) -> BackOffHeader {
     let mut all = vec![("Date", "Thu, 03 Dec 2026 06:00:00 GMT")];
     all.extend(words.iter().map(|word| ("Retry-After", *word)));
     let mut map = HeaderMap::new();
@@ -188,7 +188,11 @@
         ("Thursday, 03-Dec-26 06:00:02 GMT", 2_000_000),
         ("Thu, 03 Dec 2026 05:00:00 GMT", 0),
     ] {
-        assert_eq!(rest(unavailable, &[word]), RestWord::Asked(us), "{word}");
+        assert_eq!(
+            rest(unavailable, &[word]),
+            BackOffHeader::Period(us),
+            "{word}"
+        );
     }
     for word in [
         "-1",
@@ -204,14 +208,14 @@
     ] {
         assert_matches!(
             rest(unavailable, &[word]),
-            RestWord::Unreadable(_),
+            BackOffHeader::Unreadable(_),
             "{word}"
         );
     }
-    assert_eq!(rest(unavailable, &[]), RestWord::None);
+    assert_eq!(rest(unavailable, &[]), BackOffHeader::Absent);
     assert_eq!(
         rest(unavailable, &["1", "3", "x", "2"]),
-        RestWord::Asked(3_000_000)
+        BackOffHeader::Period(3_000_000)
     );
     // With any other status it says when the caller may come back, and nothing of the endpoint.
     for status in [
@@ -219,7 +223,7 @@
         StatusCode::OK,
         StatusCode::INTERNAL_SERVER_ERROR,
     ] {
-        assert_eq!(rest(status, &["3"]), RestWord::None, "{status}");
+        assert_eq!(rest(status, &["3"]), BackOffHeader::Absent, "{status}");
     }
 }
 
--- a/tests/gateway/heard.rs
+++ b/tests/gateway/heard.rs
@@ -3,7 +3,7 @@
 use std::net::IpAddr;
 
 use ryevalve::{
-    gateway::heard::HeardInstances, limits::sharers::Sharers, peers::update::Update,
+    gateway::heard::HeardInstances, limits::instance_counts::InstanceCounts, peers::update::Update,
     prelude::Incarnation,
 };
 
@@ -42,9 +42,9 @@
 fn one_that_was_only_met_shares_and_is_not_heard() {
     let mut heard = HeardInstances::default();
     heard.meet(0, ADDR);
-    assert_eq!(heard.sharers(MS), Sharers { all: 2, heard: 1 });
+    assert_eq!(heard.sharers(MS), InstanceCounts { all: 2, heard: 1 });
     assert!(heard.note_direct(2 * MS, ADDR, &told(1, 1)));
-    assert_eq!(heard.sharers(3 * MS), Sharers { all: 2, heard: 2 });
+    assert_eq!(heard.sharers(3 * MS), InstanceCounts { all: 2, heard: 2 });
 }
 
 #[test]
@@ -54,9 +54,15 @@
     assert!(heard.expire(2 * SECOND).is_empty());
     assert_eq!(heard.expire(3 * SECOND), vec![Incarnation(9)]);
     assert!(heard.expire(4 * SECOND).is_empty());
-    assert_eq!(heard.sharers(4 * SECOND), Sharers { all: 2, heard: 1 });
+    assert_eq!(
+        heard.sharers(4 * SECOND),
+        InstanceCounts { all: 2, heard: 1 }
+    );
     assert!(heard.note_direct(5 * SECOND, ADDR, &told(9, 2)));
-    assert_eq!(heard.sharers(5 * SECOND), Sharers { all: 2, heard: 2 });
+    assert_eq!(
+        heard.sharers(5 * SECOND),
+        InstanceCounts { all: 2, heard: 2 }
+    );
     assert_eq!(heard.expire(8 * SECOND), vec![Incarnation(9)]);
     heard.expire(26 * SECOND);
     assert!(heard.is_empty());
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -9,7 +9,7 @@
         load::EndpointKey,
         standing::Standing,
     },
-    limits::{rate::LimitWord, standings::ToldStanding, telling::Audience},
+    limits::{announcements::AnnouncementUpdate, dissemination::Audience, rate::LimitHeader},
 };
 
 use crate::support::{MS, SECOND, ask, entry};
@@ -33,7 +33,7 @@
     balancer
 }
 
-fn told(balancer: &mut Balancer, now_us: u64) -> Vec<ToldStanding> {
+fn told(balancer: &mut Balancer, now_us: u64) -> Vec<AnnouncementUpdate> {
     balancer.take_told_standings(now_us, Audience::Peers)
 }
 
@@ -132,7 +132,7 @@
         SECOND,
         key,
         0,
-        &LimitWord::Named(ryevalve::limits::rate::RequestRate::parse("2").expect("a rate")),
+        &LimitHeader::Rate(ryevalve::limits::rate::RequestRate::parse("2").expect("a rate")),
     );
     one.told_standings(101 * SECOND, &[asked]);
     assert!(one.take_standing_news());
@@ -164,7 +164,7 @@
                 5 => { balancer.endpoints_listed(now_us, revision, |_| true); }
                 // An answer without the word that overtook.
                 6 => balancer.note_answered(key, now_us),
-                7 => { balancer.heard_limit(now_us, key, 0, &LimitWord::Free); }
+                7 => { balancer.heard_limit(now_us, key, 0, &LimitHeader::Absent); }
                 // What the other has is copied, and what it was told.
                 8 => {
                     let copy = both[1 - which].endpoints_since(both[which].endpoints_revision());
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -4,8 +4,8 @@
 use ryevalve::{
     gateway::state::Gateway,
     limits::{
+        instance_counts::InstanceCounts,
         retries::{RetryBounds, RetryBudget},
-        sharers::Sharers,
     },
     platform::headers::PlatformProtocol,
 };
@@ -25,16 +25,19 @@
 fn retries_follow_requests_and_the_share_of_the_slack() {
     let mut budget = RetryBudget::new(BOUNDS);
     let service = "model".into();
-    let taken =
-        |budget: &mut RetryBudget| (0..).take_while(|_| budget.take(0, &service, 5)).count();
+    let taken = |budget: &mut RetryBudget| {
+        (0..)
+            .take_while(|_| budget.try_take(0, &service, 5))
+            .count()
+    };
     assert_eq!(taken(&mut budget), 6, "a share of the slack alone");
     for _ in 0..100 {
-        budget.request(0, &service);
+        budget.count_request(0, &service);
     }
     assert_eq!(taken(&mut budget), 12, "and a share of 100 requests");
-    assert!(!budget.take(9 * SECOND, &service, 5));
+    assert!(!budget.try_take(9 * SECOND, &service, 5));
     assert!(
-        budget.take(11 * SECOND, &service, 5),
+        budget.try_take(11 * SECOND, &service, 5),
         "the window has moved on"
     );
 }
@@ -42,8 +45,8 @@
 #[test]
 fn one_service_does_not_spend_another_ones() {
     let mut budget = RetryBudget::new(BOUNDS);
-    while budget.take(0, &"model".into(), 1) {}
-    assert!(budget.take(0, &"plain".into(), 1));
+    while budget.try_take(0, &"model".into(), 1) {}
+    assert!(budget.try_take(0, &"plain".into(), 1));
 }
 
 proptest! {
@@ -57,9 +60,9 @@
         for (pause_ms, instance, is_request) in steps {
             now_us += pause_ms * MS;
             if is_request {
-                budgets[instance].request(now_us, &service);
+                budgets[instance].count_request(now_us, &service);
                 requests.push(now_us);
-            } else if budgets[instance].take(now_us, &service, 7) {
+            } else if budgets[instance].try_take(now_us, &service, 7) {
                 retries.push(now_us);
             }
         }
@@ -87,9 +90,9 @@
     for instances in [1, 7, 78, 985, 1_970] {
         let retries = (0..instances).map(|place| {
             let mut budget = RetryBudget::new(bounds);
-            budget.set_place(place);
+            budget.set_position(place);
             (0..)
-                .take_while(|_| budget.take(0, &service, instances))
+                .take_while(|_| budget.try_take(0, &service, instances))
                 .count()
         });
         let all = retries.sum::<usize>() as f64;
@@ -102,7 +105,7 @@
 fn the_part_of_a_group_that_is_cut_off_keeps_its_share_of_retries() {
     let gateway = Gateway::new(PlatformProtocol, "hall".into(), bounds(true), true);
     let sees = |instances| {
-        gateway.set_sharers(Sharers {
+        gateway.set_sharers(InstanceCounts {
             all: instances,
             heard: instances,
         });
--- a/tests/gateway/suspects_weighed.rs
+++ b/tests/gateway/suspects_weighed.rs
@@ -15,7 +15,7 @@
 use rand_chacha::ChaCha8Rng;
 use ryevalve::{
     balance::load::EndpointKey,
-    limits::{fingerprint::Fingerprint, suspects::SuspectBook, telling::Audience},
+    limits::{dissemination::Audience, fingerprint::Fingerprint, suspects::SuspectTable},
 };
 
 const SECOND: u64 = 1_000_000;
@@ -227,7 +227,7 @@
     random: ChaCha8Rng,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     endpoints: Vec<Endpoint>,
-    books: Vec<SuspectBook>,
+    books: Vec<SuspectTable>,
     life: u32,
     number: u64,
     starts: u32,
@@ -245,7 +245,7 @@
             events: BinaryHeap::new(),
             endpoints: (0..load.endpoints).map(|_| Endpoint::default()).collect(),
             books: (0..load.instances)
-                .map(|_| SuspectBook::default())
+                .map(|_| SuspectTable::default())
                 .collect(),
             life: 0,
             number: 0,
@@ -341,7 +341,7 @@
                 }
                 Event::Done { endpoint, run } => {
                     if let Some((done, instance)) = self.endpoints[endpoint].runs.remove(&run) {
-                        self.books[instance].note_whole(now_us, Fingerprint(done.work));
+                        self.books[instance].note_completed(now_us, Fingerprint(done.work));
                     }
                 }
                 Event::Hears {
@@ -350,7 +350,7 @@
                     work,
                     key,
                 } if life == self.life => {
-                    self.books[instance].note_ending(now_us, Fingerprint(work), EndpointKey(key));
+                    self.books[instance].note_crash(now_us, Fingerprint(work), EndpointKey(key));
                 }
                 Event::Round => {
                     self.tell_each_other(now_us);
@@ -373,10 +373,10 @@
                 Event::Hears { .. } => {}
                 Event::AllLost => {
                     self.life += 1;
-                    let kept = self.books[0].to_keep(now_us);
-                    self.books.fill_with(SuspectBook::default);
+                    let kept = self.books[0].to_persist(now_us);
+                    self.books.fill_with(SuspectTable::default);
                     for book in self.books.iter_mut().filter(|_| self.load.is_kept) {
-                        book.told(now_us, &kept);
+                        book.receive(now_us, &kept);
                     }
                 }
             }
@@ -389,8 +389,8 @@
         let (book, work) = (&self.books[instance], Fingerprint(work));
         match self.way {
             Way::Never => false,
-            Way::AtTwo => book.endings(work) >= 2,
-            Way::AtThree => book.endings(work) >= 3,
+            Way::AtTwo => book.crashes(work) >= 2,
+            Way::AtThree => book.crashes(work) >= 3,
             Way::AsBuilt => book.blocked_us(now_us, work, self.load.endpoints).is_some(),
         }
     }
@@ -398,10 +398,10 @@
     /// Each tells the others what it would in a round; one word in ten is lost.
     fn tell_each_other(&mut self, now_us: u64) {
         for by in 0..self.books.len() {
-            let word = self.books[by].take_told(now_us, Audience::Peers);
+            let word = self.books[by].take_due_updates(now_us, Audience::Peers);
             for to in (0..self.books.len()).filter(|to| *to != by) {
                 if !word.is_empty() && self.random.random_range(0..10) > 0 {
-                    self.books[to].told(now_us, &word);
+                    self.books[to].receive(now_us, &word);
                 }
             }
         }
--- a/tests/properties/suspects.rs
+++ b/tests/properties/suspects.rs
@@ -4,9 +4,9 @@
 use ryevalve::{
     balance::load::EndpointKey,
     limits::{
+        dissemination::Audience,
         fingerprint::Fingerprint,
-        suspects::{SuspectBook, ToldSuspect},
-        telling::Audience,
+        suspects::{SuspectTable, SuspectUpdate},
     },
 };
 
@@ -46,9 +46,9 @@
     ]
 }
 
-fn endings(book: &SuspectBook) -> Vec<usize> {
+fn endings(book: &SuspectTable) -> Vec<usize> {
     (0..REQUESTS)
-        .map(|r| book.endings(Fingerprint(r)))
+        .map(|r| book.crashes(Fingerprint(r)))
         .collect()
 }
 
@@ -57,8 +57,8 @@
     /// endings than there were.
     #[test]
     fn all_come_to_believe_the_same(steps in prop::collection::vec(step(), 1..80)) {
-        let mut books: Vec<SuspectBook> = (0..BOOKS).map(|_| SuspectBook::default()).collect();
-        let mut words: Vec<Vec<ToldSuspect>> = Vec::new();
+        let mut books: Vec<SuspectTable> = (0..BOOKS).map(|_| SuspectTable::default()).collect();
+        let mut words: Vec<Vec<SuspectUpdate>> = Vec::new();
         let mut ended = std::collections::HashSet::new();
         let mut now_us = STEP_US;
         for step in steps {
@@ -66,24 +66,24 @@
             match step {
                 Step::Ends { book, request, endpoint } => {
                     ended.insert((request, endpoint));
-                    books[book].note_ending(now_us, Fingerprint(request), EndpointKey(endpoint));
+                    books[book].note_crash(now_us, Fingerprint(request), EndpointKey(endpoint));
                 }
                 Step::Runs { book, request } => {
-                    books[book].note_whole(now_us, Fingerprint(request));
+                    books[book].note_completed(now_us, Fingerprint(request));
                 }
                 Step::Tells { book, heard } => {
-                    let word = books[book].take_told(now_us, Audience::Peers);
+                    let word = books[book].take_due_updates(now_us, Audience::Peers);
                     for (book, _) in heard.iter().enumerate().filter(|(_, heard)| **heard) {
-                        books[book].told(now_us, &word);
+                        books[book].receive(now_us, &word);
                     }
                     words.push(word);
                 }
                 Step::Repeats { word, book } if !words.is_empty() => {
                     let word = words[word % words.len()].clone();
-                    books[book].told(now_us, &word);
+                    books[book].receive(now_us, &word);
                 }
                 Step::Repeats { .. } => {}
-                Step::Restarts { book } => books[book] = SuspectBook::default(),
+                Step::Restarts { book } => books[book] = SuspectTable::default(),
             }
             for book in &books {
                 for (request, believed) in endings(book).into_iter().enumerate() {
@@ -96,13 +96,13 @@
         for _ in 0..BOOKS {
             now_us += 2_000_000;
             for teller in 0..BOOKS {
-                let word = books[teller].take_told(now_us, Audience::Peers);
+                let word = books[teller].take_due_updates(now_us, Audience::Peers);
                 for book in &mut books {
-                    book.told(now_us, &word);
+                    book.receive(now_us, &word);
                 }
             }
         }
-        let blocked = |book: &SuspectBook| {
+        let blocked = |book: &SuspectTable| {
             let all = (0..REQUESTS).map(Fingerprint);
             all.filter(|f| book.blocked_us(now_us, *f, 100).is_some()).collect::<Vec<_>>()
         };
