--- a/src/balance/balancer.rs
+++ b/src/balance/balancer.rs
@@ -215,7 +215,7 @@
         let before = self.keys.insert(entry.id.clone(), key);
         if let Some(before) = before.filter(|before| *before != key) {
             self.forget(before);
-            self.standings.remove(before);
+            self.standings.remove_endpoint(before);
         }
         self.cold.note_entry(key, entry.warmup_left_ms * 1_000);
         let same_hall = entry.hall == self.hall;
--- a/src/balance/standing.rs
+++ b/src/balance/standing.rs
@@ -225,7 +225,7 @@
         now_us: Micros,
         told: &[AnnouncementUpdate],
     ) -> Vec<AnnouncementChange> {
-        let changes = self.standings.receive(now_us, told);
+        let changes = self.standings.apply_updates(now_us, told);
         for change in &changes {
             self.no_permits.remove(&change.endpoint());
         }
--- a/src/gateway/block_list.rs
+++ b/src/gateway/block_list.rs
@@ -136,7 +136,7 @@
         };
         let told: Vec<SuspectUpdate> = list.suspects.iter().map(aged).collect();
         let now_us = self.gateway.clock.now_us();
-        self.gateway.suspects().receive(now_us, &told);
+        self.gateway.suspects().apply_updates(now_us, &told);
         let requests = told.len();
         log::info!(target: "ryevalve::process", requests, age_s; "block_list_read");
     }
--- a/src/gateway/endpoint_words.rs
+++ b/src/gateway/endpoint_words.rs
@@ -71,7 +71,7 @@
                 log_unreadable("endpoint_rest_unreadable", &sent.choice.id, text);
             }
         }
-        BackOffHeader::Absent => {
+        BackOffHeader::None => {
             let mut balancer = gateway.balancer();
             balancer.note_answered(sent.choice.key, sent.at_us);
         }
--- a/src/gateway/hearing.rs
+++ b/src/gateway/hearing.rs
@@ -44,7 +44,9 @@
             self.answer(now_us, from);
             return;
         }
-        self.gateway.suspects().receive(now_us, &update.suspects);
+        self.gateway
+            .suspects()
+            .apply_updates(now_us, &update.suspects);
         endpoint_words::told(&self.gateway, &update.standings);
         let group = self.gateway.balancer().picture().group();
         match (group, update.purpose) {
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -258,7 +258,7 @@
 
     /// Counts a request for a service.
     pub fn count_request(&self, service: &Name) {
-        lock(&self.retries).count_request(self.clock.now_us(), service);
+        lock(&self.retries).note_request(self.clock.now_us(), service);
     }
 
     /// Takes a retry for a service; false if none is left.
--- a/src/limits/announcements.rs
+++ b/src/limits/announcements.rs
@@ -1,21 +1,23 @@
-//! What starts of endpoints said of themselves that all instances are to know: how many requests a second they take,
-//! that they leave, and that they asked some instance for rest.
+//! What endpoints announce about themselves in their responses and all instances need to know: a limit on requests a
+//! second, that they are leaving, and that they requested a back-off from some instance.
 //!
-//! Rest binds only the instance that was asked. To the others it is a sign of load, so that not each has to be turned
-//! away to learn of it: where that takes a retry for each, callers are refused once the retries are used up.
+//! A back-off binds only the instance that it was requested from. For the others it is a sign of load, so that not each
+//! of them has to be rejected to learn of it: each rejection takes a retry, and callers are refused once the retries are
+//! used up.
 //!
-//! That a start leaves is final: no word, entry or list after it undoes it, and a later start has a standing of its own.
+//! Announcements belong to one start of an endpoint, that is, to one run of its process. That a start is leaving is
+//! final: no later response, registry entry or endpoint list reverts it, and a later start has announcements of its own.
 //!
-//! An endpoint names its limit for as long as it holds: an answer without one says that it is over. Answers
-//! overtake each other, at one instance and between instances, so what is known of an endpoint has a version.
-//! Only an answer to a request that was sent by whoever knew the newest version raises the limit or ends it: the
-//! endpoint said it later than what is known. A lower limit holds at once. So what instances tell each other may
-//! come in any order, late, twice or not at all.
+//! An endpoint states its limit in each response for as long as the limit holds; a response without one lifts it.
+//! Responses may be reordered, at one instance and between instances, so a limit has a version. Only a response to a
+//! request that was sent when the latest version was known raises or lifts the limit, because it is certainly newer. A
+//! lower limit applies at once. So updates between instances may be reordered, delayed, duplicated or lost.
 //!
-//! Versions are comparable only if they count from the same first word. An instance that never learned that a limit is
-//! over counts the endpoint's next limit from its own first word: the two are merged into a newer version.
+//! Versions are comparable only within a lineage, that is, if they count from the same first response. An instance that
+//! never learned that a limit was lifted counts the endpoint's next limit from its own first response; the two lineages
+//! are then merged into a newer version.
 //!
-//! Free of clock and socket, so that tests drive it step by step.
+//! Uses no clock or socket, so that tests can drive it step by step.
 
 use std::collections::{HashMap, HashSet};
 
@@ -31,36 +33,36 @@
     prelude::Micros,
 };
 
-/// Endpoints of which one datagram tells the standing, about 18 bytes each: all of a service of 168 come in three
+/// The most announcements in one datagram, about 18 bytes each: those of a service of 168 endpoints fit in three
 /// rounds.
-const MOST_TOLD: usize = 64;
-/// Rests that end within this time of each other are one.
-const SAME_REST_US: Micros = 500_000;
-/// Standings that are remembered, at some 60 bytes each; more than there are endpoints in a large deployment. Of those
-/// that are in no list the one that was in a list longest ago gives way first; those of listed endpoints never do.
-const MOST_KNOWN: usize = 4_096;
-/// An endpoint that was in a list within this time is in one, as far as room is made.
-const LISTED_US: Micros = 1_000_000;
-/// The limit of an endpoint that is in no list is forgotten after this time. Word of its limit may come before its
-/// entry, and an entry that lapsed while the store was away is back some seconds after that: without the limit, all
-/// instances would send there until they are told again.
-const UNLISTED_US: Micros = 30_000_000;
-
-/// Returns the time left, in milliseconds.
+const MAX_UPDATES: usize = 64;
+/// Back-offs that end within this time of each other count as the same one.
+const SAME_BACK_OFF_US: Micros = 500_000;
+/// The most endpoints that are stored, about 60 bytes each; more than there are in a large deployment. Of those that
+/// are not listed the one that was listed longest ago is evicted first; listed endpoints are never evicted.
+const MAX_ENTRIES: usize = 4_096;
+/// An endpoint that was listed within this time is not evicted.
+const RECENTLY_LISTED_US: Micros = 1_000_000;
+/// The limit of an endpoint that is not listed is dropped after this time. An update on the limit may arrive before the
+/// endpoint's entry, and an entry that expired while the store was unavailable returns some seconds later: without the
+/// limit, all instances would send there until they receive it again.
+const UNLISTED_EXPIRY_US: Micros = 30_000_000;
+
+/// Returns the remaining time in milliseconds.
 fn left_ms(now_us: Micros, until_us: Micros) -> u32 {
     let left_ms = until_us.saturating_sub(now_us) / 1_000;
-    // A rest is cut long before the bound of the type.
+    // A back-off is at most `MAX_BACK_OFF_US`, far below the bound of the type.
     left_ms as u32
 }
 
-/// What is known of an endpoint's limit.
+/// The latest known limit of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownLimit {
-    /// Rises with each word that is known to be later than what was known; 0 if nothing is known.
+    /// Rises with each response that is known to be newer than the known limit; 0 if nothing is known.
     pub version: u32,
-    /// Names the first word that versions count from.
+    /// Identifies the first response that versions count from.
     pub lineage: u32,
-    /// The limit; none if it is over.
+    /// The limit; `None` if it was lifted.
     pub rate: Option<RequestRate>,
 }
 
@@ -71,7 +73,7 @@
         rate: None,
     };
 
-    /// Returns whichever is later, and the stricter of two that may be of the same time.
+    /// Returns the one with the higher version, or the stricter limit if the versions are equal.
     fn merged(self, other: Self) -> Self {
         if self.version > 0 && other.version > 0 && self.lineage != other.lineage {
             return self.reconciled(other);
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Returns a version after two of which it is not known which is later.
+    /// Returns a version that supersedes two of different lineages, which cannot be ordered.
     fn reconciled(self, other: Self) -> Self {
         Self {
             version: self.version.max(other.version).saturating_add(1),
@@ -103,30 +105,30 @@
     }
 }
 
-/// What an instance tells of an endpoint's standing.
+/// What an endpoint announced, as instances send it to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnnouncementUpdate {
     /// The start of the endpoint.
     pub endpoint: EndpointKey,
-    /// Its limit.
+    /// The endpoint's limit.
     pub known: KnownLimit,
-    /// It said that it leaves.
+    /// It announced that it is leaving.
     pub leaves: bool,
-    /// For so much longer it wants rest from an instance that it asked, in milliseconds.
+    /// The remaining time of the latest back-off that it requested from some instance, in milliseconds.
     pub rest_ms: u32,
 }
 
-/// A standing that changed here by what another instance told.
+/// A local change that was caused by an update from another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnouncementChange {
-    /// Its limit changed.
+    /// The endpoint's limit changed.
     Limit(LimitChange),
-    /// It leaves.
+    /// The endpoint is leaving.
     Leaves(EndpointKey),
 }
 
 impl AnnouncementChange {
-    /// Returns the endpoint that it is of.
+    /// Returns the endpoint that the change is about.
     pub fn endpoint(self) -> EndpointKey {
         match self {
             Self::Limit(change) => change.endpoint,
@@ -135,14 +137,14 @@
     }
 }
 
-/// A limit that changed here.
+/// A local change of an endpoint's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitChange {
     /// The start of the endpoint.
     pub endpoint: EndpointKey,
-    /// The limit before.
+    /// The previous limit.
     pub before: Option<RequestRate>,
-    /// The limit now.
+    /// The current limit.
     pub now: Option<RequestRate>,
 }
 
@@ -150,28 +152,28 @@
 struct Entry {
     known: KnownLimit,
     leaves: bool,
-    /// It asked some instance for rest until this time.
-    rests_until_us: Micros,
-    /// When it was in a list last, or word of it came first.
+    /// The end of the latest back-off that it requested from some instance.
+    back_off_until_us: Micros,
+    /// When it was last listed, or first announced something.
     listed_us: Micros,
     dissemination: Dissemination,
 }
 
-/// The standings of all endpoints that said something of themselves.
+/// The announcements of all endpoints.
 #[derive(Debug)]
 pub struct EndpointAnnouncements {
-    /// Names the versions that count from a first word to this instance.
+    /// The lineage of versions that count from a response to this instance.
     lineage: u32,
     by_endpoint: HashMap<EndpointKey, Entry>,
-    /// Endpoints whose last word could not be read.
+    /// Endpoints whose last limit header could not be parsed.
     unreadable: HashSet<EndpointKey>,
-    /// Endpoints that have a limit now.
+    /// Number of endpoints that have a limit.
     limited: usize,
-    /// Endpoints that leave.
+    /// Number of endpoints that are leaving.
     leaving: usize,
-    /// No endpoint is known to have asked for rest beyond this time.
-    last_rest_us: Micros,
-    has_news: bool,
+    /// The end of the last known back-off of any endpoint.
+    last_back_off_us: Micros,
+    has_changes: bool,
 }
 
 impl Default for EndpointAnnouncements {
@@ -182,8 +184,8 @@
             unreadable: HashSet::new(),
             limited: 0,
             leaving: 0,
-            last_rest_us: 0,
-            has_news: false,
+            last_back_off_us: 0,
+            has_changes: false,
         }
     }
 }
@@ -194,98 +196,98 @@
         self.limited > 0
     }
 
-    /// Returns an endpoint's limit, if it has one.
+    /// Returns an endpoint's limit; `None` if it has no limit.
     pub fn rate(&self, endpoint: EndpointKey) -> Option<RequestRate> {
         self.by_endpoint.get(&endpoint)?.known.rate
     }
 
-    /// Returns the version of what is known of an endpoint's limit, 0 if it never had one: whoever sends a
-    /// request there keeps it, for [`Self::note_limit`].
+    /// Returns the version of an endpoint's known limit, or 0 if it never had one. The sender of a request keeps it and
+    /// passes it to [`Self::note_limit`] with the response.
     pub fn version(&self, endpoint: EndpointKey) -> u32 {
         let entry = self.by_endpoint.get(&endpoint);
         entry.map_or(0, |entry| entry.known.version)
     }
 
-    /// Returns how many endpoints have a limit.
+    /// Returns the number of endpoints that have a limit.
     pub fn limited(&self) -> usize {
         self.limited
     }
 
-    /// Returns whether an endpoint said that it leaves.
+    /// Returns whether an endpoint announced that it is leaving.
     pub fn leaves(&self, endpoint: EndpointKey) -> bool {
         self.leaving > 0 && self.by_endpoint.get(&endpoint).is_some_and(|e| e.leaves)
     }
 
-    /// Returns how many endpoints are known to leave, those that have left among them.
+    /// Returns the number of endpoints that are known to be leaving, including those that have left.
     pub fn leaving(&self) -> usize {
         self.leaving
     }
 
-    fn count(&mut self) {
+    fn update_counts(&mut self) {
         let entries = self.by_endpoint.values();
         self.limited = entries.clone().filter(|e| e.known.rate.is_some()).count();
         self.leaving = entries.filter(|e| e.leaves).count();
     }
 
-    /// Takes an endpoint's own word that it leaves; returns whether that is new.
+    /// Notes that an endpoint announced that it is leaving; returns whether this is new.
     pub fn note_leaving(&mut self, now_us: Micros, endpoint: EndpointKey) -> bool {
         if self.leaves(endpoint) {
             return false;
         }
         let is_known = self.entry(now_us, endpoint).is_some_and(|entry| {
             entry.leaves = true;
-            entry.dissemination.renew(Audience::Peers);
-            entry.dissemination.renew(Audience::Hall);
+            entry.dissemination.mark_changed(Audience::Peers);
+            entry.dissemination.mark_changed(Audience::Hall);
             true
         });
-        self.has_news |= is_known;
-        self.count();
+        self.has_changes |= is_known;
+        self.update_counts();
         is_known
     }
 
-    /// Returns whether an endpoint asked some instance for rest that is not over.
+    /// Returns whether an endpoint requested a back-off from some instance that has not ended.
     pub fn wants_back_off(&self, now_us: Micros, endpoint: EndpointKey) -> bool {
-        let until_us = || self.by_endpoint.get(&endpoint).map(|e| e.rests_until_us);
-        now_us < self.last_rest_us && until_us().is_some_and(|until_us| now_us < until_us)
+        let until_us = || self.by_endpoint.get(&endpoint).map(|e| e.back_off_until_us);
+        now_us < self.last_back_off_us && until_us().is_some_and(|until_us| now_us < until_us)
     }
 
-    /// Notes that an endpoint asked an instance for rest.
-    pub fn note_back_off(&mut self, now_us: Micros, endpoint: EndpointKey, rest_us: Micros) {
-        let until_us = now_us + rest_us.min(MAX_BACK_OFF_US);
+    /// Notes that an endpoint requested a back-off from some instance.
+    pub fn note_back_off(&mut self, now_us: Micros, endpoint: EndpointKey, period_us: Micros) {
+        let until_us = now_us + period_us.min(MAX_BACK_OFF_US);
         let Some(entry) = self.entry(now_us, endpoint) else {
             return;
         };
-        if until_us <= entry.rests_until_us + SAME_REST_US {
-            // Many are asked one after the other: the first word is news, the rest of them is not.
+        if until_us <= entry.back_off_until_us + SAME_BACK_OFF_US {
+            // An endpoint requests it from many instances one after the other; only the first is worth an update.
             return;
         }
-        entry.rests_until_us = until_us;
-        entry.dissemination.renew(Audience::Peers);
-        entry.dissemination.renew(Audience::Hall);
-        self.last_rest_us = self.last_rest_us.max(until_us);
-        self.has_news = true;
+        entry.back_off_until_us = until_us;
+        entry.dissemination.mark_changed(Audience::Peers);
+        entry.dissemination.mark_changed(Audience::Hall);
+        self.last_back_off_us = self.last_back_off_us.max(until_us);
+        self.has_changes = true;
     }
 
-    /// Returns the entry of an endpoint, a new one if there is none; none if there is no room.
+    /// Returns an endpoint's entry, creating it if needed; `None` if the table is full.
     fn entry(&mut self, now_us: Micros, endpoint: EndpointKey) -> Option<&mut Entry> {
         let is_new = !self.by_endpoint.contains_key(&endpoint);
-        if is_new && self.by_endpoint.len() >= MOST_KNOWN {
+        if is_new && self.by_endpoint.len() >= MAX_ENTRIES {
             self.make_room(now_us)?;
         }
         let entry = self.by_endpoint.entry(endpoint).or_insert(Entry {
             known: KnownLimit::UNKNOWN,
             leaves: false,
-            rests_until_us: 0,
+            back_off_until_us: 0,
             listed_us: now_us,
             dissemination: Dissemination::default(),
         });
         Some(entry)
     }
 
-    /// Drops the entry that was in a list longest ago; none if all are in one.
+    /// Evicts the entry that was listed longest ago; returns `None` if all are listed.
     fn make_room(&mut self, now_us: Micros) -> Option<()> {
         let (endpoint, oldest) = self.by_endpoint.iter().min_by_key(|(_, e)| e.listed_us)?;
-        if now_us.saturating_sub(oldest.listed_us) < LISTED_US {
+        if now_us.saturating_sub(oldest.listed_us) < RECENTLY_LISTED_US {
             return None;
         }
         let endpoint = *endpoint;
@@ -293,15 +295,16 @@
         Some(())
     }
 
-    /// Takes an endpoint's own word from the answer to a request that was sent when `sent_at` was the version.
+    /// Notes the limit header of an endpoint's response to a request that was sent when `sent_at` was the version of
+    /// its known limit. Returns the change, if there is one.
     pub fn note_limit(
         &mut self,
         now_us: Micros,
         endpoint: EndpointKey,
         sent_at: u32,
-        word: &LimitHeader,
+        header: &LimitHeader,
     ) -> Option<LimitChange> {
-        let said = match word {
+        let stated = match header {
             LimitHeader::Absent => None,
             LimitHeader::Rate(rate) => Some(*rate),
             LimitHeader::Unreadable(_) => return None,
@@ -312,25 +315,25 @@
             let first = KnownLimit {
                 version: 1,
                 lineage: self.lineage,
-                rate: said,
+                rate: stated,
             };
-            return said.and_then(|_| self.replace(now_us, endpoint, first));
+            return stated.and_then(|_| self.replace(now_us, endpoint, first));
         };
-        if said == known.rate {
+        if stated == known.rate {
             return None;
         }
-        // Where it is free by what is known, the word that it is not counts even if it may be the older: it costs a
-        // request's time to be wrong that way, a burst the other way.
+        // If no limit is known, a stated one applies even if it may be older: if that is wrong, it costs the time of
+        // one request; the opposite mistake would cost a burst.
         let is_later = sent_at >= known.version || known.rate.is_none();
-        let next = match (is_later, said) {
+        let next = match (is_later, stated) {
             (true, _) => KnownLimit {
                 version: known.version.saturating_add(1),
-                rate: said,
+                rate: stated,
                 ..known
             },
             (false, None) => return None,
             (false, Some(_)) => KnownLimit {
-                rate: stricter(known.rate, said),
+                rate: stricter(known.rate, stated),
                 ..known
             },
         };
@@ -340,50 +343,55 @@
         self.replace(now_us, endpoint, next)
     }
 
-    /// Notes that an endpoint's word could not be read; returns whether the one before could be.
+    /// Notes that an endpoint's limit header could not be parsed; returns whether the previous one could be.
     pub fn note_unreadable(&mut self, endpoint: EndpointKey) -> bool {
-        self.unreadable.len() < MOST_KNOWN && self.unreadable.insert(endpoint)
+        self.unreadable.len() < MAX_ENTRIES && self.unreadable.insert(endpoint)
     }
 
-    /// Takes what another instance told; returns what changed. One that knows less is told.
-    pub fn receive(
+    /// Merges updates from another instance and returns the changes. If the sender lacks something, an update is
+    /// scheduled.
+    pub fn apply_updates(
         &mut self,
         now_us: Micros,
-        told: &[AnnouncementUpdate],
+        updates: &[AnnouncementUpdate],
     ) -> Vec<AnnouncementChange> {
         let mut changes = Vec::new();
-        for told in told {
-            if told.leaves && self.note_leaving(now_us, told.endpoint) {
-                changes.push(AnnouncementChange::Leaves(told.endpoint));
+        for update in updates {
+            if update.leaves && self.note_leaving(now_us, update.endpoint) {
+                changes.push(AnnouncementChange::Leaves(update.endpoint));
             }
-            if told.rest_ms > 0 {
-                let rest_us = Micros::from(told.rest_ms) * 1_000;
-                self.note_back_off(now_us, told.endpoint, rest_us);
+            if update.rest_ms > 0 {
+                let period_us = Micros::from(update.rest_ms) * 1_000;
+                self.note_back_off(now_us, update.endpoint, period_us);
             }
-            let limit = self.receive_limit(now_us, told);
+            let limit = self.receive_limit(now_us, update);
             changes.extend(limit.map(AnnouncementChange::Limit));
         }
         changes
     }
 
-    fn receive_limit(&mut self, now_us: Micros, told: &AnnouncementUpdate) -> Option<LimitChange> {
-        let Some(entry) = self.by_endpoint.get_mut(&told.endpoint) else {
-            // Whoever asked may know of no limit, either.
-            let names_limit = told.known.version > 0;
-            return names_limit
-                .then(|| self.replace(now_us, told.endpoint, told.known))
+    fn receive_limit(
+        &mut self,
+        now_us: Micros,
+        update: &AnnouncementUpdate,
+    ) -> Option<LimitChange> {
+        let Some(entry) = self.by_endpoint.get_mut(&update.endpoint) else {
+            // The sender may not know of a limit, either: an update also comes with each permit request.
+            let states_limit = update.known.version > 0;
+            return states_limit
+                .then(|| self.replace(now_us, update.endpoint, update.known))
                 .flatten();
         };
-        let merged = entry.known.merged(told.known);
-        if merged != told.known || entry.leaves != told.leaves {
-            entry.dissemination.renew(Audience::Peers);
-            entry.dissemination.renew(Audience::Hall);
-            self.has_news = true;
+        let merged = entry.known.merged(update.known);
+        if merged != update.known || entry.leaves != update.leaves {
+            entry.dissemination.mark_changed(Audience::Peers);
+            entry.dissemination.mark_changed(Audience::Hall);
+            self.has_changes = true;
         }
         if merged == entry.known {
             return None;
         }
-        self.replace(now_us, told.endpoint, merged)
+        self.replace(now_us, update.endpoint, merged)
     }
 
     fn replace(
@@ -394,10 +402,10 @@
     ) -> Option<LimitChange> {
         let entry = self.entry(now_us, endpoint)?;
         let before = std::mem::replace(&mut entry.known, known).rate;
-        entry.dissemination.renew(Audience::Peers);
-        entry.dissemination.renew(Audience::Hall);
-        self.has_news = true;
-        self.count();
+        entry.dissemination.mark_changed(Audience::Peers);
+        entry.dissemination.mark_changed(Audience::Hall);
+        self.has_changes = true;
+        self.update_counts();
         (before != known.rate).then_some(LimitChange {
             endpoint,
             before,
@@ -405,25 +413,26 @@
         })
     }
 
-    /// Returns whether something is to be told at once, if that was not asked since.
+    /// Returns whether something changed that should be sent at once, and resets that flag.
     pub fn take_has_changes(&mut self) -> bool {
-        std::mem::take(&mut self.has_news)
+        std::mem::take(&mut self.has_changes)
     }
 
-    /// Returns what is known of one endpoint, to be told beside a question on it.
+    /// Returns what is known of one endpoint, to be sent with a permit request or its response.
     pub fn update_for(&self, now_us: Micros, endpoint: EndpointKey) -> AnnouncementUpdate {
         let entry = self.by_endpoint.get(&endpoint);
         AnnouncementUpdate {
             endpoint,
             known: entry.map_or(KnownLimit::UNKNOWN, |e| e.known),
             leaves: entry.is_some_and(|e| e.leaves),
-            rest_ms: entry.map_or(0, |e| left_ms(now_us, e.rests_until_us)),
+            rest_ms: entry.map_or(0, |e| left_ms(now_us, e.back_off_until_us)),
         }
     }
 
-    /// Returns what an audience is to be told in this round of the endpoints that are listed here: of others two
-    /// instances would remind each other for ever. A limit is told again and again, and that one leaves; that a limit
-    /// is over, a few times and to whoever does not know.
+    /// Returns the updates that are due to an audience in this round, only of endpoints that are listed here: otherwise
+    /// two instances would keep each other's entries of removed endpoints alive for ever. Limits, back-offs and leaving
+    /// endpoints are resent periodically; that a limit was lifted is sent in a few rounds, and to instances that do not
+    /// know it.
     pub fn take_due_updates(
         &mut self,
         now_us: Micros,
@@ -433,43 +442,43 @@
         let listed = self.by_endpoint.iter_mut();
         let listed = listed.filter(|(endpoint, _)| is_listed(**endpoint));
         let is_due = |e: &Entry| {
-            let stands = e.leaves || e.known.rate.is_some() || now_us < e.rests_until_us;
-            e.dissemination.is_due(now_us, audience, stands)
+            let holds = e.leaves || e.known.rate.is_some() || now_us < e.back_off_until_us;
+            e.dissemination.is_due(now_us, audience, holds)
         };
         let mut due: Vec<_> = listed.filter(|(_, entry)| is_due(entry)).collect();
-        due.sort_by_key(|(_, entry)| entry.dissemination.order(audience));
-        let told = due.into_iter().take(MOST_TOLD);
-        let told = told.map(|(endpoint, entry)| {
-            entry.dissemination.note_told(now_us, audience);
+        due.sort_by_key(|(_, entry)| entry.dissemination.sort_key(audience));
+        let updates = due.into_iter().take(MAX_UPDATES);
+        let updates = updates.map(|(endpoint, entry)| {
+            entry.dissemination.note_sent(now_us, audience);
             AnnouncementUpdate {
                 endpoint: *endpoint,
                 known: entry.known,
                 leaves: entry.leaves,
-                rest_ms: left_ms(now_us, entry.rests_until_us),
+                rest_ms: left_ms(now_us, entry.back_off_until_us),
             }
         });
-        told.collect()
+        updates.collect()
     }
 
-    /// Forgets a start of an endpoint that is gone: a later one has a standing of its own.
-    pub fn remove(&mut self, endpoint: EndpointKey) {
+    /// Removes a start of an endpoint that has ended: a later start has announcements of its own.
+    pub fn remove_endpoint(&mut self, endpoint: EndpointKey) {
         if self.by_endpoint.remove(&endpoint).is_none() {
             return;
         }
         self.unreadable.remove(&endpoint);
-        self.count();
+        self.update_counts();
     }
 
-    /// Forgets the limits of endpoints that are in no list. That one leaves is kept: an entry may come back late.
+    /// Drops endpoints that are no longer listed, except those that are leaving: their registry entry may still return.
     pub fn expire(&mut self, now_us: Micros, is_listed: impl Fn(EndpointKey) -> bool) {
         self.by_endpoint.retain(|endpoint, entry| {
             if is_listed(*endpoint) {
                 entry.listed_us = now_us;
             }
-            let is_listed_of_late = now_us.saturating_sub(entry.listed_us) < UNLISTED_US;
-            entry.leaves || is_listed_of_late
+            let is_recently_listed = now_us.saturating_sub(entry.listed_us) < UNLISTED_EXPIRY_US;
+            entry.leaves || is_recently_listed
         });
         self.unreadable.retain(|endpoint| is_listed(*endpoint));
-        self.count();
+        self.update_counts();
     }
 }
--- a/src/limits/mod.rs
+++ b/src/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Limits: those that all instances keep together, and the rest that endpoints ask of one.
+//! Limits that all instances enforce together, and the back-off periods that an endpoint asks of a single instance.
 
 pub mod announcements;
 pub mod back_off;
--- a/src/limits/permits.rs
+++ b/src/limits/permits.rs
@@ -1,12 +1,12 @@
-//! Gives out leave to send requests to endpoints that take only so many a second.
+//! Issues permits for requests to endpoints that limit their request rate.
 //!
-//! Of each such endpoint one instance keeps the account for all; the others ask it for a permit for each request.
-//! Shares instead would be under one request in any window where instances are many, and lost where there are no
-//! requests for them. In four seconds an endpoint gets at most what is given out in them and what was saved: 4.25
-//! times its limit a second, and two and a half. Twice that for a second in which two instances believe to keep the
-//! account is within one and a half times the limit and five.
+//! One instance holds the token bucket of an endpoint for all; the others request a permit from it for each request.
+//! Equal shares per instance would be below one request per window where there are many instances, and unused where an
+//! instance has no requests. In four seconds an endpoint receives at most the permits of that time and the saved ones:
+//! 4.25 times its limit a second, plus 2.5. During a second in which two instances both act as issuer it receives at
+//! most twice that, which is within 1.5 times the limit plus 5.
 //!
-//! Free of clock and socket, so that tests drive it step by step.
+//! Uses no clock or socket, so that tests can drive it step by step.
 
 use std::collections::HashMap;
 
@@ -18,82 +18,83 @@
     prelude::{Micros, Rank},
 };
 
-/// An endpoint that takes less than this a second, or nothing, is still asked so often: only its answer says that
-/// its limit is over.
-const LEAST_PER_S: f64 = 0.2;
-/// Permits that may be saved where nobody asks for a while, beside those of [`SAVED_US`]: where an
-/// endpoint takes one or two a second, requests come and do not come for as long as that.
-const SAVED: f64 = 1.5;
-/// So much of a permit, a rank, has to be saved before a less urgent request is given one: what is due goes to the
-/// more urgent if they ask for all of it, and to the others if they do not.
+/// The lowest rate at which permits are issued, also for an endpoint whose limit is lower or 0: only a response
+/// can show that the limit is lifted.
+const MIN_PER_S: f64 = 0.2;
+/// Unused permits that are saved, in addition to those of [`SAVED_US`]. At a limit of one or two requests a
+/// second, gaps between requests are commonly as long as one or two permit intervals.
+const SAVED_PERMITS: f64 = 1.5;
+/// The part of a permit, per rank, that has to be saved before a less urgent request gets one. So urgent
+/// requests get all permits if they need them, and the others get what is left over.
 const RANK_RESERVE: f64 = 0.5;
-/// The least urgent rank that is told apart.
-const LEAST_URGENT: Rank = 2;
-/// What comes together in this time may be saved, too.
+/// Less urgent ranks are treated as this one.
+const LEAST_URGENT_RANK: Rank = 2;
+/// The permits of this time, in microseconds, are saved as well.
 const SAVED_US: f64 = 250_000.0;
-/// Those that are given none wait longer, the more of them there are, by this share of the time between two
-/// permits each: with 295 instances that all want one, some 24 ask in that time, not all.
-const QUEUE_SHARE: f64 = 0.5;
-/// But no longer than this: meanwhile the others may want none any more.
-const MOST_WAIT_US: f64 = 2_000_000.0;
-/// An account that nobody asked of for this long is as a new one.
-const FORGOTTEN_US: Micros = 60_000_000;
+/// Each request that is denied a permit lengthens the wait of the next one by this share of the permit interval:
+/// with 295 instances that all want a permit, about 24 of them ask within an interval, not all.
+const DENIED_WAIT_SHARE: f64 = 0.5;
+/// The longest wait of a denied request, in microseconds: the others may not need a permit any more by then.
+const MAX_WAIT_US: f64 = 2_000_000.0;
+/// A token bucket that was not used for this long is dropped.
+const UNUSED_EXPIRY_US: Micros = 60_000_000;
 
-/// Instances that may believe at the same time to keep an account, each with all of it, until their views agree.
-const MOST_KEEPERS: f64 = 2.0;
+/// Instances that may act as issuer of one endpoint at the same time, each at the full rate, until their membership
+/// views agree.
+const MAX_ISSUERS: f64 = 2.0;
 
-/// How far above its rate a cold endpoint may be asked in a second, by all instances together.
+/// How many requests a second a cold endpoint may receive above its rate, from all instances together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdTolerance {
-    /// Times the rate.
+    /// Factor by which the rate may be exceeded.
     pub overage: f64,
-    /// Requests on top.
+    /// Requests in addition.
     pub slack: f64,
 }
 
 impl ColdTolerance {
-    /// Returns the rate at which permits for a cold endpoint that takes `per_s` are given: what all keepers
-    /// together may give out in a second, with what was saved, is within what the endpoint bears.
+    /// Returns the rate at which permits for a cold endpoint with a rate of `per_s` are issued, so that the permits
+    /// of all concurrent issuers in a second, saved ones included, stay within the tolerance.
     pub fn rate(&self, per_s: f64) -> RequestRate {
-        let each = (per_s * self.overage + self.slack) / MOST_KEEPERS;
-        let rate = (each - SAVED - 1.0) / (1.0 + SAVED_US / 1e6);
+        let per_issuer = (per_s * self.overage + self.slack) / MAX_ISSUERS;
+        let rate = (per_issuer - SAVED_PERMITS - 1.0) / (1.0 + SAVED_US / 1e6);
         RequestRate::from_per_s(rate.min(per_s).max(0.0))
     }
 }
 
-/// What one gets that asked for a permit.
+/// The response to a request for a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Permit {
-    /// It may send one request.
+    /// One request may be sent.
     Given,
-    /// It may not, and there will be none for it before this time is over.
+    /// No request may be sent, and it is no use asking again before the wait is over.
     Denied {
-        /// The time.
+        /// How long to wait.
         wait_us: Micros,
     },
 }
 
 #[derive(Debug)]
-struct Account {
-    /// When the next permit is due; before now if some are saved.
+struct Bucket {
+    /// When the next permit is due; in the past if permits are saved.
     next_us: f64,
-    /// Those that were given none since one was given last.
+    /// Requests that were denied since the last permit was issued.
     denied: u32,
-    asked_us: Micros,
+    used_us: Micros,
 }
 
-/// The accounts of the endpoints for which this instance gives permits.
+/// The token buckets of the endpoints for which this instance issues permits.
 #[derive(Debug, Default)]
 pub struct PermitIssuer {
-    by_endpoint: HashMap<EndpointKey, Account>,
+    by_endpoint: HashMap<EndpointKey, Bucket>,
 }
 
 fn interval_us(rate: RequestRate) -> f64 {
-    1e6 / rate.per_s().max(LEAST_PER_S)
+    1e6 / rate.per_s().max(MIN_PER_S)
 }
 
 impl PermitIssuer {
-    /// Gives a permit for a request of `rank` to an endpoint that takes `rate`, if one is due.
+    /// Issues a permit for a request of `rank` to an endpoint with a limit of `rate`, if one is due.
     pub fn issue(
         &mut self,
         now_us: Micros,
@@ -103,40 +104,40 @@
     ) -> Permit {
         let interval_us = interval_us(rate);
         let now = now_us as f64;
-        let account = self.by_endpoint.entry(endpoint).or_insert(Account {
+        let bucket = self.by_endpoint.entry(endpoint).or_insert(Bucket {
             next_us: now,
             denied: 0,
-            asked_us: now_us,
+            used_us: now_us,
         });
-        account.asked_us = now_us;
-        let saved_us = SAVED * interval_us + SAVED_US;
-        // What was due at a slower rate is due sooner at this one.
-        account.next_us = account.next_us.clamp(now - saved_us, now + interval_us);
-        let reserve_us = f64::from(rank.min(LEAST_URGENT)) * RANK_RESERVE * interval_us;
-        let due_us = account.next_us + reserve_us;
+        bucket.used_us = now_us;
+        let saved_us = SAVED_PERMITS * interval_us + SAVED_US;
+        // If the rate was raised, the next permit is due within one interval of the new rate.
+        bucket.next_us = bucket.next_us.clamp(now - saved_us, now + interval_us);
+        let reserve_us = f64::from(rank.min(LEAST_URGENT_RANK)) * RANK_RESERVE * interval_us;
+        let due_us = bucket.next_us + reserve_us;
         if due_us <= now {
-            account.next_us += interval_us;
-            account.denied = 0;
+            bucket.next_us += interval_us;
+            bucket.denied = 0;
             return Permit::Given;
         }
-        let queue_us = f64::from(account.denied) * QUEUE_SHARE * interval_us;
-        account.denied += 1;
-        let wait_us = due_us - now + queue_us;
+        let extra_wait_us = f64::from(bucket.denied) * DENIED_WAIT_SHARE * interval_us;
+        bucket.denied += 1;
+        let wait_us = due_us - now + extra_wait_us;
         Permit::Denied {
-            wait_us: wait_us.min(MOST_WAIT_US) as Micros,
+            wait_us: wait_us.min(MAX_WAIT_US) as Micros,
         }
     }
 
-    /// Takes back a permit that was not used.
+    /// Returns an unused permit to the bucket.
     pub fn refund(&mut self, endpoint: EndpointKey, rate: RequestRate) {
-        if let Some(account) = self.by_endpoint.get_mut(&endpoint) {
-            account.next_us -= interval_us(rate);
+        if let Some(bucket) = self.by_endpoint.get_mut(&endpoint) {
+            bucket.next_us -= interval_us(rate);
         }
     }
 
-    /// Forgets the accounts that nobody asks of.
+    /// Drops the token buckets that are not in use.
     pub fn expire(&mut self, now_us: Micros) {
-        let is_in_use = |a: &Account| now_us.saturating_sub(a.asked_us) < FORGOTTEN_US;
-        self.by_endpoint.retain(|_, account| is_in_use(account));
+        let is_in_use = |b: &Bucket| now_us.saturating_sub(b.used_us) < UNUSED_EXPIRY_US;
+        self.by_endpoint.retain(|_, bucket| is_in_use(bucket));
     }
 }
--- a/src/limits/rate.rs
+++ b/src/limits/rate.rs
@@ -1,45 +1,45 @@
-//! How many requests a second an endpoint takes, as it says in its answers.
+//! The request rate that an endpoint states as its limit in a response header.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Requests a second, in thousandths.
+/// A rate of requests a second, stored in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestRate {
     milli_per_s: u32,
 }
 
 impl RequestRate {
-    /// Returns the rate that a decimal number names; none if it is no decimal number. Thousandths are
-    /// rounded down, and what is beyond any endpoint's reach is cut.
+    /// Parses a decimal number of requests a second; returns `None` for anything else. The value is rounded down to
+    /// thousandths, and capped at the largest rate that the type can hold.
     pub fn parse(text: &str) -> Option<Self> {
         let is_digit_or_point = |byte: u8| byte.is_ascii_digit() || byte == b'.';
         if !text.bytes().all(is_digit_or_point) {
-            // What else a float may be: signs, exponents, infinity.
+            // `f64` would also accept signs, exponents and infinity.
             return None;
         }
         let per_s: f64 = text.parse().ok()?;
-        // A cast keeps to the bounds of the type.
+        // The cast saturates at the bounds of the type.
         let milli_per_s = (per_s * 1e3) as u32;
         Some(Self { milli_per_s })
     }
 
-    /// Returns the rate of a number of requests a second; thousandths are rounded down.
+    /// Returns the rate for a number of requests a second, rounded down to thousandths.
     pub fn from_per_s(per_s: f64) -> Self {
-        // A cast keeps to the bounds of the type.
+        // The cast saturates at the bounds of the type.
         let milli_per_s = (per_s * 1e3) as u32;
         Self { milli_per_s }
     }
 
-    /// Returns a part of it.
-    pub fn scaled(self, share: f64) -> Self {
-        // A cast keeps to the bounds of the type.
-        let milli_per_s = (f64::from(self.milli_per_s) * share) as u32;
+    /// Returns this rate multiplied by `factor`.
+    pub fn scaled(self, factor: f64) -> Self {
+        // The cast saturates at the bounds of the type.
+        let milli_per_s = (f64::from(self.milli_per_s) * factor) as u32;
         Self { milli_per_s }
     }
 
-    /// Returns it as requests a second.
+    /// Returns the number of requests a second.
     pub fn per_s(self) -> f64 {
         f64::from(self.milli_per_s) / 1e3
     }
@@ -51,14 +51,14 @@
     }
 }
 
-/// What an endpoint's answer says of its limit.
+/// The limit header of an endpoint's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum LimitHeader {
-    /// It has none.
+    /// There is no such header: the endpoint has no limit.
     #[default]
     Absent,
-    /// It has one.
+    /// The endpoint's limit.
     Rate(RequestRate),
-    /// Something that is no rate; it counts for nothing.
+    /// The value is not a rate; it is ignored.
     Unreadable(String),
 }
--- a/src/limits/retries.rs
+++ b/src/limits/retries.rs
@@ -1,120 +1,119 @@
-//! A budget for sending requests to a second endpoint, shared by all instances without a word
-//! between them.
+//! A retry budget that all instances share without communication.
 //!
-//! Over a sliding window a service may get `ratio` retries a request and `slack` more. Each
-//! instance spends at most `ratio` of its own requests and its share of the slack, so that the sum
-//! over all stays within the whole whatever they know of each other.
+//! Over a sliding window a service may get `ratio` retries per request and `slack` more. Each instance spends at most
+//! `ratio` of its own requests and its share of the slack, so that the sum over all instances stays within the budget
+//! whatever they know of each other.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::prelude::{Micros, Name};
 
-/// Parts that a window is counted in.
-const PARTS: u64 = 20;
-/// The share of the budget that is spent: restarts of instances forget what was spent before.
-const SPENT_SHARE: f64 = 0.6;
+/// Buckets that a window is divided into.
+const BUCKETS: u64 = 20;
+/// The share of the budget that is spent. The remainder covers restarts, which lose the counts of what was spent.
+const USABLE_SHARE: f64 = 0.6;
 
-/// The bounds on retries.
+/// The limits on retries to one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBounds {
-    /// Retries a request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries on top of that in a window, over all instances.
+    /// Additional retries in a window, over all instances.
     pub slack: f64,
-    /// Length of the window.
+    /// Length of the sliding window.
     pub window_us: Micros,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct Bucket {
     index: u64,
     requests: u32,
     retries: u32,
 }
 
-/// Counts requests and retries by service.
+/// Counts requests and retries of each service.
 #[derive(Debug)]
 pub struct RetryBudget {
     bounds: RetryBounds,
-    /// This instance's place among those that share the slack.
-    place: usize,
-    services: HashMap<Name, VecDeque<Part>>,
+    /// This instance's position among those that share the slack.
+    position: usize,
+    services: HashMap<Name, VecDeque<Bucket>>,
 }
 
 impl RetryBudget {
-    /// Starts with nothing counted.
+    /// Creates a budget with no requests or retries counted.
     pub fn new(bounds: RetryBounds) -> Self {
         Self {
             bounds,
-            place: 0,
+            position: 0,
             services: HashMap::new(),
         }
     }
 
-    /// Replaces the bounds; what was counted stays.
+    /// Replaces the bounds and keeps the counts.
     pub fn set_bounds(&mut self, bounds: RetryBounds) {
         self.bounds = bounds;
     }
 
-    /// Sets this instance's place among those that share the slack.
-    pub fn set_position(&mut self, place: usize) {
-        self.place = place;
+    /// Sets this instance's position among those that share the slack.
+    pub fn set_position(&mut self, position: usize) {
+        self.position = position;
     }
 
     /// Counts a request for a service.
-    pub fn count_request(&mut self, now_us: Micros, service: &Name) {
-        self.part(now_us, service).requests += 1;
+    pub fn note_request(&mut self, now_us: Micros, service: &Name) {
+        self.bucket(now_us, service).requests += 1;
     }
 
-    /// Takes one retry for a service, if `instances` sharing the slack leave one.
+    /// Spends one retry for a service if there is one left; `instances` share the slack. Returns whether it did.
     pub fn try_take(&mut self, now_us: Micros, service: &Name, instances: usize) -> bool {
         let allowed = self.remaining(now_us, service, instances) >= 1.0;
         if allowed {
-            self.part(now_us, service).retries += 1;
+            self.bucket(now_us, service).retries += 1;
         }
         allowed
     }
 
-    /// Returns how many retries are left for a service.
+    /// Returns how many retries are left for a service when `instances` share the slack.
     pub fn remaining(&self, now_us: Micros, service: &Name, instances: usize) -> f64 {
-        let oldest = self.index(now_us).saturating_sub(PARTS);
-        let parts = self.services.get(service).into_iter().flatten();
-        let recent = parts.filter(|p| p.index > oldest);
-        let (requests, retries) = recent.fold((0, 0), |(requests, retries), part| {
-            (requests + part.requests, retries + part.retries)
+        let oldest = self.index(now_us).saturating_sub(BUCKETS);
+        let buckets = self.services.get(service).into_iter().flatten();
+        let recent = buckets.filter(|b| b.index > oldest);
+        let (requests, retries) = recent.fold((0, 0), |(requests, retries), bucket| {
+            (requests + bucket.requests, retries + bucket.retries)
         });
-        let of_requests = self.bounds.ratio * f64::from(requests) * SPENT_SHARE;
-        of_requests + self.slack_share(instances) - f64::from(retries)
+        let from_requests = self.bounds.ratio * f64::from(requests) * USABLE_SHARE;
+        from_requests + self.slack_share(instances) - f64::from(retries)
     }
 
-    /// Returns this instance's share of the slack, in whole retries: in a large group a share is less than one, and
-    /// some have one so that the others have none.
+    /// Returns this instance's share of the slack in whole retries. In a large group an equal share is less than one, so
+    /// some instances get one and the others none.
     fn slack_share(&self, instances: usize) -> f64 {
-        let each = self.bounds.slack * SPENT_SHARE / instances.max(1) as f64;
-        let up_to = |place: usize| (each * place as f64).floor();
-        up_to(self.place + 1) - up_to(self.place)
+        let share = self.bounds.slack * USABLE_SHARE / instances.max(1) as f64;
+        let up_to = |position: usize| (share * position as f64).floor();
+        up_to(self.position + 1) - up_to(self.position)
     }
 
     fn index(&self, now_us: Micros) -> u64 {
-        now_us / (self.bounds.window_us / PARTS).max(1) + PARTS
+        now_us / (self.bounds.window_us / BUCKETS).max(1) + BUCKETS
     }
 
-    fn part(&mut self, now_us: Micros, service: &Name) -> &mut Part {
+    fn bucket(&mut self, now_us: Micros, service: &Name) -> &mut Bucket {
         let index = self.index(now_us);
         if !self.services.contains_key(service) {
             self.services.insert(service.clone(), VecDeque::new());
         }
-        let parts = self.services.entry(service.clone()).or_default();
-        while parts.front().is_some_and(|p| p.index + PARTS <= index) {
-            parts.pop_front();
+        let buckets = self.services.entry(service.clone()).or_default();
+        while buckets.front().is_some_and(|b| b.index + BUCKETS <= index) {
+            buckets.pop_front();
         }
-        if parts.back().is_none_or(|p| p.index != index) {
-            parts.push_back(Part {
+        if buckets.back().is_none_or(|b| b.index != index) {
+            buckets.push_back(Bucket {
                 index,
-                ..Part::default()
+                ..Bucket::default()
             });
         }
-        let last = parts.len() - 1;
-        &mut parts[last]
+        let last = buckets.len() - 1;
+        &mut buckets[last]
     }
 }
--- a/src/limits/suspects.rs
+++ b/src/limits/suspects.rs
@@ -1,13 +1,14 @@
-//! Which requests end the endpoints that run them, as all instances together know it.
+//! Finds the requests that crash the endpoints that run them, and blocks them on all instances.
 //!
-//! An endpoint that ends breaks all requests that are there. One of them may be the cause, and it would end the
-//! next endpoint, too; the others run there to their end. So a request is blocked once endpoints ended under it
-//! wherever it ran, and is cleared of all that by one whole run, at any instance. A whole run right before counts
-//! too: what many send is at many endpoints when they end, and once blocked it would have no run to clear it.
+//! An endpoint that crashes breaks all requests that run there. One of them may be the cause and would crash the next
+//! endpoint as well; the others complete elsewhere. So a request is blocked once several endpoints crashed under it and
+//! it completed nowhere. One completed run at any instance clears it of all crashes. A completed run shortly before a
+//! crash counts as well: a request that many callers send runs on many endpoints when they crash, and once it is
+//! blocked no run could clear it.
 //!
-//! What is known of a request is a set of endings, each cleared or not. Sets only grow and an ending once cleared
-//! stays so, so instances may tell each other in any order, late and twice. Free of clock and socket, so that tests
-//! drive it step by step.
+//! The state of a request is a set of crashes, each cleared or not. Crashes are only added, and a cleared one stays
+//! cleared, so updates between instances may be reordered, delayed or duplicated. Uses no clock or socket, so that
+//! tests can drive it step by step.
 
 use std::{cmp::Reverse, collections::HashMap};
 
@@ -22,68 +23,69 @@
     prelude::Micros,
 };
 
-/// A request under which so many endpoints ended, and none came to the end of its run, is blocked. In a model of
-/// 18 endpoints that end by themselves, one a second, 1,663 requests were at one that ended (eight runs of 35 s):
-/// none was at three, 4 would have been blocked for two. In a flood of twelve that end endpoints it is 477 for two
-/// and none for three.
-const SURE_ENDINGS: usize = 3;
-/// So many are enough while few other endpoints end: then it is no chance that it was at both. In the model one
-/// request that ends endpoints reaches 2.8 of them by this, 3.5 without, and 14 others break with them, not 18.
-const LIKELY_ENDINGS: usize = 2;
-/// What is meant by few: less than this share of all endpoints within [`OTHERS_WINDOW_US`]. With it the model blocks
-/// 2 of 5,590 others in the flood, and none of those above.
+/// A request is blocked after this many uncleared crashes. In a simulation of 18 endpoints, one of which crashes by
+/// itself each second, 1,663 requests ran on a crashing endpoint (eight runs of 35 s): none of them was at three, and 4
+/// would have been blocked after two. With twelve requests that crash endpoints, 477 others would have been blocked
+/// after two and none after three.
+const CERTAIN_CRASHES: usize = 3;
+/// This many are enough while few other endpoints crash, because then a coincidence is unlikely. In the simulation a
+/// request that crashes endpoints reaches 2.8 of them with this rule and 3.5 without it, and 14 other requests break
+/// instead of 18.
+const LIKELY_CRASHES: usize = 2;
+/// Few means less than this share of all endpoints within [`OTHERS_WINDOW_US`]. With it the simulation blocks 2 of
+/// 5,590 other requests beside the twelve that crash endpoints, and none where endpoints crash by themselves.
 const OTHERS_SHARE: f64 = 0.2;
 const OTHERS_WINDOW_US: Micros = 10_000_000;
-/// A request stays blocked for this long after the last endpoint ended under it. Whoever mends the
-/// endpoints need not lift anything; a request that still ends them reaches two or three of them each time.
+/// How long a request stays blocked after the last crash under it. So nobody has to unblock it once the endpoints
+/// are fixed; a request that still crashes them reaches two or three of them each time.
 const BLOCKED_US: Micros = 600_000_000;
-/// What is about to be forgotten is not told any more, or two that forget at different moments would
-/// remind each other for ever.
-const TOLD_UNTIL_US: Micros = BLOCKED_US - 30_000_000;
-/// That a request was cleared is remembered for this long: far longer than word of its endings is on its way.
-const CLEARED_US: Micros = 60_000_000;
-/// A request that ran whole so shortly before is not the cause of an ending. One that ran well and ends endpoints from
-/// some moment on is blocked later by this. Of a common request beside two works that came to seven instances at
-/// once and ended eight endpoints, 994 of 1,041 were refused without.
-const TRUSTED_US: Micros = 2_000_000;
-/// That a request ran whole is remembered for so long: others that hold endings against it say so again each 1.5 s, and
-/// are told that they were right after a whole run.
-const WHOLE_KEPT_US: Micros = 10_000_000;
-/// Whole runs that are remembered, at some 50 bytes each: ten seconds of 400 requests a second. Naming one takes 1.4 µs
-/// for a kilobyte of its body (measured over 30 KB), some 10 µs for a usual prompt.
-const MOST_WHOLE: usize = 4_096;
-/// Endings that are remembered of one request; more than decide.
-const MOST_ENDINGS: usize = 6;
-/// Requests that are remembered, at some 150 bytes each. An endpoint that ends makes suspects of some
-/// tens; those with one ending give way first.
-const MOST_SUSPECTS: usize = 4_096;
-/// Those are dropped in numbers, so that a flood costs little: some microseconds a request.
-const DROPPED_AT_ONCE: usize = MOST_SUSPECTS / 8;
-/// Endpoints that ended of late, at most; more than there are in a large deployment.
-const MOST_ENDED: usize = 2_048;
-/// Requests of which one datagram tells, about 25 bytes each.
-const MOST_TOLD: usize = 16;
-
-/// Requests that are kept for instances that start when no other is left, at some 30 bytes each.
-const MOST_KEPT: usize = 1_000;
-
-/// An endpoint that ended while a request was there.
+/// Entries that are about to expire are no longer sent: instances that drop them at different moments would restore
+/// each other's entries for ever.
+const RESENT_UNTIL_US: Micros = BLOCKED_US - 30_000_000;
+/// How long a cleared request is stored: far longer than updates on its crashes can be delayed.
+const CLEARED_EXPIRY_US: Micros = 60_000_000;
+/// A request that completed this shortly before a crash is not its cause. This delays the blocking of a request that
+/// completed at first and crashes endpoints later on. In a simulation without it, two requests that came to seven
+/// instances at once and crashed eight endpoints led to the refusal of 994 of 1,041 harmless requests of one kind.
+const TRUST_AFTER_COMPLETION_US: Micros = 2_000_000;
+/// How long a completed run is stored. Instances that suspect the request resend its crashes each 1.5 s, and receive
+/// in return that those came shortly after a completed run.
+const COMPLETED_EXPIRY_US: Micros = 10_000_000;
+/// The most completed runs that are stored, about 50 bytes each: ten seconds of 400 requests a second. Computing a
+/// fingerprint takes 1.4 µs per kilobyte of the body (measured with 30 KB), about 10 µs for a usual prompt.
+const MAX_COMPLETED: usize = 4_096;
+/// The most crashes that are stored per request; more than are needed to block it.
+const MAX_CRASHES: usize = 6;
+/// The most suspects that are stored, about 150 bytes each. A crashing endpoint adds some tens of them; those with
+/// one crash are evicted first.
+const MAX_SUSPECTS: usize = 4_096;
+/// Suspects are evicted in batches, so that the cost in a flood of them is some microseconds per request.
+const EVICTION_BATCH: usize = MAX_SUSPECTS / 8;
+/// The most recently crashed endpoints that are stored; more than there are in a large deployment.
+const MAX_CRASHED: usize = 2_048;
+/// The most suspects in one datagram, about 25 bytes each.
+const MAX_UPDATES: usize = 16;
+
+/// The most suspects that are persisted for instances that start when no other is left, about 30 bytes each.
+const MAX_PERSISTED: usize = 1_000;
+
+/// A crash of an endpoint while a request ran there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// The start of the endpoint.
     pub endpoint: EndpointKey,
-    /// The request ran to its end elsewhere, so it is not the cause.
+    /// The request completed elsewhere, so it is not the cause.
     pub is_cleared: bool,
 }
 
-/// What an instance tells of a request.
+/// What is known of a suspect, as instances send it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectUpdate {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The time since the last change of what is known of it, in seconds.
+    /// The time since its set of crashes last changed, in seconds.
     pub age_s: u16,
-    /// The endpoints that ended under it.
+    /// The crashes under it.
     #[serde(rename = "endings")]
     pub crashes: Vec<Crash>,
 }
@@ -91,40 +93,37 @@
 #[derive(Clone, Debug, Default)]
 struct Suspect {
     crashes: Vec<Crash>,
-    /// When an ending was added or cleared last.
+    /// When a crash was last added or cleared.
     changed_us: Micros,
-    telling: Dissemination,
+    dissemination: Dissemination,
 }
 
 impl Suspect {
     fn uncleared(&self) -> usize {
-        self.crashes.iter().filter(|e| !e.is_cleared).count()
+        self.crashes.iter().filter(|c| !c.is_cleared).count()
     }
 
-    /// Adds an ending or learns that one was cleared; returns whether anything is new.
-    fn merge(&mut self, told: Crash) -> bool {
-        let known = self
-            .crashes
-            .iter_mut()
-            .find(|e| e.endpoint == told.endpoint);
+    /// Adds a crash, or marks a known one as cleared; returns whether anything changed.
+    fn merge(&mut self, new: Crash) -> bool {
+        let known = self.crashes.iter_mut().find(|c| c.endpoint == new.endpoint);
         if let Some(known) = known {
-            let is_news = told.is_cleared && !known.is_cleared;
-            known.is_cleared |= told.is_cleared;
-            return is_news;
+            let is_newly_cleared = new.is_cleared && !known.is_cleared;
+            known.is_cleared |= new.is_cleared;
+            return is_newly_cleared;
         }
-        if self.crashes.len() >= MOST_ENDINGS {
-            let cleared = self.crashes.iter().position(|e| e.is_cleared);
+        if self.crashes.len() >= MAX_CRASHES {
+            let cleared = self.crashes.iter().position(|c| c.is_cleared);
             let Some(cleared) = cleared else {
-                // It is blocked already.
+                // All stored crashes are uncleared, so the request is blocked already.
                 return false;
             };
             self.crashes.remove(cleared);
         }
-        self.crashes.push(told);
+        self.crashes.push(new);
         true
     }
 
-    fn told(&self, now_us: Micros, fingerprint: Fingerprint) -> SuspectUpdate {
+    fn to_update(&self, now_us: Micros, fingerprint: Fingerprint) -> SuspectUpdate {
         let age_us = now_us.saturating_sub(self.changed_us);
         SuspectUpdate {
             fingerprint,
@@ -133,68 +132,72 @@
         }
     }
 
-    fn clears_more_than(&self, told: &[Crash]) -> bool {
-        let cleared = self.crashes.iter().filter(|e| e.is_cleared);
-        let mut cleared = cleared.map(|e| e.endpoint);
-        cleared.any(|endpoint| told.iter().any(|t| t.endpoint == endpoint && !t.is_cleared))
+    fn clears_more_than(&self, theirs: &[Crash]) -> bool {
+        let cleared = self.crashes.iter().filter(|c| c.is_cleared);
+        let mut cleared = cleared.map(|c| c.endpoint);
+        cleared.any(|endpoint| {
+            theirs
+                .iter()
+                .any(|t| t.endpoint == endpoint && !t.is_cleared)
+        })
     }
 
-    fn is_kept(&self, now_us: Micros) -> bool {
+    fn is_current(&self, now_us: Micros) -> bool {
         let age_us = now_us.saturating_sub(self.changed_us);
-        let kept_us = match self.uncleared() {
-            0 => CLEARED_US,
+        let expiry_us = match self.uncleared() {
+            0 => CLEARED_EXPIRY_US,
             _ => BLOCKED_US,
         };
-        age_us < kept_us
+        age_us < expiry_us
     }
 
-    /// Returns whether it is told again and again.
-    fn is_retold(&self, now_us: Micros) -> bool {
+    /// Returns whether it is resent periodically.
+    fn is_resent(&self, now_us: Micros) -> bool {
         let age_us = now_us.saturating_sub(self.changed_us);
-        self.uncleared() >= LIKELY_ENDINGS && age_us < TOLD_UNTIL_US
+        self.uncleared() >= LIKELY_CRASHES && age_us < RESENT_UNTIL_US
     }
 
     fn is_due(&self, now_us: Micros, audience: Audience) -> bool {
-        self.telling
-            .is_due(now_us, audience, self.is_retold(now_us))
+        self.dissemination
+            .is_due(now_us, audience, self.is_resent(now_us))
     }
 }
 
-/// The requests under which endpoints ended of late.
+/// The requests under which endpoints crashed recently.
 #[derive(Debug, Default)]
 pub struct SuspectTable {
     suspects: HashMap<Fingerprint, Suspect>,
-    /// When endpoints ended of late, whatever was there.
-    ended: HashMap<EndpointKey, Micros>,
-    /// When requests ran whole last, of late.
-    whole: HashMap<Fingerprint, Micros>,
-    has_news: bool,
+    /// When endpoints crashed recently, whichever requests ran there.
+    crashed: HashMap<EndpointKey, Micros>,
+    /// When requests last completed, for those that did recently.
+    completed: HashMap<Fingerprint, Micros>,
+    has_changes: bool,
 }
 
 impl SuspectTable {
-    /// Returns whether nothing is known of any request.
+    /// Returns whether no request is stored.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Returns of how many requests something is known.
+    /// Returns the number of stored requests, cleared ones included.
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Returns whether endpoints ended under a request of which it has not been cleared.
+    /// Returns whether a request has uncleared crashes.
     pub fn is_suspected(&self, fingerprint: Fingerprint) -> bool {
         self.crashes(fingerprint) > 0
     }
 
-    /// Returns how many endpoints ended under a request of which it has not been cleared.
+    /// Returns the number of uncleared crashes of a request.
     pub fn crashes(&self, fingerprint: Fingerprint) -> usize {
         let suspect = self.suspects.get(&fingerprint);
         suspect.map_or(0, Suspect::uncleared)
     }
 
-    /// Returns for how much longer a request is to reach no endpoint, if it is blocked; `endpoints` is how
-    /// many there are.
+    /// Returns for how much longer a request is blocked, in microseconds; `None` if it is not. `endpoints` is the
+    /// number of endpoints.
     pub fn blocked_us(
         &self,
         now_us: Micros,
@@ -203,44 +206,46 @@
     ) -> Option<Micros> {
         let suspect = self.suspects.get(&fingerprint)?;
         let left_us = (suspect.changed_us + BLOCKED_US).checked_sub(now_us)?;
-        let endings = suspect.uncleared();
+        let crashes = suspect.uncleared();
         let few = endpoints as f64 * OTHERS_SHARE;
-        let is_blocked = endings >= SURE_ENDINGS
-            || (endings >= LIKELY_ENDINGS && (self.others_ended(now_us, suspect) as f64) < few);
+        let is_blocked = crashes >= CERTAIN_CRASHES
+            || (crashes >= LIKELY_CRASHES && (self.other_crashes(now_us, suspect) as f64) < few);
         is_blocked.then_some(left_us)
     }
 
-    /// Returns how many endpoints ended of late where a request was not.
-    fn others_ended(&self, now_us: Micros, suspect: &Suspect) -> usize {
+    /// Returns how many endpoints crashed recently without this request running there.
+    fn other_crashes(&self, now_us: Micros, suspect: &Suspect) -> usize {
         let is_recent = |at_us: Micros| now_us.saturating_sub(at_us) < OTHERS_WINDOW_US;
-        let recent = self.ended.iter().filter(|(_, at_us)| is_recent(**at_us));
-        let others = recent.filter(|(key, _)| suspect.crashes.iter().all(|e| e.endpoint != **key));
+        let recent = self.crashed.iter().filter(|(_, at_us)| is_recent(**at_us));
+        let others = recent.filter(|(key, _)| suspect.crashes.iter().all(|c| c.endpoint != **key));
         others.count()
     }
 
-    /// Notes that an endpoint ended while a request was there.
+    /// Notes that an endpoint crashed while a request ran there.
     pub fn note_crash(&mut self, now_us: Micros, fingerprint: Fingerprint, endpoint: EndpointKey) {
-        let ending = Crash {
+        let crash = Crash {
             endpoint,
             is_cleared: self.is_trusted(now_us, fingerprint),
         };
-        if self.merge(now_us, fingerprint, &[ending]) {
-            self.tell(fingerprint, Audience::Peers);
+        if self.merge(now_us, fingerprint, &[crash]) {
+            self.schedule_update(fingerprint, Audience::Peers);
         }
     }
 
-    /// Notes that a request ran to its end: it is not the cause of the endings.
+    /// Notes that a request completed, and clears it of its crashes.
     pub fn note_completed(&mut self, now_us: Micros, fingerprint: Fingerprint) {
-        if self.whole.len() < MOST_WHOLE || self.whole.contains_key(&fingerprint) {
-            self.whole.insert(fingerprint, now_us);
+        if self.completed.len() < MAX_COMPLETED || self.completed.contains_key(&fingerprint) {
+            self.completed.insert(fingerprint, now_us);
         }
         self.clear(now_us, fingerprint);
     }
 
-    /// Returns whether a request ran whole here right before `at_us`, or later.
+    /// Returns whether a request completed here shortly before `at_us`, or later.
     fn is_trusted(&self, at_us: Micros, fingerprint: Fingerprint) -> bool {
-        let whole_us = self.whole.get(&fingerprint);
-        whole_us.is_some_and(|whole_us| at_us.saturating_sub(*whole_us) < TRUSTED_US)
+        let completed_us = self.completed.get(&fingerprint);
+        completed_us.is_some_and(|completed_us| {
+            at_us.saturating_sub(*completed_us) < TRUST_AFTER_COMPLETION_US
+        })
     }
 
     fn clear(&mut self, now_us: Micros, fingerprint: Fingerprint) {
@@ -250,117 +255,118 @@
         if suspect.uncleared() == 0 {
             return;
         }
-        for ending in &mut suspect.crashes {
-            ending.is_cleared = true;
+        for crash in &mut suspect.crashes {
+            crash.is_cleared = true;
         }
         suspect.changed_us = now_us;
-        suspect.telling.renew(Audience::Hall);
-        self.tell(fingerprint, Audience::Peers);
+        suspect.dissemination.mark_changed(Audience::Hall);
+        self.schedule_update(fingerprint, Audience::Peers);
     }
 
-    /// Takes what another instance told. What is new goes on to the hall; its other peers hear it from
-    /// whoever found it. One that holds against a request what it was cleared of has not heard, and is told.
-    pub fn receive(&mut self, now_us: Micros, told: &[SuspectUpdate]) {
-        for told in told {
-            let changed_us = now_us.saturating_sub(Micros::from(told.age_s) * 1_000_000);
-            self.merge(changed_us, told.fingerprint, &told.crashes);
-            if self.is_trusted(changed_us, told.fingerprint) {
-                self.clear(now_us, told.fingerprint);
+    /// Merges updates from another instance. Changes are passed on to the hall; other peers receive them from the
+    /// instance that found them. If the sender counts crashes that are cleared here, an update is scheduled for it.
+    pub fn apply_updates(&mut self, now_us: Micros, updates: &[SuspectUpdate]) {
+        for update in updates {
+            let changed_us = now_us.saturating_sub(Micros::from(update.age_s) * 1_000_000);
+            self.merge(changed_us, update.fingerprint, &update.crashes);
+            if self.is_trusted(changed_us, update.fingerprint) {
+                self.clear(now_us, update.fingerprint);
             }
-            let known = self.suspects.get(&told.fingerprint);
-            if known.is_some_and(|known| known.clears_more_than(&told.crashes)) {
-                self.tell(told.fingerprint, Audience::Peers);
-                self.tell(told.fingerprint, Audience::Hall);
+            let known = self.suspects.get(&update.fingerprint);
+            if known.is_some_and(|known| known.clears_more_than(&update.crashes)) {
+                self.schedule_update(update.fingerprint, Audience::Peers);
+                self.schedule_update(update.fingerprint, Audience::Hall);
             }
         }
     }
 
-    /// Adds endings to what is known of a request; returns whether anything is new.
-    fn merge(&mut self, at_us: Micros, fingerprint: Fingerprint, endings: &[Crash]) -> bool {
+    /// Adds crashes to a request; returns whether anything changed.
+    fn merge(&mut self, at_us: Micros, fingerprint: Fingerprint, crashes: &[Crash]) -> bool {
         if !self.suspects.contains_key(&fingerprint) {
             self.make_room();
         }
         let suspect = self.suspects.entry(fingerprint).or_default();
         let mut is_new = false;
-        for ending in endings {
-            is_new |= suspect.merge(*ending);
+        for crash in crashes {
+            is_new |= suspect.merge(*crash);
         }
         if is_new {
             suspect.changed_us = suspect.changed_us.max(at_us);
-            suspect.telling.renew(Audience::Hall);
-            self.has_news = true;
+            suspect.dissemination.mark_changed(Audience::Hall);
+            self.has_changes = true;
         }
-        for ending in endings {
-            self.note_ended(at_us, ending.endpoint);
+        for crash in crashes {
+            self.note_crashed(at_us, crash.endpoint);
         }
         is_new
     }
 
-    fn note_ended(&mut self, at_us: Micros, endpoint: EndpointKey) {
-        // Of so many it is not the number that matters.
-        if self.ended.len() < MOST_ENDED {
-            self.ended.entry(endpoint).or_insert(at_us);
+    fn note_crashed(&mut self, at_us: Micros, endpoint: EndpointKey) {
+        // Beyond this number the exact count makes no difference.
+        if self.crashed.len() < MAX_CRASHED {
+            self.crashed.entry(endpoint).or_insert(at_us);
         }
     }
 
-    fn tell(&mut self, fingerprint: Fingerprint, audience: Audience) {
+    fn schedule_update(&mut self, fingerprint: Fingerprint, audience: Audience) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
-            suspect.telling.renew(audience);
-            self.has_news = true;
+            suspect.dissemination.mark_changed(audience);
+            self.has_changes = true;
         }
     }
 
-    /// Drops the requests of which least is known, and those longest ago, if there is no room for another.
+    /// If the table is full, evicts the requests with the fewest crashes, and of these the ones that changed longest ago.
     fn make_room(&mut self) {
-        if self.suspects.len() < MOST_SUSPECTS {
+        if self.suspects.len() < MAX_SUSPECTS {
             return;
         }
-        let weight = |s: &Suspect| (s.uncleared().min(SURE_ENDINGS), s.changed_us);
+        let eviction_key = |s: &Suspect| (s.uncleared().min(CERTAIN_CRASHES), s.changed_us);
         let all = self.suspects.iter();
-        let mut all: Vec<_> = all.map(|(f, s)| (weight(s), *f)).collect();
-        all.select_nth_unstable(DROPPED_AT_ONCE);
-        for (_, fingerprint) in &all[..DROPPED_AT_ONCE] {
+        let mut all: Vec<_> = all.map(|(f, s)| (eviction_key(s), *f)).collect();
+        all.select_nth_unstable(EVICTION_BATCH);
+        for (_, fingerprint) in &all[..EVICTION_BATCH] {
             self.suspects.remove(fingerprint);
         }
     }
 
-    /// Returns whether something is to be told at once, if that was not asked since.
+    /// Returns whether something changed that should be sent at once, and resets that flag.
     pub fn take_has_changes(&mut self) -> bool {
-        std::mem::take(&mut self.has_news)
+        std::mem::take(&mut self.has_changes)
     }
 
-    /// Returns what an audience is to be told in this round.
+    /// Returns the updates that are due to an audience in this round.
     pub fn take_due_updates(&mut self, now_us: Micros, audience: Audience) -> Vec<SuspectUpdate> {
         let due = self.suspects.iter_mut();
         let due = due.filter(|(_, s)| s.is_due(now_us, audience));
         let mut due: Vec<_> = due.collect();
-        due.sort_by_key(|(_, s)| s.telling.order(audience));
-        let told = due.into_iter().take(MOST_TOLD);
-        let told = told.map(|(fingerprint, suspect)| {
-            suspect.telling.note_told(now_us, audience);
-            suspect.told(now_us, *fingerprint)
+        due.sort_by_key(|(_, s)| s.dissemination.sort_key(audience));
+        let updates = due.into_iter().take(MAX_UPDATES);
+        let updates = updates.map(|(fingerprint, suspect)| {
+            suspect.dissemination.note_sent(now_us, audience);
+            suspect.to_update(now_us, *fingerprint)
         });
-        told.collect()
+        updates.collect()
     }
 
-    /// Returns what instances are to know that start when none is left to tell them: what is blocked, or nearly
-    /// so, the latest if there is much of it; by fingerprint.
+    /// Returns what to persist for instances that start when no other is left: the suspects that are blocked or one crash
+    /// away from it, the latest ones if there are many, sorted by fingerprint.
     pub fn to_persist(&self, now_us: Micros) -> Vec<SuspectUpdate> {
-        let kept = self.suspects.iter().filter(|(_, s)| s.is_retold(now_us));
+        let kept = self.suspects.iter().filter(|(_, s)| s.is_resent(now_us));
         let mut kept: Vec<_> = kept.collect();
         kept.sort_unstable_by_key(|(_, s)| Reverse(s.changed_us));
-        kept.truncate(MOST_KEPT);
+        kept.truncate(MAX_PERSISTED);
         kept.sort_unstable_by_key(|(fingerprint, _)| **fingerprint);
-        let told = kept.into_iter().map(|(f, s)| s.told(now_us, *f));
-        told.collect()
+        let updates = kept.into_iter().map(|(f, s)| s.to_update(now_us, *f));
+        updates.collect()
     }
 
-    /// Forgets what happened long ago.
+    /// Drops everything that is too old to matter.
     pub fn expire(&mut self, now_us: Micros) {
-        self.suspects.retain(|_, suspect| suspect.is_kept(now_us));
+        self.suspects
+            .retain(|_, suspect| suspect.is_current(now_us));
         let is_recent = |at_us: Micros| now_us.saturating_sub(at_us) < OTHERS_WINDOW_US;
-        self.ended.retain(|_, at_us| is_recent(*at_us));
-        let is_kept = |at_us: Micros| now_us.saturating_sub(at_us) < WHOLE_KEPT_US;
-        self.whole.retain(|_, at_us| is_kept(*at_us));
+        self.crashed.retain(|_, at_us| is_recent(*at_us));
+        let is_current = |at_us: Micros| now_us.saturating_sub(at_us) < COMPLETED_EXPIRY_US;
+        self.completed.retain(|_, at_us| is_current(*at_us));
     }
 }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -195,7 +195,7 @@
 /// Returns the rest that an answer asks for; the longest of several. Only with 503 does the time to come back say
 /// something of the endpoint: with another status it is the caller's alone.
 fn rest(status: StatusCode, headers: &HeaderMap) -> BackOffHeader {
-    let mut longest = BackOffHeader::Absent;
+    let mut longest = BackOffHeader::None;
     if status != StatusCode::SERVICE_UNAVAILABLE {
         return longest;
     }
--- a/tests/gateway/endpoint_limits.rs
+++ b/tests/gateway/endpoint_limits.rs
@@ -112,15 +112,15 @@
     );
     hear(&mut one, &named("4"));
     let late = told(&mut one, SECOND);
-    other.receive(SECOND, &late);
+    other.apply_updates(SECOND, &late);
     hear(&mut other, &LimitHeader::Absent);
     for round in 2..20 {
         told(&mut other, round * SECOND);
     }
     assert_eq!(told(&mut other, 20 * SECOND), [], "it is over");
-    other.receive(20 * SECOND, &late);
+    other.apply_updates(20 * SECOND, &late);
     assert_eq!(limit(&other), None, "late word of what is over");
-    one.receive(21 * SECOND, &told(&mut other, 21 * SECOND));
+    one.apply_updates(21 * SECOND, &told(&mut other, 21 * SECOND));
     assert_eq!(limit(&one), None);
 }
 
@@ -406,12 +406,12 @@
                 }
                 Step::Tells { from, to } => {
                     let told = told(&mut all[from], now_us);
-                    all[to].receive(now_us, &told);
+                    all[to].apply_updates(now_us, &told);
                     words.push(told);
                 }
                 Step::TellsAgain { word, to } => {
                     if let Some(told) = words.get(word) {
-                        all[to].receive(now_us, told);
+                        all[to].apply_updates(now_us, told);
                     }
                 }
             }
@@ -421,7 +421,7 @@
                 now_us += 2 * SECOND;
                 for from in 0..INSTANCES {
                     let told = told(&mut all[from], now_us);
-                    all.iter_mut().for_each(|to| drop(to.receive(now_us, &told)));
+                    all.iter_mut().for_each(|to| drop(to.apply_updates(now_us, &told)));
                 }
             }
         };
--- a/tests/gateway/headers.rs
+++ b/tests/gateway/headers.rs
@@ -212,7 +212,7 @@
             "{word}"
         );
     }
-    assert_eq!(rest(unavailable, &[]), BackOffHeader::Absent);
+    assert_eq!(rest(unavailable, &[]), BackOffHeader::None);
     assert_eq!(
         rest(unavailable, &["1", "3", "x", "2"]),
         BackOffHeader::Period(3_000_000)
@@ -223,7 +223,7 @@
         StatusCode::OK,
         StatusCode::INTERNAL_SERVER_ERROR,
     ] {
-        assert_eq!(rest(status, &["3"]), BackOffHeader::Absent, "{status}");
+        assert_eq!(rest(status, &["3"]), BackOffHeader::None, "{status}");
     }
 }
 
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -32,7 +32,7 @@
     };
     assert_eq!(taken(&mut budget), 6, "a share of the slack alone");
     for _ in 0..100 {
-        budget.count_request(0, &service);
+        budget.note_request(0, &service);
     }
     assert_eq!(taken(&mut budget), 12, "and a share of 100 requests");
     assert!(!budget.try_take(9 * SECOND, &service, 5));
@@ -60,7 +60,7 @@
         for (pause_ms, instance, is_request) in steps {
             now_us += pause_ms * MS;
             if is_request {
-                budgets[instance].count_request(now_us, &service);
+                budgets[instance].note_request(now_us, &service);
                 requests.push(now_us);
             } else if budgets[instance].try_take(now_us, &service, 7) {
                 retries.push(now_us);
--- a/tests/gateway/suspects.rs
+++ b/tests/gateway/suspects.rs
@@ -86,10 +86,10 @@
     let mut book = book_of(3);
     book.note_completed(4 * SECOND, WORK);
     assert!(!is_blocked(&book, 4 * SECOND, WORK));
-    book.receive(5 * SECOND, &late);
+    book.apply_updates(5 * SECOND, &late);
     assert!(!is_blocked(&book, 5 * SECOND, WORK));
     // The others hear that it was cleared.
-    elsewhere.receive(
+    elsewhere.apply_updates(
         5 * SECOND,
         &book.take_due_updates(5 * SECOND, Audience::Peers),
     );
@@ -115,7 +115,7 @@
             .is_empty()
     );
     let mut later = SuspectTable::default();
-    later.receive(
+    later.apply_updates(
         5 * SECOND,
         &book.take_due_updates(5 * SECOND, Audience::Peers),
     );
@@ -132,11 +132,11 @@
     let (mut one, mut other) = (book_of(2), SuspectTable::default());
     for tenth in 0..7_000 {
         let now_us = 2 * SECOND + tenth * SECOND / 10;
-        other.receive(
+        other.apply_updates(
             now_us + SECOND / 4,
             &one.take_due_updates(now_us, Audience::Peers),
         );
-        one.receive(
+        one.apply_updates(
             now_us + SECOND / 4,
             &other.take_due_updates(now_us, Audience::Peers),
         );
@@ -180,11 +180,11 @@
         other.note_crash(SECOND + 200_000, WORK, EndpointKey(endpoint));
     }
     assert!(is_blocked(&other, SECOND + 300_000, WORK));
-    book.receive(
+    book.apply_updates(
         SECOND + 300_000,
         &other.take_due_updates(SECOND + 300_000, Audience::Peers),
     );
-    other.receive(
+    other.apply_updates(
         SECOND + 400_000,
         &book.take_due_updates(SECOND + 400_000, Audience::Peers),
     );
--- a/tests/gateway/suspects_weighed.rs
+++ b/tests/gateway/suspects_weighed.rs
@@ -376,7 +376,7 @@
                     let kept = self.books[0].to_persist(now_us);
                     self.books.fill_with(SuspectTable::default);
                     for book in self.books.iter_mut().filter(|_| self.load.is_kept) {
-                        book.receive(now_us, &kept);
+                        book.apply_updates(now_us, &kept);
                     }
                 }
             }
@@ -401,7 +401,7 @@
             let word = self.books[by].take_due_updates(now_us, Audience::Peers);
             for to in (0..self.books.len()).filter(|to| *to != by) {
                 if !word.is_empty() && self.random.random_range(0..10) > 0 {
-                    self.books[to].receive(now_us, &word);
+                    self.books[to].apply_updates(now_us, &word);
                 }
             }
         }
--- a/tests/properties/suspects.rs
+++ b/tests/properties/suspects.rs
@@ -74,13 +74,13 @@
                 Step::Tells { book, heard } => {
                     let word = books[book].take_due_updates(now_us, Audience::Peers);
                     for (book, _) in heard.iter().enumerate().filter(|(_, heard)| **heard) {
-                        books[book].receive(now_us, &word);
+                        books[book].apply_updates(now_us, &word);
                     }
                     words.push(word);
                 }
                 Step::Repeats { word, book } if !words.is_empty() => {
                     let word = words[word % words.len()].clone();
-                    books[book].receive(now_us, &word);
+                    books[book].apply_updates(now_us, &word);
                 }
                 Step::Repeats { .. } => {}
                 Step::Restarts { book } => books[book] = SuspectTable::default(),
@@ -98,7 +98,7 @@
             for teller in 0..BOOKS {
                 let word = books[teller].take_due_updates(now_us, Audience::Peers);
                 for book in &mut books {
-                    book.receive(now_us, &word);
+                    book.apply_updates(now_us, &word);
                 }
             }
         }
