--- a/src/limits/announcements.rs
+++ b/src/limits/announcements.rs
@@ -234,15 +234,15 @@
         if self.leaves(endpoint) {
             return false;
         }
-        let is_known = self.entry(now_us, endpoint).is_some_and(|entry| {
+        let is_new = self.entry(now_us, endpoint).is_some_and(|entry| {
             entry.leaves = true;
             entry.dissemination.mark_changed(Audience::Peers);
             entry.dissemination.mark_changed(Audience::Hall);
             true
         });
-        self.has_changes |= is_known;
+        self.has_changes |= is_new;
         self.update_counts();
-        is_known
+        is_new
     }
 
     /// Returns whether an endpoint requested a back-off from some instance that has not ended.
@@ -364,17 +364,13 @@
                 let period_us = Micros::from(update.rest_ms) * 1_000;
                 self.note_back_off(now_us, update.endpoint, period_us);
             }
-            let limit = self.receive_limit(now_us, update);
+            let limit = self.apply_limit(now_us, update);
             changes.extend(limit.map(AnnouncementChange::Limit));
         }
         changes
     }
 
-    fn receive_limit(
-        &mut self,
-        now_us: Micros,
-        update: &AnnouncementUpdate,
-    ) -> Option<LimitChange> {
+    fn apply_limit(&mut self, now_us: Micros, update: &AnnouncementUpdate) -> Option<LimitChange> {
         let Some(entry) = self.by_endpoint.get_mut(&update.endpoint) else {
             // The sender may not know of a limit, either: an update also comes with each permit request.
             let states_limit = update.known.version > 0;
--- a/src/limits/back_off.rs
+++ b/src/limits/back_off.rs
@@ -51,7 +51,7 @@
 
 /// The back-off of one endpoint.
 #[derive(Clone, Copy, Debug)]
-struct ActiveBackOff {
+struct PendingBackOff {
     until_us: Micros,
     /// How long after the end this instance resumes.
     stagger_us: Micros,
@@ -62,7 +62,7 @@
 /// The back-offs that endpoints requested from this instance.
 #[derive(Debug, Default)]
 pub struct BackOffs {
-    by_endpoint: HashMap<EndpointKey, ActiveBackOff>,
+    by_endpoint: HashMap<EndpointKey, PendingBackOff>,
     /// Endpoints whose last back-off header could not be parsed.
     unreadable: HashSet<EndpointKey>,
 }
@@ -86,16 +86,16 @@
         }
         self.make_room(endpoint);
         let spread_us = (instances as Micros * STAGGER_US).min(MAX_STAGGER_US);
-        let back_off = ActiveBackOff {
+        let pending = PendingBackOff {
             until_us: now_us + period_us.min(MAX_BACK_OFF_US),
             stagger_us: (spread_us as f64 * draw) as Micros,
             probed_us: None,
         };
         let known = self.by_endpoint.entry(endpoint);
         let is_new = matches!(known, std::collections::hash_map::Entry::Vacant(_));
-        let known = known.or_insert(back_off);
-        if back_off.until_us >= known.until_us {
-            *known = back_off;
+        let known = known.or_insert(pending);
+        if pending.until_us >= known.until_us {
+            *known = pending;
         }
         is_new
     }
@@ -119,13 +119,13 @@
         endpoint: EndpointKey,
         is_used: impl FnOnce() -> bool,
     ) -> BackOff {
-        let Some(back_off) = self.by_endpoint.get(&endpoint) else {
+        let Some(pending) = self.by_endpoint.get(&endpoint) else {
             return BackOff::Over;
         };
-        if now_us < back_off.until_us {
-            return BackOff::Until(back_off.until_us);
+        if now_us < pending.until_us {
+            return BackOff::Until(pending.until_us);
         }
-        if let Some(probed_us) = back_off.probed_us {
+        if let Some(probed_us) = pending.probed_us {
             let next_probe_us = probed_us + PROBE_TIMEOUT_US;
             return if now_us < next_probe_us {
                 BackOff::Until(next_probe_us)
@@ -133,8 +133,8 @@
                 BackOff::Over
             };
         }
-        let resume_us = back_off.until_us + back_off.stagger_us;
-        let unused_us = back_off.until_us + UNUSED_US;
+        let resume_us = pending.until_us + pending.stagger_us;
+        let unused_us = pending.until_us + UNUSED_US;
         if now_us >= resume_us || (now_us >= unused_us && !is_used()) {
             return BackOff::Over;
         }
@@ -143,16 +143,16 @@
 
     /// Notes that a request is sent to an endpoint.
     pub fn note_sent(&mut self, now_us: Micros, endpoint: EndpointKey) {
-        if let Some(back_off) = self.by_endpoint.get_mut(&endpoint) {
-            back_off.probed_us = Some(now_us);
+        if let Some(pending) = self.by_endpoint.get_mut(&endpoint) {
+            pending.probed_us = Some(now_us);
         }
     }
 
     /// Notes an endpoint's response without a back-off header to a request that was sent at `sent_us`. If the request
     /// was sent after the back-off, this ends it; returns whether it did.
     pub fn note_answered(&mut self, endpoint: EndpointKey, sent_us: Micros) -> bool {
-        let back_off = self.by_endpoint.get(&endpoint);
-        let is_recovered = back_off.is_some_and(|back_off| sent_us >= back_off.until_us);
+        let pending = self.by_endpoint.get(&endpoint);
+        let is_recovered = pending.is_some_and(|pending| sent_us >= pending.until_us);
         if is_recovered {
             self.by_endpoint.remove(&endpoint);
         }
@@ -161,10 +161,10 @@
 
     /// Notes that the probe request after a back-off failed without a response, so that another may be sent.
     pub fn note_unanswered(&mut self, endpoint: EndpointKey, sent_us: Micros) {
-        if let Some(back_off) = self.by_endpoint.get_mut(&endpoint)
-            && back_off.probed_us == Some(sent_us)
+        if let Some(pending) = self.by_endpoint.get_mut(&endpoint)
+            && pending.probed_us == Some(sent_us)
         {
-            back_off.probed_us = None;
+            pending.probed_us = None;
         }
     }
 
@@ -181,9 +181,9 @@
     /// Returns the endpoints whose back-off has not ended, those with the latest end first.
     pub fn in_back_off(&self, now_us: Micros) -> Vec<EndpointKey> {
         let active = self.by_endpoint.iter();
-        let active = active.filter(|(_, back_off)| now_us < back_off.until_us);
+        let active = active.filter(|(_, pending)| now_us < pending.until_us);
         let mut active: Vec<_> = active.collect();
-        active.sort_by_key(|(_, back_off)| std::cmp::Reverse(back_off.until_us));
+        active.sort_by_key(|(_, pending)| std::cmp::Reverse(pending.until_us));
         active.into_iter().map(|(endpoint, _)| *endpoint).collect()
     }
 
@@ -195,7 +195,7 @@
     /// Drops back-offs that ended long ago, and parse failures of endpoints that are not listed any more.
     pub fn expire(&mut self, now_us: Micros, is_listed: impl Fn(EndpointKey) -> bool) {
         self.by_endpoint
-            .retain(|_, back_off| now_us < back_off.until_us + EXPIRY_US);
+            .retain(|_, pending| now_us < pending.until_us + EXPIRY_US);
         self.unreadable.retain(|endpoint| is_listed(*endpoint));
     }
 }
