--- a/tests/gateway/endpoint_rests.rs
+++ b/tests/gateway/endpoint_rests.rs
@@ -1,4 +1,4 @@
-//! The rest that endpoints ask an instance for: what is kept, what ends it, and how requests come back.
+//! The back-offs that endpoints request from an instance: what is stored, what ends them, and how requests resume.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -18,157 +18,167 @@
 use crate::support::{MS, SECOND, ask, entry};
 
 const ENDPOINT: EndpointKey = EndpointKey(3);
-const REST_US: u64 = 3 * SECOND;
+const PERIOD_US: u64 = 3 * SECOND;
 const UNUSED: fn() -> bool = || false;
 const USED: fn() -> bool = || true;
 
-/// Returns rests of which one, of an instance alone, began at second 1.
-fn begun() -> BackOffs {
-    let mut rests = BackOffs::default();
-    assert!(rests.note_requested(SECOND, ENDPOINT, REST_US, 1, 0.0));
-    rests
+/// Returns back-offs of which one, requested from a single instance, began at second 1.
+fn with_one() -> BackOffs {
+    let mut back_offs = BackOffs::default();
+    assert!(back_offs.note_requested(SECOND, ENDPOINT, PERIOD_US, 1, 0.0));
+    back_offs
 }
 
-fn is_over(rests: &BackOffs, now_us: u64) -> bool {
-    rests.back_off(now_us, ENDPOINT, UNUSED) == BackOff::Over
+fn is_over(back_offs: &BackOffs, now_us: u64) -> bool {
+    back_offs.back_off(now_us, ENDPOINT, UNUSED) == BackOff::Over
 }
 
 #[test]
-fn a_rest_lasts_as_long_as_was_asked_and_one_request_goes_first_after_it() {
-    let mut rests = begun();
+fn a_back_off_lasts_for_its_period_and_one_probe_request_follows() {
+    let mut back_offs = with_one();
     assert_eq!(
-        rests.back_off(SECOND, ENDPOINT, UNUSED),
+        back_offs.back_off(SECOND, ENDPOINT, UNUSED),
         BackOff::Until(4 * SECOND)
     );
-    assert!(!is_over(&rests, 4 * SECOND - 1));
-    assert!(is_over(&rests, 4 * SECOND));
-    rests.note_sent(4 * SECOND, ENDPOINT);
-    assert!(!is_over(&rests, 4 * SECOND + 50 * MS), "one is there");
-    // An answer to what was sent before says nothing of now.
-    assert!(!rests.note_answered(ENDPOINT, SECOND));
-    assert!(rests.note_answered(ENDPOINT, 4 * SECOND));
-    assert!(rests.is_empty());
-    assert!(is_over(&rests, 4 * SECOND + 60 * MS));
+    assert!(!is_over(&back_offs, 4 * SECOND - 1));
+    assert!(is_over(&back_offs, 4 * SECOND));
+    back_offs.note_sent(4 * SECOND, ENDPOINT);
+    assert!(
+        !is_over(&back_offs, 4 * SECOND + 50 * MS),
+        "the probe has no response yet"
+    );
+    // A response to a request that was sent before the back-off does not end it.
+    assert!(!back_offs.note_answered(ENDPOINT, SECOND));
+    assert!(back_offs.note_answered(ENDPOINT, 4 * SECOND));
+    assert!(back_offs.is_empty());
+    assert!(is_over(&back_offs, 4 * SECOND + 60 * MS));
 }
 
 #[test]
-fn a_first_request_without_an_answer_holds_up_others_for_a_second_at_most() {
-    let mut rests = begun();
-    rests.note_sent(4 * SECOND, ENDPOINT);
-    assert!(!is_over(&rests, 5 * SECOND - 1));
-    assert!(is_over(&rests, 5 * SECOND));
-    rests.note_sent(5 * SECOND, ENDPOINT);
-    // Another's failure says nothing of it; its own lets the next go.
-    rests.note_unanswered(ENDPOINT, SECOND);
-    assert!(!is_over(&rests, 5 * SECOND + MS));
-    rests.note_unanswered(ENDPOINT, 5 * SECOND);
-    assert!(is_over(&rests, 5 * SECOND + MS));
+fn a_probe_without_a_response_blocks_others_for_at_most_a_second() {
+    let mut back_offs = with_one();
+    back_offs.note_sent(4 * SECOND, ENDPOINT);
+    assert!(!is_over(&back_offs, 5 * SECOND - 1));
+    assert!(is_over(&back_offs, 5 * SECOND));
+    back_offs.note_sent(5 * SECOND, ENDPOINT);
+    // The failure of an earlier request has no effect; that of the probe allows the next one.
+    back_offs.note_unanswered(ENDPOINT, SECOND);
+    assert!(!is_over(&back_offs, 5 * SECOND + MS));
+    back_offs.note_unanswered(ENDPOINT, 5 * SECOND);
+    assert!(is_over(&back_offs, 5 * SECOND + MS));
 }
 
 #[test]
-fn of_several_words_the_one_that_lasts_longest_holds() {
-    let mut rests = begun();
+fn of_several_periods_the_one_that_ends_last_applies() {
+    let mut back_offs = with_one();
     assert!(
-        !rests.note_requested(2 * SECOND, ENDPOINT, SECOND / 2, 1, 0.0),
-        "it rests already"
+        !back_offs.note_requested(2 * SECOND, ENDPOINT, SECOND / 2, 1, 0.0),
+        "it is in back-off already"
     );
-    assert!(!is_over(&rests, 4 * SECOND - 1), "a shorter one");
-    rests.note_requested(3 * SECOND, ENDPOINT, REST_US, 1, 0.0);
-    assert!(!is_over(&rests, 6 * SECOND - 1), "a longer one");
-    assert!(is_over(&rests, 6 * SECOND));
-    // Asked again by the first request after it.
-    rests.note_sent(6 * SECOND, ENDPOINT);
-    rests.note_requested(6 * SECOND + MS, ENDPOINT, SECOND, 1, 0.0);
-    assert!(!is_over(&rests, 7 * SECOND));
-    assert!(is_over(&rests, 7 * SECOND + MS));
+    assert!(!is_over(&back_offs, 4 * SECOND - 1), "a shorter period");
+    back_offs.note_requested(3 * SECOND, ENDPOINT, PERIOD_US, 1, 0.0);
+    assert!(!is_over(&back_offs, 6 * SECOND - 1), "a longer period");
+    assert!(is_over(&back_offs, 6 * SECOND));
+    // The response to the probe requests another back-off.
+    back_offs.note_sent(6 * SECOND, ENDPOINT);
+    back_offs.note_requested(6 * SECOND + MS, ENDPOINT, SECOND, 1, 0.0);
+    assert!(!is_over(&back_offs, 7 * SECOND));
+    assert!(is_over(&back_offs, 7 * SECOND + MS));
 }
 
 #[test]
-fn no_rest_is_none_and_one_without_end_ends() {
-    let mut rests = BackOffs::default();
-    assert!(!rests.note_requested(SECOND, ENDPOINT, 0, 1, 0.0));
-    assert!(is_over(&rests, SECOND));
-    rests.note_requested(SECOND, ENDPOINT, u64::MAX, 1, 0.0);
-    assert!(!is_over(&rests, 500 * SECOND));
-    assert!(is_over(&rests, 601 * SECOND), "one word is not for good");
-    assert!(rests.note_unreadable(ENDPOINT));
-    assert!(!rests.note_unreadable(ENDPOINT), "once");
-    rests.note_requested(602 * SECOND, ENDPOINT, SECOND, 1, 0.0);
-    assert!(rests.note_unreadable(ENDPOINT), "after one that was sound");
+fn a_zero_period_is_no_back_off_and_an_excessive_one_is_cut() {
+    let mut back_offs = BackOffs::default();
+    assert!(!back_offs.note_requested(SECOND, ENDPOINT, 0, 1, 0.0));
+    assert!(is_over(&back_offs, SECOND));
+    back_offs.note_requested(SECOND, ENDPOINT, u64::MAX, 1, 0.0);
+    assert!(!is_over(&back_offs, 500 * SECOND));
+    assert!(is_over(&back_offs, 601 * SECOND), "the period is cut");
+    assert!(back_offs.note_unreadable(ENDPOINT));
+    assert!(!back_offs.note_unreadable(ENDPOINT), "once");
+    back_offs.note_requested(602 * SECOND, ENDPOINT, SECOND, 1, 0.0);
+    assert!(
+        back_offs.note_unreadable(ENDPOINT),
+        "after a readable header"
+    );
 }
 
 #[test]
-fn memory_is_bounded_and_what_is_over_is_forgotten() {
-    let mut rests = BackOffs::default();
+fn memory_is_bounded_and_old_back_offs_expire() {
+    let mut back_offs = BackOffs::default();
     for number in 0..10_000 {
-        let rest_us = SECOND + u64::from(number) * MS;
-        rests.note_requested(SECOND, EndpointKey(number), rest_us, 1, 0.0);
+        let period_us = SECOND + u64::from(number) * MS;
+        back_offs.note_requested(SECOND, EndpointKey(number), period_us, 1, 0.0);
     }
-    assert!(rests.len() <= 4_096, "{}", rests.len());
+    assert!(back_offs.len() <= 4_096, "{}", back_offs.len());
     let longest = EndpointKey(9_999);
     assert_matches!(
-        rests.back_off(2 * SECOND, longest, UNUSED),
+        back_offs.back_off(2 * SECOND, longest, UNUSED),
         BackOff::Until(_)
     );
-    rests.expire(30 * SECOND, |_| true);
-    assert!(rests.is_empty());
+    back_offs.expire(30 * SECOND, |_| true);
+    assert!(back_offs.is_empty());
 }
 
-/// All rests end in the same moment, and each instance has requests for the endpoint at all times: the first serves
-/// within a second, and in no tenth of a second more come than some turns are long.
+/// Guards against a burst when all back-offs end at the same moment and each instance always has requests for the
+/// endpoint: the first instance resumes within a second, and few do within any tenth of a second.
 #[test]
-fn the_end_of_many_rests_is_no_herd_and_no_pause() {
+fn instances_resume_without_a_burst_and_without_a_long_pause() {
     for instances in [1, 7, 18, 85, 295] {
         let mut all: Vec<BackOffs> = (0..instances).map(|_| BackOffs::default()).collect();
-        for (number, rests) in all.iter_mut().enumerate() {
+        for (number, back_offs) in all.iter_mut().enumerate() {
             let draw = number as f64 / instances as f64;
-            rests.note_requested(SECOND, ENDPOINT, REST_US, instances, draw);
+            back_offs.note_requested(SECOND, ENDPOINT, PERIOD_US, instances, draw);
         }
-        let mut came = Vec::new();
+        let mut resumed = Vec::new();
         for step in 0..4_000 {
             let now_us = 4 * SECOND + step * MS;
-            let is_used = !came.is_empty();
-            for rests in &mut all {
-                if rests.back_off(now_us, ENDPOINT, || is_used) == BackOff::Over
-                    && !rests.is_empty()
+            let is_used = !resumed.is_empty();
+            for back_offs in &mut all {
+                if back_offs.back_off(now_us, ENDPOINT, || is_used) == BackOff::Over
+                    && !back_offs.is_empty()
                 {
-                    rests.note_sent(now_us, ENDPOINT);
-                    // It is answered at once, and the instance is done.
-                    rests.note_answered(ENDPOINT, now_us);
-                    came.push(now_us);
+                    back_offs.note_sent(now_us, ENDPOINT);
+                    // The response comes at once, and the instance sends nothing more.
+                    back_offs.note_answered(ENDPOINT, now_us);
+                    resumed.push(now_us);
                 }
             }
         }
-        assert_eq!(came.len(), instances, "all come back");
-        assert!(came[0] < 5 * SECOND, "{instances}: within a second");
+        assert_eq!(resumed.len(), instances, "all resume");
+        assert!(resumed[0] < 5 * SECOND, "{instances}: within a second");
         let within = |from: &u64| {
-            came.iter()
+            resumed
+                .iter()
                 .filter(|at| (*from..*from + 100 * MS).contains(at))
                 .count()
         };
-        let most = came.iter().map(within).max().expect("some");
+        let most = resumed.iter().map(within).max().expect("some");
         assert!(most <= 12, "{instances}: {most} in a tenth of a second");
     }
 }
 
-/// One of many alone has requests for the endpoint, and its turn is the last.
+/// Only one of many instances has requests for the endpoint, and its own delay is the longest.
 #[test]
-fn one_that_sees_nobody_there_does_not_wait_for_its_turn() {
-    let mut rests = BackOffs::default();
-    rests.note_requested(SECOND, ENDPOINT, REST_US, 295, 0.99);
+fn an_instance_that_sees_no_other_requests_does_not_wait_for_its_own_delay() {
+    let mut back_offs = BackOffs::default();
+    back_offs.note_requested(SECOND, ENDPOINT, PERIOD_US, 295, 0.99);
     assert_eq!(
-        rests.back_off(4 * SECOND + 400 * MS, ENDPOINT, UNUSED),
+        back_offs.back_off(4 * SECOND + 400 * MS, ENDPOINT, UNUSED),
         BackOff::Until(4 * SECOND + 500 * MS)
     );
     assert_eq!(
-        rests.back_off(4 * SECOND + 500 * MS, ENDPOINT, UNUSED),
+        back_offs.back_off(4 * SECOND + 500 * MS, ENDPOINT, UNUSED),
         BackOff::Over
     );
     assert_matches!(
-        rests.back_off(4 * SECOND + 500 * MS, ENDPOINT, USED),
+        back_offs.back_off(4 * SECOND + 500 * MS, ENDPOINT, USED),
         BackOff::Until(_)
     );
-    assert_eq!(rests.back_off(7 * SECOND, ENDPOINT, USED), BackOff::Over);
+    assert_eq!(
+        back_offs.back_off(7 * SECOND, ENDPOINT, USED),
+        BackOff::Over
+    );
 }
 
 fn balancer(ids: &[&str]) -> Balancer {
@@ -181,12 +191,12 @@
 }
 
 #[test]
-fn where_all_rest_callers_are_refused_with_the_time_when_the_first_is_back() {
+fn callers_are_refused_until_the_first_back_off_ends_where_all_endpoints_are_in_back_off() {
     let mut balancer = balancer(&["a", "b", "c"]);
     let ask = ask(1, 100, 0, SECOND);
-    for (id, rest_us) in [("a", 3 * SECOND), ("b", 2 * SECOND), ("c", 0)] {
+    for (id, period_us) in [("a", 3 * SECOND), ("b", 2 * SECOND), ("c", 0)] {
         assert!(balancer.refuse_at_rest(SECOND, &ask).is_none());
-        balancer.heard_rest(SECOND, entry(id, "here", 4).key(), rest_us, 1, 0.0);
+        balancer.heard_rest(SECOND, entry(id, "here", 4).key(), period_us, 1, 0.0);
     }
     balancer.heard_leaving(SECOND, entry("c", "here", 4).key());
     let later = crate::support::ask(2, 100, 0, 3 * SECOND);
@@ -208,7 +218,7 @@
 }
 
 #[test]
-fn where_one_serves_and_was_tried_callers_are_not_told_of_rests() {
+fn back_offs_do_not_set_the_retry_time_where_an_endpoint_serves_and_was_tried() {
     let mut balancer = balancer(&["a", "b"]);
     let (a, b) = (entry("a", "here", 4).key(), entry("b", "here", 4).key());
     balancer.heard_rest(SECOND, a, 100 * SECOND, 1, 0.0);
@@ -217,10 +227,10 @@
 }
 
 #[test]
-fn an_entry_that_comes_back_is_bound_and_a_later_start_is_not() {
+fn a_back_off_applies_to_an_entry_that_returns_and_not_to_a_later_start() {
     let mut balancer = balancer(&["a"]);
     let first = entry("a", "here", 4);
-    balancer.heard_rest(SECOND, first.key(), REST_US, 1, 0.0);
+    balancer.heard_rest(SECOND, first.key(), PERIOD_US, 1, 0.0);
     balancer.endpoint_removed(2 * SECOND, "a", 2);
     balancer.tick(2 * SECOND);
     balancer.endpoint_seen(first.clone(), 3);
@@ -237,13 +247,13 @@
 }
 
 #[test]
-fn a_place_that_another_instance_gave_is_not_taken_in_a_rest() {
+fn a_place_that_another_instance_granted_is_not_used_in_a_back_off() {
     let mut balancer = balancer(&["a"]);
     let ask = ask(1, 100, 0, SECOND);
     let Placement::Send(choice) = balancer.place(SECOND, &ask, &[]) else {
         panic!("a place");
     };
-    balancer.heard_rest(SECOND, choice.key, REST_US, 1, 0.0);
+    balancer.heard_rest(SECOND, choice.key, PERIOD_US, 1, 0.0);
     assert!(
         balancer
             .take_place(SECOND, &ask, choice.key, choice.expected)
@@ -251,7 +261,7 @@
     );
 }
 
-/// Places requests until an endpoint is chosen for the first time; returns how many went elsewhere.
+/// Places requests until an endpoint is chosen for the first time; returns how many were sent elsewhere.
 fn placed_before(balancer: &mut Balancer, id: &str) -> usize {
     (0..100)
         .take_while(|number| {
@@ -262,80 +272,80 @@
         .count()
 }
 
-/// Seven instances, one of which was asked: the others use endpoints that nobody was asked to spare first, and that one
-/// once they are as full.
+/// An endpoint requested a back-off from one of seven instances: the others prefer endpoints without a back-off, and use
+/// this one once those are as loaded.
 #[test]
-fn what_others_were_asked_for_is_a_sign_of_load() {
-    let (mut asked, mut other) = (balancer(&["a", "b"]), balancer(&["a", "b"]));
+fn back_offs_requested_from_others_are_a_sign_of_load() {
+    let (mut notified, mut other) = (balancer(&["a", "b"]), balancer(&["a", "b"]));
     let key = entry("a", "here", 4).key();
-    asked.heard_rest(SECOND, key, REST_US, 7, 0.0);
-    assert!(asked.take_standing_news());
-    let words = asked.take_told_standings(SECOND, Audience::Peers);
-    assert_eq!(words[0].rest_ms, 3_000);
-    other.told_standings(SECOND, &words);
+    notified.heard_rest(SECOND, key, PERIOD_US, 7, 0.0);
+    assert!(notified.take_standing_news());
+    let updates = notified.take_told_standings(SECOND, Audience::Peers);
+    assert_eq!(updates[0].rest_ms, 3_000);
+    other.told_standings(SECOND, &updates);
     assert_eq!(
         other.standing(SECOND, key),
         Standing::Serves,
-        "it was not asked"
+        "the back-off does not bind it"
     );
     let elsewhere = placed_before(&mut other, "a");
     assert!(
         (4..8).contains(&elsewhere),
-        "{elsewhere} to the other, of four slots"
+        "{elsewhere} to the other endpoint, which has four slots"
     );
-    let mut none_told = balancer(&["a", "b"]);
-    assert!(placed_before(&mut none_told, "a") < 2);
-    // It is over for all in the same moment, and is told on with the time that is left.
+    let mut without_updates = balancer(&["a", "b"]);
+    assert!(placed_before(&mut without_updates, "a") < 2);
+    // It ends at the same moment for all, and updates on it carry the remaining time.
     let later = other.take_told_standings(3 * SECOND, Audience::Peers);
     assert_eq!(later[0].rest_ms, 1_000);
     assert!(other.standings().wants_back_off(4 * SECOND - 1, key));
     assert!(!other.standings().wants_back_off(4 * SECOND, key));
 }
 
-/// Many instances are asked one after the other: that is told once, not by each anew.
+/// Guards against an update from each instance when an endpoint requests a back-off from many, one after the other.
 #[test]
-fn a_rest_that_is_known_already_is_no_news() {
+fn a_known_back_off_causes_no_further_update() {
     let mut balancer = balancer(&["a"]);
     let key = entry("a", "here", 4).key();
-    balancer.heard_rest(SECOND, key, REST_US, 7, 0.0);
+    balancer.heard_rest(SECOND, key, PERIOD_US, 7, 0.0);
     assert!(balancer.take_standing_news());
     for step in 1..4 {
-        balancer.heard_rest(SECOND + step * 100 * MS, key, REST_US, 7, 0.0);
+        balancer.heard_rest(SECOND + step * 100 * MS, key, PERIOD_US, 7, 0.0);
         assert!(!balancer.take_standing_news());
     }
-    balancer.heard_rest(2 * SECOND, key, REST_US, 7, 0.0);
-    assert!(balancer.take_standing_news(), "another rest");
+    balancer.heard_rest(2 * SECOND, key, PERIOD_US, 7, 0.0);
+    assert!(balancer.take_standing_news(), "another back-off");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(500))]
-    /// Whatever comes in any order, no request goes in the time that any word asked for, and where nothing is asked any
-    /// more the endpoint serves within a second of the end.
+    /// In any order of events, no request is sent within any requested period, and the endpoint serves again within a
+    /// second of the end of the last one.
     #[test]
-    fn no_request_goes_in_any_rest(steps in prop::collection::vec((0_u8..5, 0_u64..900, 0_u64..2_000), 1..80)) {
-        let mut rests = BackOffs::default();
+    fn no_request_is_sent_within_any_period(steps in prop::collection::vec((0_u8..5, 0_u64..900, 0_u64..2_000), 1..80)) {
+        let mut back_offs = BackOffs::default();
         let (mut now_us, mut until_us, mut sent_us) = (SECOND, 0, 0);
-        for (what, pause_ms, rest_ms) in steps {
-            now_us += pause_ms * MS;
-            match what {
+        for (event, delay_ms, rest_ms) in steps {
+            now_us += delay_ms * MS;
+            match event {
                 0 => {
-                    rests.note_requested(now_us, ENDPOINT, rest_ms * MS, 7, 0.3);
+                    back_offs.note_requested(now_us, ENDPOINT, rest_ms * MS, 7, 0.3);
                     until_us = until_us.max(now_us + rest_ms * MS);
                 }
-                1 => { rests.note_answered(ENDPOINT, sent_us); }
-                2 => rests.note_unanswered(ENDPOINT, sent_us),
-                3 => rests.expire(now_us, |_| true),
+                1 => { back_offs.note_answered(ENDPOINT, sent_us); }
+                2 => back_offs.note_unanswered(ENDPOINT, sent_us),
+                3 => back_offs.expire(now_us, |_| true),
                 _ => {
-                    let rest = rests.back_off(now_us, ENDPOINT, || rest_ms % 2 == 0);
-                    prop_assert!(rest != BackOff::Over || now_us >= until_us, "{now_us} {until_us}");
-                    if rest == BackOff::Over {
-                        rests.note_sent(now_us, ENDPOINT);
+                    let state = back_offs.back_off(now_us, ENDPOINT, || rest_ms % 2 == 0);
+                    prop_assert!(state != BackOff::Over || now_us >= until_us, "{now_us} {until_us}");
+                    if state == BackOff::Over {
+                        back_offs.note_sent(now_us, ENDPOINT);
                         sent_us = now_us;
                     }
                 }
             }
         }
         let late_us = until_us.max(now_us) + SECOND;
-        prop_assert_eq!(rests.back_off(late_us, ENDPOINT, UNUSED), BackOff::Over);
+        prop_assert_eq!(back_offs.back_off(late_us, ENDPOINT, UNUSED), BackOff::Over);
     }
 }
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -1,4 +1,4 @@
-//! That a start of an endpoint leaves is final, whatever the store, other instances or later answers say.
+//! That a start of an endpoint is leaving is final, whatever the store, other instances or later responses say.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -14,10 +14,10 @@
 
 use crate::support::{MS, SECOND, ask, entry};
 
-/// Far more starts than are remembered.
-const CROWD: u32 = 10_000;
+/// Far more starts than are stored.
+const STARTS: u32 = 10_000;
 
-fn born(id: &str, born_ms: u64) -> EndpointEntry {
+fn entry_of_start(id: &str, born_ms: u64) -> EndpointEntry {
     EndpointEntry {
         born_ms,
         ..entry(id, "here", 4)
@@ -27,13 +27,13 @@
 fn balancer(ids: &[&str]) -> Balancer {
     let mut balancer = Balancer::new("here".into());
     for id in ids {
-        balancer.endpoint_seen(born(id, 1), 1);
+        balancer.endpoint_seen(entry_of_start(id, 1), 1);
     }
     balancer.endpoints_reached(1);
     balancer
 }
 
-fn told(balancer: &mut Balancer, now_us: u64) -> Vec<AnnouncementUpdate> {
+fn due_updates(balancer: &mut Balancer, now_us: u64) -> Vec<AnnouncementUpdate> {
     balancer.take_told_standings(now_us, Audience::Peers)
 }
 
@@ -49,12 +49,12 @@
 }
 
 #[test]
-fn where_all_leave_callers_are_refused_at_once_with_a_time_to_come_back() {
+fn callers_are_refused_with_a_retry_time_where_all_endpoints_are_leaving() {
     let mut balancer = balancer(&["a", "b"]);
     for id in ["a", "b"] {
-        let key = born(id, 1).key();
+        let key = entry_of_start(id, 1).key();
         assert!(balancer.heard_leaving(SECOND, key));
-        assert!(!balancer.heard_leaving(SECOND, key), "it is known");
+        assert!(!balancer.heard_leaving(SECOND, key), "already known");
     }
     let placement = balancer.place(SECOND, &ask(1, 100, 0, SECOND), &[]);
     assert_matches!(placement, Placement::Refuse { retry_after_ms, .. } if retry_after_ms >= 100);
@@ -64,40 +64,43 @@
 #[test]
 fn a_later_start_and_another_id_at_the_same_address_serve_at_once() {
     let mut balancer = balancer(&["a"]);
-    balancer.heard_leaving(SECOND, born("a", 1).key());
+    balancer.heard_leaving(SECOND, entry_of_start("a", 1).key());
     assert_eq!(chosen(&mut balancer, SECOND, 1), None);
-    balancer.endpoint_seen(born("a", 2), 2);
-    assert_eq!(chosen(&mut balancer, SECOND, 2), Some(born("a", 2).key()));
+    balancer.endpoint_seen(entry_of_start("a", 2), 2);
+    assert_eq!(
+        chosen(&mut balancer, SECOND, 2),
+        Some(entry_of_start("a", 2).key())
+    );
 
     let mut other = self::balancer(&["a"]);
-    other.heard_leaving(SECOND, born("a", 1).key());
+    other.heard_leaving(SECOND, entry_of_start("a", 1).key());
     let same_addr = EndpointEntry {
-        addr: born("a", 1).addr,
-        ..born("b", 1)
+        addr: entry_of_start("a", 1).addr,
+        ..entry_of_start("b", 1)
     };
     other.endpoint_seen(same_addr.clone(), 2);
     assert_eq!(chosen(&mut other, SECOND, 3), Some(same_addr.key()));
 }
 
 #[test]
-fn a_place_that_another_instance_gave_there_is_not_taken() {
+fn a_place_that_another_instance_granted_is_not_used_on_a_leaving_endpoint() {
     let mut balancer = balancer(&["a"]);
     let ask = ask(1, 100, 0, SECOND);
     let Placement::Send(choice) = balancer.place(SECOND, &ask, &[]) else {
         panic!("a place");
     };
     balancer.heard_leaving(SECOND, choice.key);
-    let taken = balancer.take_place(SECOND, &ask, choice.key, choice.expected);
-    assert!(taken.is_none(), "{taken:?}");
+    let placed = balancer.take_place(SECOND, &ask, choice.key, choice.expected);
+    assert!(placed.is_none(), "{placed:?}");
     assert_eq!(balancer.standing(SECOND, choice.key), Standing::Leaves);
 }
 
 #[test]
-fn a_full_table_forgets_starts_that_are_in_no_list_first() {
+fn a_full_table_evicts_unlisted_starts_first() {
     let mut balancer = balancer(&["a", "b"]);
-    let key = born("a", 1).key();
+    let key = entry_of_start("a", 1).key();
     balancer.heard_leaving(SECOND, key);
-    for number in 0..CROWD {
+    for number in 0..STARTS {
         let now_us = SECOND + u64::from(number) * MS;
         balancer.heard_leaving(now_us, EndpointKey(number));
         if number % 100 == 0 {
@@ -105,75 +108,78 @@
         }
     }
     assert!(
-        balancer.standings().leaving() < CROWD as usize,
-        "it is bounded"
+        balancer.standings().leaving() < STARTS as usize,
+        "the table is bounded"
     );
     assert_eq!(balancer.standing(20 * SECOND, key), Standing::Leaves);
 }
 
 #[test]
-fn it_is_told_for_as_long_as_it_is_in_a_list_and_to_whoever_knows_less() {
+fn it_is_sent_while_the_endpoint_is_listed_and_to_instances_that_do_not_know_it() {
     let (mut one, mut other) = (balancer(&["a", "b"]), balancer(&["a", "b"]));
-    let key = born("a", 1).key();
+    let key = entry_of_start("a", 1).key();
     one.heard_leaving(SECOND, key);
     assert!(one.take_standing_news());
-    let news = told(&mut one, SECOND);
-    assert_eq!(other.told_standings(SECOND, &news).len(), 1);
-    assert!(other.told_standings(SECOND, &news).is_empty(), "known");
+    let updates = due_updates(&mut one, SECOND);
+    assert_eq!(other.told_standings(SECOND, &updates).len(), 1);
+    assert!(
+        other.told_standings(SECOND, &updates).is_empty(),
+        "already known"
+    );
     assert_eq!(other.standing(SECOND, key), Standing::Leaves);
-    // An instance that starts much later hears it.
-    while !told(&mut one, SECOND).is_empty() {}
-    assert_eq!(told(&mut one, 100 * SECOND), news);
-    // One that asks for a permit and does not know is told.
-    let fresh = balancer(&["a", "b"]);
-    let asked = fresh.told_standing(SECOND, key);
-    assert!(!asked.leaves);
+    // It is still sent to instances that start much later.
+    while !due_updates(&mut one, SECOND).is_empty() {}
+    assert_eq!(due_updates(&mut one, 100 * SECOND), updates);
+    // An instance that requests a permit and does not know it receives an update.
+    let later = balancer(&["a", "b"]);
+    let update = later.told_standing(SECOND, key);
+    assert!(!update.leaves);
     one.heard_limit(
         SECOND,
         key,
         0,
         &LimitHeader::Rate(ryevalve::limits::rate::RequestRate::parse("2").expect("a rate")),
     );
-    one.told_standings(101 * SECOND, &[asked]);
+    one.told_standings(101 * SECOND, &[update]);
     assert!(one.take_standing_news());
     assert!(one.told_standing(101 * SECOND, key).leaves);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(500))]
-    /// After one instance has heard it, nothing that comes in any order makes it choose that start again, nor another
-    /// instance that was told.
+    /// Once an instance knows that a start is leaving, from a response or an update, nothing makes it choose that start
+    /// again, in whatever order events arrive.
     #[test]
-    fn nothing_undoes_it(steps in prop::collection::vec((0_u8..10, 0_usize..2, 0_u64..3_000), 1..80)) {
+    fn nothing_reverts_it(steps in prop::collection::vec((0_u8..10, 0_usize..2, 0_u64..3_000), 1..80)) {
         let mut both = [balancer(&["a", "b"]), balancer(&["a", "b"])];
-        let key = born("a", 1).key();
+        let key = entry_of_start("a", 1).key();
         let mut now_us = SECOND;
         let mut revision = 2;
         both[0].heard_leaving(now_us, key);
         let mut knows = [true, false];
-        for (what, which, pause_ms) in steps {
-            now_us += pause_ms * MS;
+        for (event, index, delay_ms) in steps {
+            now_us += delay_ms * MS;
             revision += 1;
-            let balancer = &mut both[which];
-            match what {
-                // The entry is written anew as ready, goes, or lapses; a list is made anew with or without it.
-                0 | 1 => { balancer.endpoint_seen(born("a", 1), revision); }
+            let balancer = &mut both[index];
+            match event {
+                // The entry is rewritten as ready, removed, or expires; the list is rebuilt with or without it.
+                0 | 1 => { balancer.endpoint_seen(entry_of_start("a", 1), revision); }
                 2 => { balancer.endpoint_removed(now_us, "a", revision); }
                 3 => balancer.store_was_away(now_us),
                 4 => { balancer.endpoints_listed(now_us, revision, |id| id == "b"); }
                 5 => { balancer.endpoints_listed(now_us, revision, |_| true); }
-                // An answer without the word that overtook.
+                // A reordered response without the header.
                 6 => balancer.note_answered(key, now_us),
                 7 => { balancer.heard_limit(now_us, key, 0, &LimitHeader::Absent); }
-                // What the other has is copied, and what it was told.
+                // The endpoints of the other instance are copied, and its updates are received.
                 8 => {
-                    let copy = both[1 - which].endpoints_since(both[which].endpoints_revision());
-                    both[which].take_endpoints(now_us, copy);
+                    let copy = both[1 - index].endpoints_since(both[index].endpoints_revision());
+                    both[index].take_endpoints(now_us, copy);
                 }
                 _ => {
-                    let words = told(&mut both[which], now_us);
-                    both[1 - which].told_standings(now_us, &words);
-                    knows[1 - which] |= words.iter().any(|w| w.endpoint == key && w.leaves);
+                    let updates = due_updates(&mut both[index], now_us);
+                    both[1 - index].told_standings(now_us, &updates);
+                    knows[1 - index] |= updates.iter().any(|u| u.endpoint == key && u.leaves);
                 }
             }
             for (balancer, knows) in both.iter_mut().zip(knows) {
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -1,4 +1,4 @@
-//! Retries of all instances together stay within the budget, whatever they know of each other.
+//! The retries of all instances stay within the budget, whatever the instances know of each other.
 
 use proptest::prelude::*;
 use ryevalve::{
@@ -22,19 +22,19 @@
 };
 
 #[test]
-fn retries_follow_requests_and_the_share_of_the_slack() {
+fn retries_are_limited_by_requests_and_the_share_of_the_slack() {
     let mut budget = RetryBudget::new(BOUNDS);
     let service = "model".into();
-    let taken = |budget: &mut RetryBudget| {
+    let granted = |budget: &mut RetryBudget| {
         (0..)
             .take_while(|_| budget.try_take(0, &service, 5))
             .count()
     };
-    assert_eq!(taken(&mut budget), 6, "a share of the slack alone");
+    assert_eq!(granted(&mut budget), 6, "only the share of the slack");
     for _ in 0..100 {
         budget.note_request(0, &service);
     }
-    assert_eq!(taken(&mut budget), 12, "and a share of 100 requests");
+    assert_eq!(granted(&mut budget), 12, "also the share of 100 requests");
     assert!(!budget.try_take(9 * SECOND, &service, 5));
     assert!(
         budget.try_take(11 * SECOND, &service, 5),
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn one_service_does_not_spend_another_ones() {
+fn services_have_separate_budgets() {
     let mut budget = RetryBudget::new(BOUNDS);
     while budget.try_take(0, &"model".into(), 1) {}
     assert!(budget.try_take(0, &"plain".into(), 1));
@@ -51,14 +51,14 @@
 
 proptest! {
     #[test]
-    fn any_window_holds(
+    fn no_window_exceeds_the_budget(
         steps in prop::collection::vec((0_u64..200, 0_usize..7, any::<bool>()), 1..600),
     ) {
         let service = "model".into();
         let mut budgets: Vec<RetryBudget> = (0..7).map(|_| RetryBudget::new(BOUNDS)).collect();
         let (mut now_us, mut requests, mut retries) = (0, Vec::new(), Vec::new());
-        for (pause_ms, instance, is_request) in steps {
-            now_us += pause_ms * MS;
+        for (delay_ms, instance, is_request) in steps {
+            now_us += delay_ms * MS;
             if is_request {
                 budgets[instance].note_request(now_us, &service);
                 requests.push(now_us);
@@ -69,18 +69,18 @@
         for from in &retries {
             let inside = |at: &&u64| (*from..from + 10 * SECOND).contains(*at);
             let window = retries.iter().filter(inside).count() as f64;
-            // Requests count in the window and in the one before, whichever has more.
+            // The budget follows the requests of this window or of the previous one, whichever has more.
             let before = |at: &&u64| (from.saturating_sub(10 * SECOND)..*from).contains(*at);
-            let asked = requests.iter().filter(inside).count();
-            let asked = asked.max(requests.iter().filter(before).count()) as f64;
-            prop_assert!(window <= asked * BOUNDS.ratio + BOUNDS.slack);
+            let counted = requests.iter().filter(inside).count();
+            let counted = counted.max(requests.iter().filter(before).count()) as f64;
+            prop_assert!(window <= counted * BOUNDS.ratio + BOUNDS.slack);
         }
     }
 }
 
-/// Guards against a budget of which nobody in a large group has a whole retry.
+/// Guards against a slack that is divided into equal shares, of which no instance of a large group gets a whole retry.
 #[test]
-fn the_slack_is_given_out_in_whole_retries_however_many_share_it() {
+fn the_slack_is_divided_into_whole_retries_for_any_number_of_instances() {
     const SLACK: f64 = 1_040.0;
     let bounds = RetryBounds {
         slack: SLACK,
@@ -95,16 +95,22 @@
                 .take_while(|_| budget.try_take(0, &service, instances))
                 .count()
         });
-        let all = retries.sum::<usize>() as f64;
-        assert!(all >= SLACK * 0.59, "{all} of {SLACK} over {instances}");
-        assert!(all <= SLACK * 0.6, "{all} of {SLACK} over {instances}");
+        let total = retries.sum::<usize>() as f64;
+        assert!(
+            total >= SLACK * 0.59,
+            "{total} of {SLACK} for {instances} instances"
+        );
+        assert!(
+            total <= SLACK * 0.6,
+            "{total} of {SLACK} for {instances} instances"
+        );
     }
 }
 
 #[test]
-fn the_part_of_a_group_that_is_cut_off_keeps_its_share_of_retries() {
+fn a_partitioned_part_of_a_group_keeps_its_share_of_retries() {
     let gateway = Gateway::new(PlatformProtocol, "hall".into(), bounds(true), true);
-    let sees = |instances| {
+    let set_live_instances = |instances| {
         gateway.set_sharers(InstanceCounts {
             all: instances,
             heard: instances,
@@ -112,9 +118,9 @@
     };
     let service = "model".into();
     gateway.quota.set_instances(6);
-    sees(6);
+    set_live_instances(6);
     let share = gateway.retries_left(&service);
-    // The others were silent for so long that the exchange forgot them.
-    sees(3);
+    // The other instances were silent for so long that the exchange dropped them.
+    set_live_instances(3);
     assert_eq!(gateway.retries_left(&service), share);
 }
--- a/tests/gateway/suspects.rs
+++ b/tests/gateway/suspects.rs
@@ -1,4 +1,4 @@
-//! Which requests are blocked because endpoints ended under them, and what instances tell each other of it.
+//! Which requests are blocked because endpoints crashed under them, and the updates on them between instances.
 
 use ryevalve::{
     balance::load::EndpointKey,
@@ -8,29 +8,29 @@
 use crate::support::SECOND;
 
 const ENDPOINTS: usize = 20;
-const WORK: Fingerprint = Fingerprint(7);
+const REQUEST: Fingerprint = Fingerprint(7);
 
-fn is_blocked(book: &SuspectTable, now_us: u64, fingerprint: Fingerprint) -> bool {
-    book.blocked_us(now_us, fingerprint, ENDPOINTS).is_some()
+fn is_blocked(table: &SuspectTable, now_us: u64, fingerprint: Fingerprint) -> bool {
+    table.blocked_us(now_us, fingerprint, ENDPOINTS).is_some()
 }
 
-/// A book in which endpoints 1 to `endings` ended under [`WORK`], a second apart.
-fn book_of(endings: u32) -> SuspectTable {
-    let mut book = SuspectTable::default();
-    for number in 1..=endings {
+/// Returns a table in which endpoints 1 to `crashes` crashed under [`REQUEST`], a second apart.
+fn table_with(crashes: u32) -> SuspectTable {
+    let mut table = SuspectTable::default();
+    for number in 1..=crashes {
         let now_us = u64::from(number) * SECOND;
-        book.note_crash(now_us, WORK, EndpointKey(number));
+        table.note_crash(now_us, REQUEST, EndpointKey(number));
     }
-    book
+    table
 }
 
 #[test]
-fn fingerprints_tell_work_apart_and_not_tries() {
+fn fingerprints_differ_between_requests_and_not_between_attempts() {
     let of = |method, path, organisation, body: &str| {
         Fingerprint::of(method, path, organisation, body.as_bytes())
     };
-    let work = of("POST", "/a/b?c=d", Some("org"), "body");
-    assert_eq!(work, of("POST", "/a/b?c=d", Some("org"), "body"));
+    let request = of("POST", "/a/b?c=d", Some("org"), "body");
+    assert_eq!(request, of("POST", "/a/b?c=d", Some("org"), "body"));
     for other in [
         of("PUT", "/a/b?c=d", Some("org"), "body"),
         of("POST", "/a/b?c=e", Some("org"), "body"),
@@ -40,98 +40,100 @@
         of("POST", "/a/b?c=dorg", None, "body"),
         of("POST", "/a/b?c=d", Some("orgb"), "ody"),
     ] {
-        assert_ne!(work, other);
+        assert_ne!(request, other);
     }
 }
 
 #[test]
-fn two_endings_block_a_request_and_one_does_not() {
-    assert!(!is_blocked(&book_of(1), 2 * SECOND, WORK));
-    let book = book_of(2);
-    assert!(is_blocked(&book, 3 * SECOND, WORK));
-    assert!(!is_blocked(&book, 3 * SECOND, Fingerprint(8)));
-    // For ten minutes, and then not.
-    assert!(is_blocked(&book, 601 * SECOND, WORK));
-    assert!(!is_blocked(&book, 603 * SECOND, WORK));
+fn two_crashes_block_a_request_and_one_does_not() {
+    assert!(!is_blocked(&table_with(1), 2 * SECOND, REQUEST));
+    let table = table_with(2);
+    assert!(is_blocked(&table, 3 * SECOND, REQUEST));
+    assert!(!is_blocked(&table, 3 * SECOND, Fingerprint(8)));
+    // It stays blocked for ten minutes after the last crash.
+    assert!(is_blocked(&table, 601 * SECOND, REQUEST));
+    assert!(!is_blocked(&table, 603 * SECOND, REQUEST));
 }
 
 #[test]
-fn the_same_ending_told_twice_is_one() {
-    let mut book = book_of(1);
-    book.note_crash(2 * SECOND, WORK, EndpointKey(1));
-    assert_eq!(book.crashes(WORK), 1);
+fn a_crash_that_is_noted_twice_counts_once() {
+    let mut table = table_with(1);
+    table.note_crash(2 * SECOND, REQUEST, EndpointKey(1));
+    assert_eq!(table.crashes(REQUEST), 1);
 }
 
-/// Where endpoints end all over, two of them may well have ended under one request by chance.
+/// Guards against blocking a harmless request while many endpoints crash: two of them may have run it by chance.
 #[test]
-fn while_others_end_two_endings_do_not_block_and_three_do() {
-    let mut book = book_of(2);
+fn while_other_endpoints_crash_three_crashes_block_and_two_do_not() {
+    let mut table = table_with(2);
     for number in 100..104 {
-        book.note_crash(3 * SECOND, Fingerprint(number), EndpointKey(number as u32));
+        table.note_crash(3 * SECOND, Fingerprint(number), EndpointKey(number as u32));
     }
-    assert!(!is_blocked(&book, 4 * SECOND, WORK));
-    // Nor the others, which were at one each.
-    assert!(!is_blocked(&book, 4 * SECOND, Fingerprint(100)));
-    // Ten seconds later they do not say anything any more.
-    assert!(is_blocked(&book, 14 * SECOND, WORK));
-    book.note_crash(4 * SECOND, WORK, EndpointKey(3));
-    assert!(is_blocked(&book, 4 * SECOND, WORK));
+    assert!(!is_blocked(&table, 4 * SECOND, REQUEST));
+    // The other requests had one crash each.
+    assert!(!is_blocked(&table, 4 * SECOND, Fingerprint(100)));
+    // Ten seconds later the other crashes no longer count.
+    assert!(is_blocked(&table, 14 * SECOND, REQUEST));
+    table.note_crash(4 * SECOND, REQUEST, EndpointKey(3));
+    assert!(is_blocked(&table, 4 * SECOND, REQUEST));
 }
 
-/// A poll that all callers of an organisation make alike is at every endpoint that ends.
+/// Guards against blocking a request that all callers of an organisation send, such as a poll: it runs on every
+/// endpoint that crashes.
 #[test]
-fn a_whole_run_clears_a_request_and_word_of_its_endings_that_comes_late_does_not_block_it() {
-    let mut elsewhere = book_of(3);
-    let late = elsewhere.take_due_updates(4 * SECOND, Audience::Peers);
-    let mut book = book_of(3);
-    book.note_completed(4 * SECOND, WORK);
-    assert!(!is_blocked(&book, 4 * SECOND, WORK));
-    book.apply_updates(5 * SECOND, &late);
-    assert!(!is_blocked(&book, 5 * SECOND, WORK));
-    // The others hear that it was cleared.
-    elsewhere.apply_updates(
+fn a_completed_run_clears_a_request_and_late_updates_do_not_block_it() {
+    let mut other_table = table_with(3);
+    let late_updates = other_table.take_due_updates(4 * SECOND, Audience::Peers);
+    let mut table = table_with(3);
+    table.note_completed(4 * SECOND, REQUEST);
+    assert!(!is_blocked(&table, 4 * SECOND, REQUEST));
+    table.apply_updates(5 * SECOND, &late_updates);
+    assert!(!is_blocked(&table, 5 * SECOND, REQUEST));
+    // The other instance receives that it was cleared.
+    other_table.apply_updates(
         5 * SECOND,
-        &book.take_due_updates(5 * SECOND, Audience::Peers),
+        &table.take_due_updates(5 * SECOND, Audience::Peers),
     );
-    assert!(!is_blocked(&elsewhere, 5 * SECOND, WORK));
-    // What ends from now on counts anew.
+    assert!(!is_blocked(&other_table, 5 * SECOND, REQUEST));
+    // Later crashes count again.
     for number in 10..13 {
-        book.note_crash(6 * SECOND, WORK, EndpointKey(number));
+        table.note_crash(6 * SECOND, REQUEST, EndpointKey(number));
     }
-    assert!(is_blocked(&book, 6 * SECOND, WORK));
+    assert!(is_blocked(&table, 6 * SECOND, REQUEST));
 }
 
 #[test]
-fn what_is_new_is_told_three_times_and_what_is_blocked_again_and_again() {
-    let mut book = book_of(2);
+fn changes_are_sent_three_times_and_blocked_requests_periodically() {
+    let mut table = table_with(2);
     let mut one = SuspectTable::default();
     one.note_crash(SECOND, Fingerprint(9), EndpointKey(1));
     for _ in 0..3 {
-        assert_eq!(book.take_due_updates(3 * SECOND, Audience::Peers).len(), 1);
+        assert_eq!(table.take_due_updates(3 * SECOND, Audience::Peers).len(), 1);
         assert_eq!(one.take_due_updates(3 * SECOND, Audience::Peers).len(), 1);
     }
     assert!(
-        book.take_due_updates(3 * SECOND, Audience::Peers)
+        table
+            .take_due_updates(3 * SECOND, Audience::Peers)
             .is_empty()
     );
     let mut later = SuspectTable::default();
     later.apply_updates(
         5 * SECOND,
-        &book.take_due_updates(5 * SECOND, Audience::Peers),
+        &table.take_due_updates(5 * SECOND, Audience::Peers),
     );
-    assert!(is_blocked(&later, 5 * SECOND, WORK));
+    assert!(is_blocked(&later, 5 * SECOND, REQUEST));
     assert!(
         one.take_due_updates(60 * SECOND, Audience::Peers)
             .is_empty()
     );
 }
 
-/// Two instances that forget at different moments must not remind each other for ever.
+/// Guards against two instances that drop an entry at different moments and restore it for each other for ever.
 #[test]
-fn what_is_forgotten_stays_so_though_others_forget_later() {
-    let (mut one, mut other) = (book_of(2), SuspectTable::default());
-    for tenth in 0..7_000 {
-        let now_us = 2 * SECOND + tenth * SECOND / 10;
+fn expired_entries_are_not_restored_by_instances_that_expire_them_later() {
+    let (mut one, mut other) = (table_with(2), SuspectTable::default());
+    for step in 0..7_000 {
+        let now_us = 2 * SECOND + step * SECOND / 10;
         other.apply_updates(
             now_us + SECOND / 4,
             &one.take_due_updates(now_us, Audience::Peers),
@@ -151,67 +153,75 @@
     );
 }
 
-/// A flood: endpoints end under ever new requests, most of them met by chance.
+/// Endpoints crash under ever new requests, most of which run there by chance.
 #[test]
-fn a_flood_of_suspects_takes_bounded_memory_and_forgets_no_blocked_one_first() {
-    let mut book = book_of(3);
+fn many_suspects_take_bounded_memory_and_do_not_evict_blocked_ones() {
+    let mut table = table_with(3);
     for number in 1_000..60_000_u64 {
         let now_us = 4 * SECOND + number;
-        book.note_crash(now_us, Fingerprint(number), EndpointKey(number as u32));
+        table.note_crash(now_us, Fingerprint(number), EndpointKey(number as u32));
     }
-    assert!(book.len() <= 4_096, "{}", book.len());
-    assert!(is_blocked(&book, 5 * SECOND, WORK));
-    let told = book.take_due_updates(5 * SECOND, Audience::Peers);
-    assert!(told.len() <= 16, "a datagram's worth, not {}", told.len());
+    assert!(table.len() <= 4_096, "{}", table.len());
+    assert!(is_blocked(&table, 5 * SECOND, REQUEST));
+    let updates = table.take_due_updates(5 * SECOND, Audience::Peers);
+    assert!(
+        updates.len() <= 16,
+        "{} updates do not fit in a datagram",
+        updates.len()
+    );
 }
 
-/// What many send is at many endpoints when they end in a burst; being blocked it would have no run to clear it.
+/// Guards against blocking a request that many callers send when endpoints crash in a burst: it runs on many of them,
+/// and once it is blocked no run can clear it.
 #[test]
-fn a_request_that_ran_whole_right_before_is_not_held_for_endings_that_follow() {
-    let mut book = SuspectTable::default();
-    book.note_completed(SECOND, WORK);
+fn crashes_shortly_after_a_completed_run_do_not_block_a_request() {
+    let mut table = SuspectTable::default();
+    table.note_completed(SECOND, REQUEST);
     for endpoint in 0..8 {
-        book.note_crash(SECOND + 200_000, WORK, EndpointKey(endpoint));
+        table.note_crash(SECOND + 200_000, REQUEST, EndpointKey(endpoint));
     }
-    assert!(!is_blocked(&book, SECOND + 300_000, WORK));
-    // Others, where it has not run before, hold them against it, and are told.
+    assert!(!is_blocked(&table, SECOND + 300_000, REQUEST));
+    // An instance where it has not completed suspects it until it receives an update.
     let mut other = SuspectTable::default();
     for endpoint in 0..3 {
-        other.note_crash(SECOND + 200_000, WORK, EndpointKey(endpoint));
+        other.note_crash(SECOND + 200_000, REQUEST, EndpointKey(endpoint));
     }
-    assert!(is_blocked(&other, SECOND + 300_000, WORK));
-    book.apply_updates(
+    assert!(is_blocked(&other, SECOND + 300_000, REQUEST));
+    table.apply_updates(
         SECOND + 300_000,
         &other.take_due_updates(SECOND + 300_000, Audience::Peers),
     );
     other.apply_updates(
         SECOND + 400_000,
-        &book.take_due_updates(SECOND + 400_000, Audience::Peers),
+        &table.take_due_updates(SECOND + 400_000, Audience::Peers),
     );
-    assert!(!is_blocked(&other, SECOND + 400_000, WORK));
+    assert!(!is_blocked(&other, SECOND + 400_000, REQUEST));
 }
 
-/// Work that ran well and ends endpoints from some moment on is blocked a little later than other work.
+/// A request that completed at first and crashes endpoints later on is blocked with a short delay.
 #[test]
-fn a_request_that_ends_endpoints_from_some_moment_on_is_blocked_soon_after_its_last_whole_run() {
-    let mut book = SuspectTable::default();
-    book.note_completed(SECOND, WORK);
-    book.note_crash(2 * SECOND, WORK, EndpointKey(1));
+fn a_request_that_starts_to_crash_endpoints_is_blocked_soon_after_its_last_completed_run() {
+    let mut table = SuspectTable::default();
+    table.note_completed(SECOND, REQUEST);
+    table.note_crash(2 * SECOND, REQUEST, EndpointKey(1));
     for endpoint in 2..5 {
-        book.note_crash(3 * SECOND + 1, WORK, EndpointKey(endpoint));
+        table.note_crash(3 * SECOND + 1, REQUEST, EndpointKey(endpoint));
     }
-    assert!(is_blocked(&book, 3 * SECOND + 1, WORK));
+    assert!(is_blocked(&table, 3 * SECOND + 1, REQUEST));
 }
 
 #[test]
-fn whole_runs_take_bounded_memory_and_are_forgotten() {
-    let mut book = SuspectTable::default();
+fn completed_runs_take_bounded_memory_and_expire() {
+    let mut table = SuspectTable::default();
     for number in 0..100_000 {
-        book.note_completed(SECOND, Fingerprint(number));
+        table.note_completed(SECOND, Fingerprint(number));
     }
-    book.expire(4 * SECOND);
-    book.note_completed(4 * SECOND, WORK);
-    book.note_crash(4 * SECOND, WORK, EndpointKey(1));
-    assert!(!book.is_suspected(WORK), "there is room again");
-    assert!(book.is_empty() || book.len() == 1);
+    table.expire(4 * SECOND);
+    table.note_completed(4 * SECOND, REQUEST);
+    table.note_crash(4 * SECOND, REQUEST, EndpointKey(1));
+    assert!(
+        !table.is_suspected(REQUEST),
+        "there is space for the completed run again"
+    );
+    assert!(table.is_empty() || table.len() == 1);
 }
--- a/tests/properties/suspects.rs
+++ b/tests/properties/suspects.rs
@@ -1,4 +1,4 @@
-//! What instances believe of requests that end endpoints is the same in whatever order words come, late or twice.
+//! Instances agree on the requests that crash endpoints, however updates are reordered, delayed or duplicated.
 
 use proptest::prelude::*;
 use ryevalve::{
@@ -10,105 +10,108 @@
     },
 };
 
-const BOOKS: usize = 4;
+const INSTANCES: usize = 4;
 const REQUESTS: u64 = 3;
 const STEP_US: u64 = 50_000;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// An endpoint ended under a request of an instance.
-    Ends {
-        book: usize,
+    /// An endpoint crashed under a request of an instance.
+    Crashes {
+        instance: usize,
         request: u64,
         endpoint: u32,
     },
-    /// A request ran to its end at an instance.
-    Runs { book: usize, request: u64 },
-    /// An instance tells; the word is lost where nobody gets it.
-    Tells { book: usize, heard: [bool; BOOKS] },
-    /// A word that was told before comes again.
-    Repeats { word: usize, book: usize },
-    /// An instance starts again and knows nothing.
-    Restarts { book: usize },
+    /// A request of an instance completed.
+    Completes { instance: usize, request: u64 },
+    /// An instance sends an update, which is lost for those that are not in `received`.
+    Sends {
+        instance: usize,
+        received: [bool; INSTANCES],
+    },
+    /// An earlier update arrives again.
+    Duplicates { update: usize, instance: usize },
+    /// An instance restarts and loses its state.
+    Restarts { instance: usize },
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let book = 0..BOOKS;
+    let instance = 0..INSTANCES;
     prop_oneof![
-        4 => (book.clone(), 0..REQUESTS, 0..5_u32)
-            .prop_map(|(book, request, endpoint)| Step::Ends { book, request, endpoint }),
-        1 => (book.clone(), 0..REQUESTS).prop_map(|(book, request)| Step::Runs { book, request }),
-        6 => (book.clone(), any::<[bool; BOOKS]>())
-            .prop_map(|(book, heard)| Step::Tells { book, heard }),
-        2 => (any::<prop::sample::Index>(), book.clone())
-            .prop_map(|(word, book)| Step::Repeats { word: word.index(1_000), book }),
-        1 => book.prop_map(|book| Step::Restarts { book }),
+        4 => (instance.clone(), 0..REQUESTS, 0..5_u32)
+            .prop_map(|(instance, request, endpoint)| Step::Crashes { instance, request, endpoint }),
+        1 => (instance.clone(), 0..REQUESTS).prop_map(|(instance, request)| Step::Completes { instance, request }),
+        6 => (instance.clone(), any::<[bool; INSTANCES]>())
+            .prop_map(|(instance, received)| Step::Sends { instance, received }),
+        2 => (any::<prop::sample::Index>(), instance.clone())
+            .prop_map(|(update, instance)| Step::Duplicates { update: update.index(1_000), instance }),
+        1 => instance.prop_map(|instance| Step::Restarts { instance }),
     ]
 }
 
-fn endings(book: &SuspectTable) -> Vec<usize> {
+fn crashes(table: &SuspectTable) -> Vec<usize> {
     (0..REQUESTS)
-        .map(|r| book.crashes(Fingerprint(r)))
+        .map(|r| table.crashes(Fingerprint(r)))
         .collect()
 }
 
 proptest! {
-    /// Once every instance was heard by all, those that know of a request believe the same of it, and no more
-    /// endings than there were.
+    /// Once all have received the updates of all, they block the same requests; and none ever counts more crashes than
+    /// there were.
     #[test]
-    fn all_come_to_believe_the_same(steps in prop::collection::vec(step(), 1..80)) {
-        let mut books: Vec<SuspectTable> = (0..BOOKS).map(|_| SuspectTable::default()).collect();
-        let mut words: Vec<Vec<SuspectUpdate>> = Vec::new();
-        let mut ended = std::collections::HashSet::new();
+    fn instances_converge_on_the_same_blocked_requests(steps in prop::collection::vec(step(), 1..80)) {
+        let mut tables: Vec<SuspectTable> = (0..INSTANCES).map(|_| SuspectTable::default()).collect();
+        let mut updates: Vec<Vec<SuspectUpdate>> = Vec::new();
+        let mut crashed = std::collections::HashSet::new();
         let mut now_us = STEP_US;
         for step in steps {
             now_us += STEP_US;
             match step {
-                Step::Ends { book, request, endpoint } => {
-                    ended.insert((request, endpoint));
-                    books[book].note_crash(now_us, Fingerprint(request), EndpointKey(endpoint));
+                Step::Crashes { instance, request, endpoint } => {
+                    crashed.insert((request, endpoint));
+                    tables[instance].note_crash(now_us, Fingerprint(request), EndpointKey(endpoint));
                 }
-                Step::Runs { book, request } => {
-                    books[book].note_completed(now_us, Fingerprint(request));
+                Step::Completes { instance, request } => {
+                    tables[instance].note_completed(now_us, Fingerprint(request));
                 }
-                Step::Tells { book, heard } => {
-                    let word = books[book].take_due_updates(now_us, Audience::Peers);
-                    for (book, _) in heard.iter().enumerate().filter(|(_, heard)| **heard) {
-                        books[book].apply_updates(now_us, &word);
+                Step::Sends { instance, received } => {
+                    let update = tables[instance].take_due_updates(now_us, Audience::Peers);
+                    for (instance, _) in received.iter().enumerate().filter(|(_, received)| **received) {
+                        tables[instance].apply_updates(now_us, &update);
                     }
-                    words.push(word);
+                    updates.push(update);
                 }
-                Step::Repeats { word, book } if !words.is_empty() => {
-                    let word = words[word % words.len()].clone();
-                    books[book].apply_updates(now_us, &word);
+                Step::Duplicates { update, instance } if !updates.is_empty() => {
+                    let update = updates[update % updates.len()].clone();
+                    tables[instance].apply_updates(now_us, &update);
                 }
-                Step::Repeats { .. } => {}
-                Step::Restarts { book } => books[book] = SuspectTable::default(),
+                Step::Duplicates { .. } => {}
+                Step::Restarts { instance } => tables[instance] = SuspectTable::default(),
             }
-            for book in &books {
-                for (request, believed) in endings(book).into_iter().enumerate() {
-                    let were = ended.iter().filter(|(r, _)| *r == request as u64).count();
-                    prop_assert!(believed <= were);
+            for table in &tables {
+                for (request, counted) in crashes(table).into_iter().enumerate() {
+                    let actual = crashed.iter().filter(|(r, _)| *r == request as u64).count();
+                    prop_assert!(counted <= actual);
                 }
             }
         }
-        // What is blocked, or nearly so, is told again and again.
-        for _ in 0..BOOKS {
+        // Suspects that are blocked or nearly so are resent periodically.
+        for _ in 0..INSTANCES {
             now_us += 2_000_000;
-            for teller in 0..BOOKS {
-                let word = books[teller].take_due_updates(now_us, Audience::Peers);
-                for book in &mut books {
-                    book.apply_updates(now_us, &word);
+            for sender in 0..INSTANCES {
+                let update = tables[sender].take_due_updates(now_us, Audience::Peers);
+                for table in &mut tables {
+                    table.apply_updates(now_us, &update);
                 }
             }
         }
-        let blocked = |book: &SuspectTable| {
+        let blocked = |table: &SuspectTable| {
             let all = (0..REQUESTS).map(Fingerprint);
-            all.filter(|f| book.blocked_us(now_us, *f, 100).is_some()).collect::<Vec<_>>()
+            all.filter(|f| table.blocked_us(now_us, *f, 100).is_some()).collect::<Vec<_>>()
         };
-        let first = blocked(&books[0]);
-        for book in &books[1..] {
-            prop_assert_eq!(&blocked(book), &first);
+        let first = blocked(&tables[0]);
+        for table in &tables[1..] {
+            prop_assert_eq!(&blocked(table), &first);
         }
     }
 }
