--- a/src/limits/announcements.rs
+++ b/src/limits/announcements.rs
@@ -234,15 +234,15 @@
         if self.leaves(endpoint) {
             return false;
         }
-        let is_new = self.entry(now_us, endpoint).is_some_and(|entry| {
+        let is_stored = self.entry(now_us, endpoint).is_some_and(|entry| {
             entry.leaves = true;
             entry.dissemination.mark_changed(Audience::Peers);
             entry.dissemination.mark_changed(Audience::Hall);
             true
         });
-        self.has_changes |= is_new;
+        self.has_changes |= is_stored;
         self.update_counts();
-        is_new
+        is_stored
     }
 
     /// Returns whether an endpoint requested a back-off from some instance that has not ended.
--- a/tests/gateway/endpoint_limits.rs
+++ b/tests/gateway/endpoint_limits.rs
@@ -1,4 +1,4 @@
-//! What is known of limits that endpoints name, what instances tell each other of them, and what is placed by it.
+//! The known limits of endpoints, the updates on them between instances, permits, and placement under limits.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -25,7 +25,7 @@
     RequestRate::parse(text).expect("a rate")
 }
 
-fn named(text: &str) -> LimitHeader {
+fn limit_header(text: &str) -> LimitHeader {
     LimitHeader::Rate(rate(text))
 }
 
@@ -33,18 +33,18 @@
     limits.rate(ENDPOINT).map(|rate| rate.to_string())
 }
 
-/// Says a word to a request that was sent knowing all that is known.
-fn hear(limits: &mut EndpointAnnouncements, word: &LimitHeader) {
+/// Notes a header of the response to a request that was sent when the latest version was known.
+fn respond(limits: &mut EndpointAnnouncements, header: &LimitHeader) {
     let version = limits.version(ENDPOINT);
-    limits.note_limit(SECOND, ENDPOINT, version, word);
+    limits.note_limit(SECOND, ENDPOINT, version, header);
 }
 
-fn told(limits: &mut EndpointAnnouncements, now_us: u64) -> Vec<AnnouncementUpdate> {
+fn due_updates(limits: &mut EndpointAnnouncements, now_us: u64) -> Vec<AnnouncementUpdate> {
     limits.take_due_updates(now_us, Audience::Peers, |_| true)
 }
 
 #[test]
-fn a_rate_is_a_decimal_number_and_nothing_else() {
+fn only_decimal_numbers_are_rates() {
     for (text, per_s) in [
         ("1.8", 1.8),
         ("2", 2.0),
@@ -59,78 +59,79 @@
     ] {
         assert_eq!(RequestRate::parse(text), None, "{text}");
     }
-    assert!(
-        rate("99999999999999999999").per_s() > 1e6,
-        "cut, not spoiled"
-    );
+    assert!(rate("99999999999999999999").per_s() > 1e6, "capped");
 }
 
 #[test]
-fn a_lower_word_holds_at_once_and_a_higher_one_only_if_it_is_known_to_be_later() {
+fn a_lower_limit_applies_at_once_and_a_higher_one_only_if_it_is_known_to_be_newer() {
     let mut limits = EndpointAnnouncements::default();
-    hear(&mut limits, &named("4"));
-    let early = limits.version(ENDPOINT);
-    hear(&mut limits, &named("2"));
+    respond(&mut limits, &limit_header("4"));
+    let early_version = limits.version(ENDPOINT);
+    respond(&mut limits, &limit_header("2"));
     assert_eq!(limit(&limits).as_deref(), Some("2.000"));
-    // Answers to requests that were sent before it was lowered overtake nothing.
-    for word in [named("4"), LimitHeader::Absent] {
-        limits.note_limit(SECOND, ENDPOINT, early, &word);
+    // Responses to requests that were sent before the limit was lowered do not raise it.
+    for header in [limit_header("4"), LimitHeader::Absent] {
+        limits.note_limit(SECOND, ENDPOINT, early_version, &header);
         assert_eq!(limit(&limits).as_deref(), Some("2.000"));
     }
-    limits.note_limit(SECOND, ENDPOINT, early, &named("1"));
-    assert_eq!(limit(&limits).as_deref(), Some("1.000"), "it may be later");
-    hear(&mut limits, &named("3"));
+    limits.note_limit(SECOND, ENDPOINT, early_version, &limit_header("1"));
+    assert_eq!(limit(&limits).as_deref(), Some("1.000"), "it may be newer");
+    respond(&mut limits, &limit_header("3"));
     assert_eq!(limit(&limits).as_deref(), Some("3.000"));
-    hear(&mut limits, &LimitHeader::Absent);
+    respond(&mut limits, &LimitHeader::Absent);
     assert_eq!(limit(&limits), None);
     assert!(!limits.has_limits());
-    limits.note_limit(SECOND, ENDPOINT, early, &named("3"));
-    assert_eq!(limit(&limits).as_deref(), Some("3.000"), "named again");
+    limits.note_limit(SECOND, ENDPOINT, early_version, &limit_header("3"));
+    assert_eq!(limit(&limits).as_deref(), Some("3.000"), "stated again");
 }
 
 #[test]
-fn a_word_that_cannot_be_read_changes_nothing_and_is_noted_once() {
+fn an_unreadable_header_changes_nothing_and_is_noted_once() {
     let mut limits = EndpointAnnouncements::default();
-    hear(&mut limits, &named("4"));
-    let spoiled = LimitHeader::Unreadable("four".into());
-    hear(&mut limits, &spoiled);
+    respond(&mut limits, &limit_header("4"));
+    let unreadable = LimitHeader::Unreadable("four".into());
+    respond(&mut limits, &unreadable);
     assert_eq!(limit(&limits).as_deref(), Some("4.000"));
     assert!(limits.note_unreadable(ENDPOINT));
     assert!(!limits.note_unreadable(ENDPOINT));
-    hear(&mut limits, &named("4"));
+    respond(&mut limits, &limit_header("4"));
     assert!(
         limits.note_unreadable(ENDPOINT),
-        "a sound word came between"
+        "a readable header came in between"
     );
 }
 
 #[test]
-fn one_that_knows_less_is_told_and_what_is_over_is_not_told_for_ever() {
+fn an_instance_that_knows_less_gets_an_update_and_a_lifted_limit_is_not_resent_for_ever() {
     let (mut one, mut other) = (
         EndpointAnnouncements::default(),
         EndpointAnnouncements::default(),
     );
-    hear(&mut one, &named("4"));
-    let late = told(&mut one, SECOND);
-    other.apply_updates(SECOND, &late);
-    hear(&mut other, &LimitHeader::Absent);
+    respond(&mut one, &limit_header("4"));
+    let late_updates = due_updates(&mut one, SECOND);
+    other.apply_updates(SECOND, &late_updates);
+    respond(&mut other, &LimitHeader::Absent);
     for round in 2..20 {
-        told(&mut other, round * SECOND);
+        due_updates(&mut other, round * SECOND);
     }
-    assert_eq!(told(&mut other, 20 * SECOND), [], "it is over");
-    other.apply_updates(20 * SECOND, &late);
-    assert_eq!(limit(&other), None, "late word of what is over");
-    one.apply_updates(21 * SECOND, &told(&mut other, 21 * SECOND));
+    assert_eq!(
+        due_updates(&mut other, 20 * SECOND),
+        [],
+        "the limit is lifted"
+    );
+    other.apply_updates(20 * SECOND, &late_updates);
+    assert_eq!(limit(&other), None, "a late update on a lifted limit");
+    one.apply_updates(21 * SECOND, &due_updates(&mut other, 21 * SECOND));
     assert_eq!(limit(&one), None);
 }
 
 #[test]
-fn a_limit_that_stands_is_told_again_and_again_but_not_of_endpoints_in_no_list() {
+fn a_limit_is_resent_periodically_unless_the_endpoint_is_not_listed() {
     let mut limits = EndpointAnnouncements::default();
-    hear(&mut limits, &named("4"));
+    respond(&mut limits, &limit_header("4"));
     for round in 1..10 {
         let now_us = round * 2 * SECOND;
-        assert_eq!(told(&mut limits, now_us).len(), 1);
+        assert_eq!(due_updates(&mut limits, now_us).len(), 1);
         assert_eq!(
             limits.take_due_updates(now_us + 1, Audience::Hall, |_| false),
             []
@@ -147,51 +148,53 @@
 fn memory_for_limits_is_bounded() {
     let mut limits = EndpointAnnouncements::default();
     for number in 0..10_000 {
-        limits.note_limit(SECOND, EndpointKey(number), 0, &named("1"));
+        limits.note_limit(SECOND, EndpointKey(number), 0, &limit_header("1"));
     }
     assert_eq!(limits.limited(), 4_096);
 }
 
 #[test]
-fn permits_come_at_the_rate_and_few_are_saved() {
-    let mut giver = PermitIssuer::default();
-    let mut given = |now_us: u64| giver.issue(now_us, ENDPOINT, rate("2"), 0) == Permit::Given;
-    assert!(given(0), "one at once");
-    assert!(!given(100_000));
-    assert!(given(500_000));
-    // After a pause one is due, and as many are saved as one and a half and a quarter of a second make.
-    let after_pause = (0..5).filter(|n| given(60 * SECOND + n)).count();
+fn permits_are_issued_at_the_rate_and_few_are_saved() {
+    let mut issuer = PermitIssuer::default();
+    let mut is_issued = |now_us: u64| issuer.issue(now_us, ENDPOINT, rate("2"), 0) == Permit::Given;
+    assert!(is_issued(0), "one at once");
+    assert!(!is_issued(100_000));
+    assert!(is_issued(500_000));
+    // After a pause one is due, and 1.5 permits and those of a quarter of a second (0.5) are saved.
+    let after_pause = (0..5).filter(|n| is_issued(60 * SECOND + n)).count();
     assert_eq!(after_pause, 3);
 }
 
-/// Urgent and other requests that ask ten times a second each, for more than an endpoint takes.
+/// Urgent and less urgent requests come up to ten times a second each, which is more than the limit.
 #[test]
-fn what_is_due_goes_to_the_more_urgent_first_and_whole_to_the_others_if_they_are_alone() {
-    let given_of = |asks: &[(u8, u64)], of: u8| {
-        let mut giver = PermitIssuer::default();
-        let mut given = 0;
-        for tenth in 0..600_u64 {
-            let due = asks.iter().filter(|(_, every)| tenth % every == 0);
+fn urgent_requests_get_permits_first_and_others_get_all_if_they_are_alone() {
+    let issued_to_rank = |intervals: &[(u8, u64)], of: u8| {
+        let mut issuer = PermitIssuer::default();
+        let mut issued = 0;
+        for tick in 0..600_u64 {
+            let due = intervals
+                .iter()
+                .filter(|(_, interval)| tick % interval == 0);
             for (rank, _) in due {
-                let permit = giver.issue(tenth * SECOND / 10, ENDPOINT, rate("2"), *rank);
-                given += u32::from(permit == Permit::Given && *rank == of);
+                let permit = issuer.issue(tick * SECOND / 10, ENDPOINT, rate("2"), *rank);
+                issued += u32::from(permit == Permit::Given && *rank == of);
             }
         }
-        given
+        issued
     };
-    assert!(given_of(&[(2, 1)], 2) >= 118, "alone, of 120");
+    assert!(issued_to_rank(&[(2, 1)], 2) >= 118, "alone, of 120");
     let both = [(2, 1), (0, 1)];
-    assert!(given_of(&both, 0) >= 115 && given_of(&both, 2) <= 5);
-    // The urgent ask for half of it.
+    assert!(issued_to_rank(&both, 0) >= 115 && issued_to_rank(&both, 2) <= 5);
+    // The urgent requests need half of the permits.
     let both = [(2, 1), (0, 10)];
-    assert!(given_of(&both, 0) >= 58 && given_of(&both, 2) >= 50);
+    assert!(issued_to_rank(&both, 0) >= 58 && issued_to_rank(&both, 2) >= 50);
 }
 
 #[test]
-fn one_that_gets_no_permit_hears_when_to_ask_again_later_the_more_ask() {
-    let mut giver = PermitIssuer::default();
-    giver.issue(0, ENDPOINT, rate("2"), 0);
-    let mut waits = (0..10).map(|_| match giver.issue(0, ENDPOINT, rate("2"), 0) {
+fn the_wait_after_a_denied_permit_grows_with_the_number_of_requests() {
+    let mut issuer = PermitIssuer::default();
+    issuer.issue(0, ENDPOINT, rate("2"), 0);
+    let mut waits = (0..10).map(|_| match issuer.issue(0, ENDPOINT, rate("2"), 0) {
         Permit::Denied { wait_us } => wait_us,
         Permit::Given => panic!("none is due"),
     });
@@ -201,62 +204,62 @@
 }
 
 #[test]
-fn an_endpoint_that_takes_nothing_is_still_asked_now_and_then() {
-    let mut giver = PermitIssuer::default();
-    let given =
-        (0..600).filter(|n| giver.issue(n * SECOND / 10, ENDPOINT, rate("0"), 0) == Permit::Given);
-    assert_eq!(given.count(), 12, "once in five seconds of a minute");
+fn permits_are_issued_at_a_minimum_rate_for_a_limit_of_zero() {
+    let mut issuer = PermitIssuer::default();
+    let issued =
+        (0..600).filter(|n| issuer.issue(n * SECOND / 10, ENDPOINT, rate("0"), 0) == Permit::Given);
+    assert_eq!(issued.count(), 12, "once in five seconds of a minute");
 }
 
 #[test]
-fn a_raised_rate_holds_at_once_and_a_permit_that_is_given_back_is_due_again() {
-    let mut giver = PermitIssuer::default();
-    assert_eq!(giver.issue(0, ENDPOINT, rate("0"), 0), Permit::Given);
-    let denied = giver.issue(SECOND, ENDPOINT, rate("0"), 0);
+fn a_raised_rate_applies_at_once_and_a_refunded_permit_is_due_again() {
+    let mut issuer = PermitIssuer::default();
+    assert_eq!(issuer.issue(0, ENDPOINT, rate("0"), 0), Permit::Given);
+    let denied = issuer.issue(SECOND, ENDPOINT, rate("0"), 0);
     assert_matches!(denied, Permit::Denied { .. });
     assert_eq!(
-        giver.issue(SECOND * 2, ENDPOINT, rate("10"), 0),
+        issuer.issue(SECOND * 2, ENDPOINT, rate("10"), 0),
         Permit::Denied { wait_us: 150_000 },
         "due in 100 ms, and one has been denied before"
     );
     assert_eq!(
-        giver.issue(SECOND * 21 / 10, ENDPOINT, rate("10"), 0),
+        issuer.issue(SECOND * 21 / 10, ENDPOINT, rate("10"), 0),
         Permit::Given
     );
-    giver.refund(ENDPOINT, rate("10"));
+    issuer.refund(ENDPOINT, rate("10"));
     assert_eq!(
-        giver.issue(SECOND * 21 / 10, ENDPOINT, rate("10"), 0),
+        issuer.issue(SECOND * 21 / 10, ENDPOINT, rate("10"), 0),
         Permit::Given
     );
 }
 
-/// A balancer of two endpoints of its hall, one of which names a limit.
+/// Returns a balancer with two endpoints in its hall, one of which has a limit.
 fn balancer() -> Balancer {
     let mut balancer = Balancer::new("here".into());
     for id in ["free", "limited"] {
         balancer.endpoint_seen(entry(id, "here", 4), 1);
     }
     let key = EndpointKey::of("limited");
-    balancer.heard_limit(0, key, 0, &named("2"));
+    balancer.heard_limit(0, key, 0, &limit_header("2"));
     balancer
 }
 
-fn sent(placement: Placement) -> Choice {
+fn chosen(placement: Placement) -> Choice {
     assert_matches!(placement, Placement::Send(choice) => choice)
 }
 
 #[test]
-fn without_a_permit_a_request_goes_elsewhere_and_only_where_there_is_nothing_else_it_is_refused() {
+fn without_a_permit_a_request_is_sent_elsewhere_or_refused_if_there_is_no_other_endpoint() {
     let mut balancer = balancer();
     let limited = EndpointKey::of("limited");
     for subject in 0..4 {
-        let choice = sent(balancer.place(0, &ask(subject, 100, 0, 0), &[]));
+        let choice = chosen(balancer.place(0, &ask(subject, 100, 0, 0), &[]));
         assert_eq!(&*choice.id, "free");
     }
-    // The other is full by now.
+    // The endpoint without a limit is full by now.
     let next = ask(9, 100, 0, 0);
     assert_eq!(balancer.wanted_permit(0, &next, &[]), Some(limited));
-    let choice = sent(balancer.place_with(0, &next, &[], Some(limited)));
+    let choice = chosen(balancer.place_with(0, &next, &[], Some(limited)));
     assert_eq!(choice.key, limited);
     let tried = [EndpointKey::of("free")];
     let refused = balancer.place(0, &next, &tried);
@@ -265,7 +268,7 @@
 }
 
 #[test]
-fn whoever_has_no_permit_is_not_asked_again_before_its_time() {
+fn after_a_denied_permit_none_is_requested_before_the_wait_is_over() {
     let mut balancer = balancer();
     let limited = EndpointKey::of("limited");
     let tried = [EndpointKey::of("free")];
@@ -282,8 +285,8 @@
         Some(limited)
     );
     balancer.note_no_permit(limited, 1, 9 * SECOND);
-    // A limit that has changed may be asked for at once.
-    balancer.heard_limit(SECOND, limited, 1, &named("4"));
+    // After a change of the limit a permit may be requested at once.
+    balancer.heard_limit(SECOND, limited, 1, &limit_header("4"));
     assert_eq!(
         balancer.wanted_permit(SECOND, &request, &tried),
         Some(limited)
@@ -291,28 +294,28 @@
 }
 
 #[test]
-fn a_later_start_of_an_endpoint_has_no_limit_of_the_one_before() {
+fn a_later_start_of_an_endpoint_does_not_inherit_the_limit() {
     let mut balancer = balancer();
-    let born = |born_ms: u64| EndpointEntry {
+    let entry_of_start = |born_ms: u64| EndpointEntry {
         born_ms,
         ..entry("limited", "here", 4)
     };
-    balancer.endpoint_seen(born(100), 2);
+    balancer.endpoint_seen(entry_of_start(100), 2);
     assert!(!balancer.standings().has_limits());
     let later = EndpointKey::of_start("limited", 100);
-    // An answer of the start before comes late.
+    // A late response of the earlier start.
     assert_eq!(
-        balancer.heard_limit(SECOND, EndpointKey::of("limited"), 0, &named("1")),
+        balancer.heard_limit(SECOND, EndpointKey::of("limited"), 0, &limit_header("1")),
         None
     );
     let tried = [EndpointKey::of("free")];
-    let choice = sent(balancer.place(0, &ask(1, 100, 0, 0), &tried));
+    let choice = chosen(balancer.place(0, &ask(1, 100, 0, 0), &tried));
     assert_eq!(choice.key, later);
 }
 
-/// Instances that were told of a limit keep to it though the endpoint's entry is away for some seconds.
+/// Guards against losing an endpoint's limit while its registry entry is missing for some seconds.
 #[test]
-fn an_endpoint_whose_entry_lapsed_and_came_back_has_its_limit_still() {
+fn an_endpoint_keeps_its_limit_while_its_entry_is_missing() {
     let mut balancer = balancer();
     balancer.store_was_away(SECOND);
     balancer.endpoint_removed(SECOND, "limited", 2);
@@ -331,37 +334,37 @@
 }
 
 #[test]
-fn in_a_large_group_endpoints_that_need_permits_take_no_place_among_those_looked_at() {
+fn in_a_large_group_endpoints_that_need_permits_do_not_count_among_those_considered() {
     let mut balancer = Balancer::new("here".into());
     balancer.picture_mut().set_group(Group::Large);
     for number in 0..40 {
         let id = format!("limited-{number}");
         balancer.endpoint_seen(entry(&id, "here", 4), 1);
-        balancer.heard_limit(0, EndpointKey::of(&id), 0, &named("1"));
+        balancer.heard_limit(0, EndpointKey::of(&id), 0, &limit_header("1"));
     }
     balancer.endpoint_seen(entry("free", "here", 4), 1);
     for draw in 0..20 {
         let request = ask(draw, 100, 0, 0);
-        let choice = sent(balancer.place(0, &request, &[]));
+        let choice = chosen(balancer.place(0, &request, &[]));
         assert_eq!(&*choice.id, "free");
         balancer.end(choice.key, 100, None);
     }
 }
 
-/// What the endpoint says, to whom, and which words between instances come.
+/// The responses of the endpoint, and the updates that arrive between instances.
 #[derive(Clone, Debug)]
 enum Step {
-    Says {
+    Responds {
         to: usize,
         milli_per_s: Option<u16>,
         is_late: bool,
     },
-    Tells {
+    SendsUpdate {
         from: usize,
         to: usize,
     },
-    TellsAgain {
-        word: usize,
+    DuplicatesUpdate {
+        index: usize,
         to: usize,
     },
 }
@@ -369,71 +372,71 @@
 const INSTANCES: usize = 4;
 
 fn step() -> impl Strategy<Value = Step> {
-    let says = (0..INSTANCES, proptest::option::of(1..4_u16), any::<bool>());
+    let responds = (0..INSTANCES, proptest::option::of(1..4_u16), any::<bool>());
     prop_oneof![
-        says.prop_map(|(to, milli_per_s, is_late)| Step::Says {
+        responds.prop_map(|(to, milli_per_s, is_late)| Step::Responds {
             to,
             milli_per_s,
             is_late
         }),
-        (0..INSTANCES, 0..INSTANCES).prop_map(|(from, to)| Step::Tells { from, to }),
-        (0..8_usize, 0..INSTANCES).prop_map(|(word, to)| Step::TellsAgain { word, to }),
+        (0..INSTANCES, 0..INSTANCES).prop_map(|(from, to)| Step::SendsUpdate { from, to }),
+        (0..8_usize, 0..INSTANCES).prop_map(|(index, to)| Step::DuplicatesUpdate { index, to }),
     ]
 }
 
 proptest! {
-    /// Whatever was said and told, late, twice or not at all: once all have told all, they know the same, and one
-    /// more word of the endpoint to any of them that knows it is what all know in the end.
+    /// However responses and updates are delayed, duplicated or lost: once all instances have exchanged updates they know
+    /// the same limit, and a later response to any of them is what all know in the end.
     #[test]
-    fn instances_come_to_know_what_the_endpoint_said_last(
+    fn instances_converge_on_the_last_limit_of_the_endpoint(
         steps in proptest::collection::vec(step(), 1..40),
-        last_to in 0..INSTANCES,
+        last_instance in 0..INSTANCES,
         last in proptest::option::of(1..4_u16),
     ) {
-        let word = |milli_per_s: Option<u16>| {
-            milli_per_s.map_or(LimitHeader::Absent, |m| named(&format!("0.00{m}")))
+        let header = |milli_per_s: Option<u16>| {
+            milli_per_s.map_or(LimitHeader::Absent, |m| limit_header(&format!("0.00{m}")))
         };
         let mut all: Vec<EndpointAnnouncements> = (0..INSTANCES).map(|_| EndpointAnnouncements::default()).collect();
-        let mut words: Vec<Vec<AnnouncementUpdate>> = Vec::new();
+        let mut updates: Vec<Vec<AnnouncementUpdate>> = Vec::new();
         let mut now_us = 0;
         for step in steps {
             now_us += 2 * SECOND;
             match step {
-                Step::Says { to, milli_per_s, is_late } => {
+                Step::Responds { to, milli_per_s, is_late } => {
                     let version = all[to].version(ENDPOINT);
                     let sent_at = if is_late { version.saturating_sub(1) } else { version };
-                    all[to].note_limit(now_us, ENDPOINT, sent_at, &word(milli_per_s));
+                    all[to].note_limit(now_us, ENDPOINT, sent_at, &header(milli_per_s));
                 }
-                Step::Tells { from, to } => {
-                    let told = told(&mut all[from], now_us);
-                    all[to].apply_updates(now_us, &told);
-                    words.push(told);
+                Step::SendsUpdate { from, to } => {
+                    let due_updates = due_updates(&mut all[from], now_us);
+                    all[to].apply_updates(now_us, &due_updates);
+                    updates.push(due_updates);
                 }
-                Step::TellsAgain { word, to } => {
-                    if let Some(told) = words.get(word) {
-                        all[to].apply_updates(now_us, told);
+                Step::DuplicatesUpdate { index, to } => {
+                    if let Some(due_updates) = updates.get(index) {
+                        all[to].apply_updates(now_us, due_updates);
                     }
                 }
             }
         }
-        let mut tell_all = |all: &mut Vec<EndpointAnnouncements>| {
+        let mut exchange_all = |all: &mut Vec<EndpointAnnouncements>| {
             for _ in 0..2 * INSTANCES {
                 now_us += 2 * SECOND;
                 for from in 0..INSTANCES {
-                    let told = told(&mut all[from], now_us);
-                    all.iter_mut().for_each(|to| drop(to.apply_updates(now_us, &told)));
+                    let due_updates = due_updates(&mut all[from], now_us);
+                    all.iter_mut().for_each(|to| drop(to.apply_updates(now_us, &due_updates)));
                 }
             }
         };
-        tell_all(&mut all);
+        exchange_all(&mut all);
         for other in &all[1..] {
             prop_assert_eq!(other.rate(ENDPOINT), all[0].rate(ENDPOINT));
         }
-        hear(&mut all[last_to], &word(last));
-        tell_all(&mut all);
+        respond(&mut all[last_instance], &header(last));
+        exchange_all(&mut all);
         for one in &all {
-            let said = last.map(|m| rate(&format!("0.00{m}")));
-            prop_assert_eq!(one.rate(ENDPOINT), said);
+            let expected = last.map(|m| rate(&format!("0.00{m}")));
+            prop_assert_eq!(one.rate(ENDPOINT), expected);
         }
     }
 }
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -120,16 +120,16 @@
     let key = entry_of_start("a", 1).key();
     one.heard_leaving(SECOND, key);
     assert!(one.take_standing_news());
-    let updates = due_updates(&mut one, SECOND);
-    assert_eq!(other.told_standings(SECOND, &updates).len(), 1);
+    let first_updates = due_updates(&mut one, SECOND);
+    assert_eq!(other.told_standings(SECOND, &first_updates).len(), 1);
     assert!(
-        other.told_standings(SECOND, &updates).is_empty(),
+        other.told_standings(SECOND, &first_updates).is_empty(),
         "already known"
     );
     assert_eq!(other.standing(SECOND, key), Standing::Leaves);
     // It is still sent to instances that start much later.
     while !due_updates(&mut one, SECOND).is_empty() {}
-    assert_eq!(due_updates(&mut one, 100 * SECOND), updates);
+    assert_eq!(due_updates(&mut one, 100 * SECOND), first_updates);
     // An instance that requests a permit and does not know it receives an update.
     let later = balancer(&["a", "b"]);
     let update = later.told_standing(SECOND, key);
--- a/tests/gateway/suspects_weighed.rs
+++ b/tests/gateway/suspects_weighed.rs
@@ -1,9 +1,9 @@
-//! Ways to decide which requests are blocked because endpoints ended under them, weighed by what callers lose.
+//! Compares strategies for blocking requests under which endpoints crashed, by what callers lose.
 //!
-//! A model in virtual time over the book that instances keep: endpoints of seven slots that queue, requests that
-//! are sent on once by their instance and once by their caller, work that ends each endpoint it begins to run at and
-//! comes again at any instance, and endpoints that end by themselves. An endpoint is back after four to five
-//! seconds; instances hear of each other's endings .1 to .3 s later, one word in ten only after 1.5 s more.
+//! A simulation in virtual time with the suspect tables of the instances: endpoints with seven slots and a queue,
+//! requests that are retried once by their instance and once by their caller, requests that crash each endpoint where
+//! they start to run and return at any instance, and endpoints that crash by themselves. An endpoint restarts after
+//! four to five seconds; instances receive each other's crashes .1 to .3 s later, and one in ten only after 1.5 s more.
 
 use std::{
     cmp::Reverse,
@@ -19,145 +19,147 @@
 };
 
 const SECOND: u64 = 1_000_000;
-const DAY_US: u64 = 40 * SECOND;
+const DURATION_US: u64 = 40 * SECOND;
 const SLOTS: usize = 7;
-/// A request's first event comes after this, and the last one so long after the first, in the mean.
-const FIRST_US: u64 = 150_000;
+/// Time until a request's first event, and the mean time from then to the last one.
+const FIRST_EVENT_US: u64 = 150_000;
 const RUN_US: f64 = 900_000.0;
-/// After this the rule counts: a request under which three endpoints ended may reach three more.
-const CONTACT_US: u64 = 3 * SECOND;
-/// Work that ends endpoints has numbers from here on.
-const FIRST_ENDING: u64 = 1 << 32;
-/// The work that many callers send.
+/// How long after the third crash under a request the strategy has to take effect: from then on the request may reach
+/// at most three more endpoints.
+const TAKE_EFFECT_US: u64 = 3 * SECOND;
+/// Requests that crash endpoints have numbers from here on.
+const FIRST_CRASHING: u64 = 1 << 32;
+/// The request that many callers send.
 const COMMON: u64 = 1 << 40;
-/// Where there is common work, instances tell each other what they hold against works in rounds.
+/// Interval of the rounds in which instances send updates, in scenarios with a common request.
 const ROUND_US: u64 = 250_000;
-/// Work that comes in step comes to all instances again after this.
-const STEP_US: u64 = 700_000;
-/// From this long after the first ending on no common request is to be refused.
+/// Interval at which synchronised requests return to all instances.
+const SYNCHRONISED_INTERVAL_US: u64 = 700_000;
+/// From this time on, about one second after the first crash, no common request may be refused.
 const COMMON_FROM_US: u64 = 6 * SECOND;
 
 #[derive(Clone, Copy, Debug)]
-enum Way {
+enum Strategy {
     Never,
     AtTwo,
     AtThree,
-    AsBuilt,
+    Current,
 }
 
 #[derive(Clone, Copy)]
-struct Load {
+struct Scenario {
     name: &'static str,
     instances: usize,
     endpoints: usize,
     requests_per_s: f64,
-    /// Work that ends endpoints, and how often each is tried.
-    ending: u64,
-    tries_per_s: f64,
-    /// Endpoints that end by themselves.
-    own_per_s: f64,
-    /// All instances are lost, with what they know, at this second.
+    /// Number of requests that crash endpoints, and how often each is sent.
+    crashing: u64,
+    attempts_per_s: f64,
+    /// Endpoints a second that crash by themselves.
+    crashes_per_s: f64,
+    /// All instances lose their state at this second.
     lost_at_s: u64,
-    /// The store kept what they knew for those that start then.
-    is_kept: bool,
-    /// Requests a second that are all the same work.
+    /// The state is persisted in the store and restored after that.
+    is_persisted: bool,
+    /// Requests a second that are all the common request.
     common_per_s: f64,
-    /// Work that ends endpoints comes to all instances at the same moments.
-    in_step: bool,
+    /// The requests that crash endpoints arrive at all instances at the same moments.
+    synchronised: bool,
 }
 
-const CALM: Load = Load {
-    name: "one request, 6 instances",
+const BASE: Scenario = Scenario {
+    name: "one crashing, 6 instances",
     instances: 6,
     endpoints: 18,
     requests_per_s: 92.0,
-    ending: 1,
-    tries_per_s: 1.7,
-    own_per_s: 0.0,
+    crashing: 1,
+    attempts_per_s: 1.7,
+    crashes_per_s: 0.0,
     lost_at_s: u64::MAX,
-    is_kept: false,
+    is_persisted: false,
     common_per_s: 0.0,
-    in_step: false,
+    synchronised: false,
 };
 
-/// Works that end endpoints and come to all instances at once, beside a common request.
-const fn in_step(
+/// Synchronised requests that crash endpoints, beside a common request.
+const fn synchronised(
     name: &'static str,
     instances: usize,
     endpoints: usize,
-    ending: u64,
+    crashing: u64,
     common_per_s: f64,
-) -> Load {
-    Load {
+) -> Scenario {
+    Scenario {
         name,
         instances,
         endpoints,
-        ending,
+        crashing,
         common_per_s,
-        in_step: true,
+        synchronised: true,
         requests_per_s: 20.0,
-        ..CALM
+        ..BASE
     }
 }
 
-const COMMON_LOADS: [Load; 5] = [
-    in_step("common, 7, one work", 7, 8, 1, 20.0),
-    in_step("common, 7, two works", 7, 8, 2, 20.0),
-    in_step("common, 18, eight works", 18, 18, 8, 40.0),
-    in_step("common, 18 on 8, two works", 18, 8, 2, 20.0),
-    in_step("common, 85, eight works", 85, 60, 8, 120.0),
+const COMMON_SCENARIOS: [Scenario; 5] = [
+    synchronised("common, 7, one crashing", 7, 8, 1, 20.0),
+    synchronised("common, 7, two crashing", 7, 8, 2, 20.0),
+    synchronised("common, 18, eight crashing", 18, 18, 8, 40.0),
+    synchronised("common, 18 on 8, two crashing", 18, 8, 2, 20.0),
+    synchronised("common, 85, eight crashing", 85, 60, 8, 120.0),
 ];
 
-const LOADS: [Load; 7] = [
-    CALM,
-    Load {
-        name: "one request, 85 instances",
+const SCENARIOS: [Scenario; 7] = [
+    BASE,
+    Scenario {
+        name: "one crashing, 85 instances",
         instances: 85,
         endpoints: 60,
         requests_per_s: 300.0,
-        ..CALM
+        ..BASE
     },
-    Load {
-        name: "a flood of twelve",
-        ending: 12,
-        ..CALM
+    Scenario {
+        name: "twelve crashing",
+        crashing: 12,
+        ..BASE
     },
-    Load {
-        name: "endpoints end by themselves",
-        ending: 0,
-        own_per_s: 1.0,
-        ..CALM
+    Scenario {
+        name: "crashes by themselves",
+        crashing: 0,
+        crashes_per_s: 1.0,
+        ..BASE
     },
-    Load {
+    Scenario {
         name: "both",
-        ending: 2,
-        own_per_s: 0.5,
-        ..CALM
+        crashing: 2,
+        crashes_per_s: 0.5,
+        ..BASE
     },
-    Load {
+    Scenario {
         name: "one, all instances lost",
         lost_at_s: 15,
-        ..CALM
+        ..BASE
     },
-    Load {
-        name: "the same, kept in the store",
+    Scenario {
+        name: "the same, persisted",
         lost_at_s: 15,
-        is_kept: true,
-        ..CALM
+        is_persisted: true,
+        ..BASE
     },
 ];
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    /// Arrivals of work that ends endpoints, and the most of one after three had ended and the contact time.
+    /// Arrivals of requests that crash endpoints, and the most of one request after its third crash and the time to take
+    /// effect.
     reached: usize,
-    most_after: usize,
-    ended: usize,
-    /// Other requests: that were at endpoints when they ended, blocked, and not served.
+    max_after: usize,
+    crashed: usize,
+    /// Other requests: those that ran on crashing endpoints, were blocked, and were not served.
     hit: usize,
     blocked: usize,
     lost: usize,
-    /// Common requests, and those refused once the first second is over.
+    /// Common requests, and those that were refused after [`COMMON_FROM_US`].
     common: usize,
     common_refused: usize,
 }
@@ -166,10 +168,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "reached {:5} after {:3} ended {:4} others: hit {:5} blocked {:4} lost {:5}, common {:5} refused {:5}",
+            "reached {:5} after {:3} crashed {:4} others: hit {:5} blocked {:4} lost {:5}, common {:5} refused {:5}",
             self.reached,
-            self.most_after,
-            self.ended,
+            self.max_after,
+            self.crashed,
             self.hit,
             self.blocked,
             self.lost,
@@ -180,33 +182,33 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Try {
-    work: u64,
-    /// Times that the instance, and then the caller, send it again.
-    resends: u8,
-    retries: u8,
+struct Attempt {
+    request: u64,
+    /// Remaining retries by the instance, and then by the caller.
+    instance_retries: u8,
+    caller_retries: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives(Try),
-    Repeats(u64),
-    Ends {
+    Arrives(Attempt),
+    Returns(u64),
+    Crashes {
         endpoint: usize,
         start: u32,
     },
-    EndsItself,
-    IsBack {
+    CrashesByItself,
+    Restarted {
         endpoint: usize,
     },
-    Done {
+    Completed {
         endpoint: usize,
         run: u64,
     },
-    Hears {
+    CrashReceived {
         instance: usize,
-        life: u32,
-        work: u64,
+        generation: u32,
+        request: u64,
         key: u32,
     },
     Round,
@@ -218,81 +220,83 @@
 struct Endpoint {
     start: u32,
     is_down: bool,
-    runs: HashMap<u64, (Try, usize)>,
+    runs: HashMap<u64, (Attempt, usize)>,
 }
 
-struct Model {
-    load: Load,
-    way: Way,
+struct Simulation {
+    scenario: Scenario,
+    strategy: Strategy,
     random: ChaCha8Rng,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     endpoints: Vec<Endpoint>,
-    books: Vec<SuspectTable>,
-    life: u32,
+    tables: Vec<SuspectTable>,
+    generation: u32,
     number: u64,
     starts: u32,
-    ended_under: HashMap<u64, Vec<u64>>,
+    crashes_under: HashMap<u64, Vec<u64>>,
     after: HashMap<u64, usize>,
     counts: Counts,
 }
 
-impl Model {
-    fn new(load: Load, way: Way, seed: u64) -> Self {
-        let mut model = Self {
-            load,
-            way,
+impl Simulation {
+    fn new(scenario: Scenario, strategy: Strategy, seed: u64) -> Self {
+        let mut simulation = Self {
+            scenario,
+            strategy,
             random: ChaCha8Rng::seed_from_u64(seed),
             events: BinaryHeap::new(),
-            endpoints: (0..load.endpoints).map(|_| Endpoint::default()).collect(),
-            books: (0..load.instances)
+            endpoints: (0..scenario.endpoints)
+                .map(|_| Endpoint::default())
+                .collect(),
+            tables: (0..scenario.instances)
                 .map(|_| SuspectTable::default())
                 .collect(),
-            life: 0,
+            generation: 0,
             number: 0,
-            starts: load.endpoints as u32,
-            ended_under: HashMap::new(),
+            starts: scenario.endpoints as u32,
+            crashes_under: HashMap::new(),
             after: HashMap::new(),
             counts: Counts::default(),
         };
-        for (index, endpoint) in model.endpoints.iter_mut().enumerate() {
+        for (index, endpoint) in simulation.endpoints.iter_mut().enumerate() {
             endpoint.start = index as u32;
         }
         let mut at_us = 0;
-        while at_us < DAY_US {
-            at_us += model.pause_us(load.requests_per_s);
-            let first = Try {
-                work: model.number,
-                resends: 1,
-                retries: 1,
+        while at_us < DURATION_US {
+            at_us += simulation.interval_us(scenario.requests_per_s);
+            let attempt = Attempt {
+                request: simulation.number,
+                instance_retries: 1,
+                caller_retries: 1,
             };
-            model.at(at_us, Event::Arrives(first));
+            simulation.schedule(at_us, Event::Arrives(attempt));
         }
-        for work in 0..load.ending {
-            let at_us = match load.in_step {
+        for request in 0..scenario.crashing {
+            let at_us = match scenario.synchronised {
                 true => 5 * SECOND,
-                false => 5 * SECOND + model.random.random_range(0..SECOND),
+                false => 5 * SECOND + simulation.random.random_range(0..SECOND),
             };
-            model.at(at_us, Event::Repeats(FIRST_ENDING + work));
+            simulation.schedule(at_us, Event::Returns(FIRST_CRASHING + request));
         }
-        if load.common_per_s > 0.0 {
-            model.at(0, Event::Common);
-            model.at(0, Event::Round);
+        if scenario.common_per_s > 0.0 {
+            simulation.schedule(0, Event::Common);
+            simulation.schedule(0, Event::Round);
         }
-        if load.own_per_s > 0.0 {
-            model.at(5 * SECOND, Event::EndsItself);
+        if scenario.crashes_per_s > 0.0 {
+            simulation.schedule(5 * SECOND, Event::CrashesByItself);
         }
-        if load.lost_at_s < DAY_US / SECOND {
-            model.at(load.lost_at_s * SECOND, Event::AllLost);
+        if scenario.lost_at_s < DURATION_US / SECOND {
+            simulation.schedule(scenario.lost_at_s * SECOND, Event::AllLost);
         }
-        model
+        simulation
     }
 
-    fn at(&mut self, at_us: u64, event: Event) {
+    fn schedule(&mut self, at_us: u64, event: Event) {
         self.number += 1;
         self.events.push(Reverse((at_us, self.number, event)));
     }
 
-    fn pause_us(&mut self, per_s: f64) -> u64 {
+    fn interval_us(&mut self, per_s: f64) -> u64 {
         let draw: f64 = self.random.random_range(f64::MIN_POSITIVE..1.0);
         (-draw.ln() / per_s * SECOND as f64) as u64 + 1
     }
@@ -301,231 +305,243 @@
         while let Some(Reverse((now_us, _, event))) = self.events.pop() {
             match event {
                 Event::Arrives(arrived) => self.send(now_us, arrived),
-                Event::Repeats(work) => {
-                    let arrived = Try {
-                        work,
-                        resends: 0,
-                        retries: 0,
+                Event::Returns(request) => {
+                    let arrived = Attempt {
+                        request,
+                        instance_retries: 0,
+                        caller_retries: 0,
                     };
-                    if self.load.in_step {
-                        for instance in 0..self.load.instances {
+                    if self.scenario.synchronised {
+                        for instance in 0..self.scenario.instances {
                             self.send_by(now_us, instance, arrived);
                         }
                     } else {
                         self.send(now_us, arrived);
                     }
-                    let next_us = match self.load.in_step {
-                        true => now_us + STEP_US,
-                        false => now_us + self.pause_us(self.load.tries_per_s),
+                    let next_us = match self.scenario.synchronised {
+                        true => now_us + SYNCHRONISED_INTERVAL_US,
+                        false => now_us + self.interval_us(self.scenario.attempts_per_s),
                     };
-                    if next_us < DAY_US {
-                        self.at(next_us, Event::Repeats(work));
+                    if next_us < DURATION_US {
+                        self.schedule(next_us, Event::Returns(request));
                     }
                 }
-                Event::Ends { endpoint, start } if self.endpoints[endpoint].start == start => {
-                    self.end(now_us, endpoint);
+                Event::Crashes { endpoint, start } if self.endpoints[endpoint].start == start => {
+                    self.crash(now_us, endpoint);
                 }
-                Event::Ends { .. } => {}
-                Event::EndsItself => {
+                Event::Crashes { .. } => {}
+                Event::CrashesByItself => {
                     let endpoint = self.random.random_range(0..self.endpoints.len());
-                    self.end(now_us, endpoint);
-                    let next_us = now_us + self.pause_us(self.load.own_per_s);
-                    if next_us < DAY_US {
-                        self.at(next_us, Event::EndsItself);
+                    self.crash(now_us, endpoint);
+                    let next_us = now_us + self.interval_us(self.scenario.crashes_per_s);
+                    if next_us < DURATION_US {
+                        self.schedule(next_us, Event::CrashesByItself);
                     }
                 }
-                Event::IsBack { endpoint } => {
+                Event::Restarted { endpoint } => {
                     self.starts += 1;
                     self.endpoints[endpoint].start = self.starts;
                     self.endpoints[endpoint].is_down = false;
                 }
-                Event::Done { endpoint, run } => {
-                    if let Some((done, instance)) = self.endpoints[endpoint].runs.remove(&run) {
-                        self.books[instance].note_completed(now_us, Fingerprint(done.work));
+                Event::Completed { endpoint, run } => {
+                    if let Some((completed, instance)) = self.endpoints[endpoint].runs.remove(&run)
+                    {
+                        self.tables[instance]
+                            .note_completed(now_us, Fingerprint(completed.request));
                     }
                 }
-                Event::Hears {
+                Event::CrashReceived {
                     instance,
-                    life,
-                    work,
+                    generation,
+                    request,
                     key,
-                } if life == self.life => {
-                    self.books[instance].note_crash(now_us, Fingerprint(work), EndpointKey(key));
+                } if generation == self.generation => {
+                    self.tables[instance].note_crash(
+                        now_us,
+                        Fingerprint(request),
+                        EndpointKey(key),
+                    );
                 }
                 Event::Round => {
-                    self.tell_each_other(now_us);
-                    if now_us + ROUND_US < DAY_US {
-                        self.at(now_us + ROUND_US, Event::Round);
+                    self.exchange_updates(now_us);
+                    if now_us + ROUND_US < DURATION_US {
+                        self.schedule(now_us + ROUND_US, Event::Round);
                     }
                 }
                 Event::Common => {
-                    let arrived = Try {
-                        work: COMMON,
-                        resends: 0,
-                        retries: 0,
+                    let arrived = Attempt {
+                        request: COMMON,
+                        instance_retries: 0,
+                        caller_retries: 0,
                     };
                     self.send(now_us, arrived);
-                    let next_us = now_us + self.pause_us(self.load.common_per_s);
-                    if next_us < DAY_US {
-                        self.at(next_us, Event::Common);
+                    let next_us = now_us + self.interval_us(self.scenario.common_per_s);
+                    if next_us < DURATION_US {
+                        self.schedule(next_us, Event::Common);
                     }
                 }
-                Event::Hears { .. } => {}
+                Event::CrashReceived { .. } => {}
                 Event::AllLost => {
-                    self.life += 1;
-                    let kept = self.books[0].to_persist(now_us);
-                    self.books.fill_with(SuspectTable::default);
-                    for book in self.books.iter_mut().filter(|_| self.load.is_kept) {
-                        book.apply_updates(now_us, &kept);
+                    self.generation += 1;
+                    let persisted = self.tables[0].to_persist(now_us);
+                    self.tables.fill_with(SuspectTable::default);
+                    for table in self
+                        .tables
+                        .iter_mut()
+                        .filter(|_| self.scenario.is_persisted)
+                    {
+                        table.apply_updates(now_us, &persisted);
                     }
                 }
             }
         }
-        self.counts.most_after = self.after.values().copied().max().unwrap_or(0);
+        self.counts.max_after = self.after.values().copied().max().unwrap_or(0);
         self.counts
     }
 
-    fn is_blocked(&self, now_us: u64, instance: usize, work: u64) -> bool {
-        let (book, work) = (&self.books[instance], Fingerprint(work));
-        match self.way {
-            Way::Never => false,
-            Way::AtTwo => book.crashes(work) >= 2,
-            Way::AtThree => book.crashes(work) >= 3,
-            Way::AsBuilt => book.blocked_us(now_us, work, self.load.endpoints).is_some(),
+    fn is_blocked(&self, now_us: u64, instance: usize, request: u64) -> bool {
+        let (table, request) = (&self.tables[instance], Fingerprint(request));
+        match self.strategy {
+            Strategy::Never => false,
+            Strategy::AtTwo => table.crashes(request) >= 2,
+            Strategy::AtThree => table.crashes(request) >= 3,
+            Strategy::Current => table
+                .blocked_us(now_us, request, self.scenario.endpoints)
+                .is_some(),
         }
     }
 
-    /// Each tells the others what it would in a round; one word in ten is lost.
-    fn tell_each_other(&mut self, now_us: u64) {
-        for by in 0..self.books.len() {
-            let word = self.books[by].take_due_updates(now_us, Audience::Peers);
-            for to in (0..self.books.len()).filter(|to| *to != by) {
-                if !word.is_empty() && self.random.random_range(0..10) > 0 {
-                    self.books[to].apply_updates(now_us, &word);
+    /// Each instance sends the others its updates of a round; one in ten is lost.
+    fn exchange_updates(&mut self, now_us: u64) {
+        for sender in 0..self.tables.len() {
+            let updates = self.tables[sender].take_due_updates(now_us, Audience::Peers);
+            for to in (0..self.tables.len()).filter(|to| *to != sender) {
+                if !updates.is_empty() && self.random.random_range(0..10) > 0 {
+                    self.tables[to].apply_updates(now_us, &updates);
                 }
             }
         }
     }
 
-    /// Sends a try through any instance.
-    fn send(&mut self, now_us: u64, arrived: Try) {
-        let instance = self.random.random_range(0..self.load.instances);
+    /// Sends an attempt through a random instance.
+    fn send(&mut self, now_us: u64, arrived: Attempt) {
+        let instance = self.random.random_range(0..self.scenario.instances);
         self.send_by(now_us, instance, arrived);
     }
 
-    /// Sends a try to one of the endpoints with the shortest queues.
-    fn send_by(&mut self, now_us: u64, instance: usize, arrived: Try) {
-        let is_ending = (FIRST_ENDING..COMMON).contains(&arrived.work);
-        let is_common = arrived.work == COMMON;
+    /// Sends an attempt to one of the endpoints with the shortest queues.
+    fn send_by(&mut self, now_us: u64, instance: usize, arrived: Attempt) {
+        let is_crashing = (FIRST_CRASHING..COMMON).contains(&arrived.request);
+        let is_common = arrived.request == COMMON;
         self.counts.common += usize::from(is_common);
-        if self.is_blocked(now_us, instance, arrived.work) {
+        if self.is_blocked(now_us, instance, arrived.request) {
             let is_late = is_common && now_us >= COMMON_FROM_US;
             self.counts.common_refused += usize::from(is_late);
-            self.counts.blocked += usize::from(!is_ending);
-            self.counts.lost += usize::from(!is_ending);
+            self.counts.blocked += usize::from(!is_crashing);
+            self.counts.lost += usize::from(!is_crashing);
             return;
         }
-        let up = (0..self.endpoints.len()).filter(|e| !self.endpoints[*e].is_down);
-        let up: Vec<usize> = up.collect();
+        let available = (0..self.endpoints.len()).filter(|e| !self.endpoints[*e].is_down);
+        let available: Vec<usize> = available.collect();
         let length = |e: &usize| self.endpoints[*e].runs.len();
-        let Some(shortest) = up.iter().map(length).min() else {
-            self.counts.lost += usize::from(!is_ending);
+        let Some(shortest) = available.iter().map(length).min() else {
+            self.counts.lost += usize::from(!is_crashing);
             return;
         };
-        let near: Vec<usize> = up
+        let candidates: Vec<usize> = available
             .iter()
             .copied()
             .filter(|e| length(e) <= shortest + 1)
             .collect();
-        let endpoint = near[self.random.random_range(0..near.len())];
+        let endpoint = candidates[self.random.random_range(0..candidates.len())];
         let queued = length(&endpoint).saturating_sub(SLOTS) as f64;
-        let waits_us = (queued * RUN_US / SLOTS as f64) as u64;
-        let first_us = now_us + waits_us + FIRST_US;
+        let wait_us = (queued * RUN_US / SLOTS as f64) as u64;
+        let first_us = now_us + wait_us + FIRST_EVENT_US;
         self.number += 1;
         let run = self.number;
         self.endpoints[endpoint]
             .runs
             .insert(run, (arrived, instance));
-        if is_ending {
+        if is_crashing {
             self.counts.reached += 1;
-            let ended = self.ended_under.entry(arrived.work).or_default();
-            if ended
+            let crashed = self.crashes_under.entry(arrived.request).or_default();
+            if crashed
                 .get(2)
-                .is_some_and(|third_us| now_us > third_us + CONTACT_US)
+                .is_some_and(|third_us| now_us > third_us + TAKE_EFFECT_US)
             {
-                *self.after.entry(arrived.work).or_default() += 1;
+                *self.after.entry(arrived.request).or_default() += 1;
             }
             let start = self.endpoints[endpoint].start;
-            self.at(first_us, Event::Ends { endpoint, start });
+            self.schedule(first_us, Event::Crashes { endpoint, start });
         } else {
-            let rest_us = self.pause_us(SECOND as f64 / RUN_US);
-            self.at(first_us + rest_us, Event::Done { endpoint, run });
+            let run_us = self.interval_us(SECOND as f64 / RUN_US);
+            self.schedule(first_us + run_us, Event::Completed { endpoint, run });
         }
     }
 
-    fn end(&mut self, now_us: u64, endpoint: usize) {
+    fn crash(&mut self, now_us: u64, endpoint: usize) {
         if std::mem::replace(&mut self.endpoints[endpoint].is_down, true) {
             return;
         }
-        self.counts.ended += 1;
-        let back_us = now_us + self.random.random_range(4 * SECOND..5 * SECOND);
-        self.at(back_us, Event::IsBack { endpoint });
+        self.counts.crashed += 1;
+        let restart_us = now_us + self.random.random_range(4 * SECOND..5 * SECOND);
+        self.schedule(restart_us, Event::Restarted { endpoint });
         let key = self.endpoints[endpoint].start;
         let mut runs: Vec<_> = std::mem::take(&mut self.endpoints[endpoint].runs)
             .into_iter()
             .collect();
         runs.sort_unstable_by_key(|(run, _)| *run);
         let mut noted = HashSet::new();
-        for (_, (broken, instance)) in runs {
-            if noted.insert(broken.work) {
-                self.note(now_us, instance, broken.work, key);
+        for (_, (interrupted, instance)) in runs {
+            if noted.insert(interrupted.request) {
+                self.schedule_notes(now_us, instance, interrupted.request, key);
             }
-            if (FIRST_ENDING..COMMON).contains(&broken.work) {
-                self.ended_under
-                    .entry(broken.work)
+            if (FIRST_CRASHING..COMMON).contains(&interrupted.request) {
+                self.crashes_under
+                    .entry(interrupted.request)
                     .or_default()
                     .push(now_us);
                 continue;
             }
             self.counts.hit += 1;
-            match (broken.resends, broken.retries) {
-                (1.., _) => self.at(
+            match (interrupted.instance_retries, interrupted.caller_retries) {
+                (1.., _) => self.schedule(
                     now_us + 5_000,
-                    Event::Arrives(Try {
-                        resends: 0,
-                        ..broken
+                    Event::Arrives(Attempt {
+                        instance_retries: 0,
+                        ..interrupted
                     }),
                 ),
                 (0, 1..) => {
-                    let again = Try {
-                        work: broken.work,
-                        resends: 1,
-                        retries: 0,
+                    let retried = Attempt {
+                        request: interrupted.request,
+                        instance_retries: 1,
+                        caller_retries: 0,
                     };
-                    self.at(now_us + 20_000, Event::Arrives(again));
+                    self.schedule(now_us + 20_000, Event::Arrives(retried));
                 }
                 (0, 0) => self.counts.lost += 1,
             }
         }
     }
 
-    /// The instance that sent it finds out after 50 ms, the others hear of it.
-    fn note(&mut self, now_us: u64, by: usize, work: u64, key: u32) {
-        let life = self.life;
-        let is_told_in_rounds = self.load.common_per_s > 0.0;
-        let hear = |instance: &usize| !is_told_in_rounds || *instance == by;
-        for instance in (0..self.load.instances).filter(hear) {
+    /// The instance that sent the request notices the crash after 50 ms; the others receive it from there.
+    fn schedule_notes(&mut self, now_us: u64, sender: usize, request: u64, key: u32) {
+        let generation = self.generation;
+        let has_rounds = self.scenario.common_per_s > 0.0;
+        let receives = |instance: &usize| !has_rounds || *instance == sender;
+        for instance in (0..self.scenario.instances).filter(receives) {
             let mut delay_us = 50_000;
-            if instance != by {
+            if instance != sender {
                 delay_us += self.random.random_range(100_000..300_000);
                 delay_us += u64::from(self.random.random_range(0..10) == 0) * 1_500_000;
             }
-            self.at(
+            self.schedule(
                 now_us + delay_us,
-                Event::Hears {
+                Event::CrashReceived {
                     instance,
-                    life,
-                    work,
+                    generation,
+                    request,
                     key,
                 },
             );
@@ -533,52 +549,61 @@
     }
 }
 
-fn weigh(load: Load, way: Way) -> Counts {
+fn simulate(scenario: Scenario, strategy: Strategy) -> Counts {
     let mut sum = Counts::default();
-    // Instances that tell each other in rounds take a hundred times as long to play.
-    let seeds = if load.in_step { 2 } else { 8 };
+    // Scenarios in which instances send updates in rounds take a hundred times as long to simulate.
+    let seeds = if scenario.synchronised { 2 } else { 8 };
     for seed in 0..seeds {
-        let counts = Model::new(load, way, seed).run();
+        let counts = Simulation::new(scenario, strategy, seed).run();
         sum.reached += counts.reached;
-        sum.most_after = sum.most_after.max(counts.most_after);
-        sum.ended += counts.ended;
+        sum.max_after = sum.max_after.max(counts.max_after);
+        sum.crashed += counts.crashed;
         sum.hit += counts.hit;
         sum.blocked += counts.blocked;
         sum.lost += counts.lost;
         sum.common += counts.common;
         sum.common_refused += counts.common_refused;
     }
-    println!("{:28} {way:8?} {sum}", load.name);
+    println!("{:28} {strategy:8?} {sum}", scenario.name);
     sum
 }
 
-/// As built: what ends endpoints reaches few in every load, also where all instances are lost and the store keeps
-/// what they knew, and of others hardly any is blocked. The table is printed.
+/// The current strategy: requests that crash endpoints reach few of them in every scenario, also where all instances are
+/// lost and the state is persisted, and hardly any other request is blocked. Prints the table.
 #[test]
-fn what_ends_endpoints_is_blocked_and_what_met_their_end_by_chance_is_not() {
-    for load in LOADS {
-        let never = weigh(load, Way::Never);
-        weigh(load, Way::AtTwo);
-        weigh(load, Way::AtThree);
-        let built = weigh(load, Way::AsBuilt);
-        // All instances at once are out of touch for some time, which the model does not know.
-        let is_known = load.lost_at_s == u64::MAX || load.is_kept;
-        assert!(built.most_after <= 3 || !is_known, "{}: {built}", load.name);
+fn requests_that_crash_endpoints_are_blocked_and_bystanders_are_not() {
+    for scenario in SCENARIOS {
+        let never = simulate(scenario, Strategy::Never);
+        simulate(scenario, Strategy::AtTwo);
+        simulate(scenario, Strategy::AtThree);
+        let current = simulate(scenario, Strategy::Current);
+        // The loss of all instances without persisted state is not checked: the simulation leaves out the time in which
+        // the new instances have no contact yet.
+        let is_checked = scenario.lost_at_s == u64::MAX || scenario.is_persisted;
+        assert!(
+            current.max_after <= 3 || !is_checked,
+            "{}: {current}",
+            scenario.name
+        );
+        assert!(
+            current.lost <= never.lost,
+            "{}: {current} and {never}",
+            scenario.name
+        );
+        // At most one in a hundred of those that ran on a crashing endpoint.
         assert!(
-            built.lost <= never.lost,
-            "{}: {built} and {never}",
-            load.name
+            current.blocked * 100 <= current.hit,
+            "{}: {current}",
+            scenario.name
         );
-        // Of those that were at an endpoint when it ended, at most one in a hundred.
-        assert!(built.blocked * 100 <= built.hit, "{}: {built}", load.name);
     }
 }
 
-/// As built: a request that many send is not refused for works that end endpoints beside it.
+/// The current strategy: a request that many callers send is not refused because of others that crash endpoints.
 #[test]
-fn a_common_request_is_not_refused_for_works_that_come_in_step() {
-    for load in COMMON_LOADS {
-        let built = weigh(load, Way::AsBuilt);
-        assert_eq!(built.common_refused, 0, "{}: {built}", load.name);
+fn a_common_request_is_not_refused_because_of_synchronised_crashing_requests() {
+    for scenario in COMMON_SCENARIOS {
+        let current = simulate(scenario, Strategy::Current);
+        assert_eq!(current.common_refused, 0, "{}: {current}", scenario.name);
     }
 }
