--- a/tests/gateway/endpoint_limits.rs
+++ b/tests/gateway/endpoint_limits.rs
@@ -171,12 +171,12 @@
     let issued_to_rank = |intervals: &[(u8, u64)], of: u8| {
         let mut issuer = PermitIssuer::default();
         let mut issued = 0;
-        for tick in 0..600_u64 {
+        for tenth in 0..600_u64 {
             let due = intervals
                 .iter()
-                .filter(|(_, interval)| tick % interval == 0);
+                .filter(|(_, interval)| tenth % interval == 0);
             for (rank, _) in due {
-                let permit = issuer.issue(tick * SECOND / 10, ENDPOINT, rate("2"), *rank);
+                let permit = issuer.issue(tenth * SECOND / 10, ENDPOINT, rate("2"), *rank);
                 issued += u32::from(permit == Permit::Given && *rank == of);
             }
         }
