--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -20,7 +20,7 @@
     endpoint::kept::EndpointConnection,
     gateway::{
         config::Route,
-        endpoint_words,
+        endpoint_announcements,
         protocol::{CallHead, Forward, Protocol},
         refuse,
         state::Gateway,
@@ -249,7 +249,7 @@
         return Err(Failed::NotSent(refuse::ENDS_ENDPOINTS));
     }
     sent.at_us = gateway.clock.now_us();
-    sent.limit_version = endpoint_words::note_sent(gateway, sent.choice.key, sent.at_us);
+    sent.limit_version = endpoint_announcements::record_sent(gateway, sent.choice.key, sent.at_us);
     let request = forwarded(gateway, job, &sent.choice, resume_after);
     let answer = connection.sender.send_request(request);
     let response = match until.wait(gateway.clock, answer).await {
@@ -267,14 +267,14 @@
     sent.is_answered = true;
     let status = response.status();
     let head = gateway.protocol.read_answer(status, response.headers());
-    endpoint_words::heard(gateway, &sent, &head);
+    endpoint_announcements::handle_answer(gateway, &sent, &head);
     if head.request_id != job.head.request_id {
         // A surplus answer of an earlier request; ours may run all the same.
         sent.failed();
         return Err(Failed::Unknown("foreign_answer"));
     }
     if status != StatusCode::MISDIRECTED_REQUEST {
-        endpoint_words::heard_limit(gateway, &sent, &head);
+        endpoint_announcements::handle_limit(gateway, &sent, &head);
     }
     if let Some(word) = head.load {
         let now_us = gateway.clock.now_us();
--- a/src/gateway/block_list.rs
+++ b/src/gateway/block_list.rs
@@ -61,7 +61,7 @@
 }
 
 /// Keeps the list until dropped. At the first start of all there is none to be read.
-pub async fn keep<P: Protocol, S: Store>(gateway: Arc<Gateway<P>>, store: S, is_first_start: bool) {
+pub async fn run<P: Protocol, S: Store>(gateway: Arc<Gateway<P>>, store: S, is_first_start: bool) {
     let mut keeper = Keeper {
         gateway,
         store,
--- a/src/gateway/endpoint_words.rs
+++ b/src/gateway/endpoint_announcements.rs
@@ -43,7 +43,11 @@
 }
 
 /// Notes that a request goes to an endpoint; returns the version of what is known of its limit.
-pub(super) fn note_sent<P: Protocol>(gateway: &Gateway<P>, key: EndpointKey, at_us: Micros) -> u32 {
+pub(super) fn record_sent<P: Protocol>(
+    gateway: &Gateway<P>,
+    key: EndpointKey,
+    at_us: Micros,
+) -> u32 {
     let mut balancer = gateway.balancer();
     balancer.note_sent(at_us, key);
     if balancer.rate(at_us, key).is_some() {
@@ -53,7 +57,7 @@
 }
 
 /// Takes what an endpoint says of itself in any answer, one to an earlier request included.
-pub(super) fn heard<P: Protocol>(gateway: &Gateway<P>, sent: &Sent<P>, head: &AnswerHead) {
+pub(super) fn handle_answer<P: Protocol>(gateway: &Gateway<P>, sent: &Sent<P>, head: &AnswerHead) {
     for name in &head.unread {
         gateway.metrics.answer_headers_unread.inc();
         if gateway.unread_headers.note(name) {
@@ -104,7 +108,7 @@
 
 /// Takes an endpoint's word on its limit from an answer to a request that was sent when `sent.limit_version` was
 /// the version of what was known.
-pub(super) fn heard_limit<P: Protocol>(gateway: &Gateway<P>, sent: &Sent<P>, head: &AnswerHead) {
+pub(super) fn handle_limit<P: Protocol>(gateway: &Gateway<P>, sent: &Sent<P>, head: &AnswerHead) {
     let choice = &sent.choice;
     let now_us = gateway.clock.now_us();
     let mut balancer = gateway.balancer();
@@ -128,7 +132,7 @@
 }
 
 /// Takes what another instance told.
-pub(super) fn told<P: Protocol>(gateway: &Gateway<P>, told: &[ToldStanding]) {
+pub(super) fn apply_from_peer<P: Protocol>(gateway: &Gateway<P>, told: &[ToldStanding]) {
     if told.is_empty() {
         return;
     }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -260,7 +260,7 @@
         match group {
             Group::Small => {
                 self.gateway.balancer().picture_mut().set_ledger(false);
-                self.gateway.reserver.set_ledgers(Vec::new());
+                self.gateway.reserver.set_issuers(Vec::new());
                 self.tell_all(now_us, &view, is_due).await;
             }
             Group::Large => {
@@ -298,7 +298,7 @@
         let me = self.place.me.incarnation;
         let before_me = chosen.iter().take_while(|m| m.info.incarnation != me);
         let ledgers = before_me.map(|m| m.info.peer_addr.ip()).collect();
-        self.gateway.reserver.set_ledgers(ledgers);
+        self.gateway.reserver.set_issuers(ledgers);
         self.gateway
             .balancer()
             .picture_mut()
@@ -344,10 +344,12 @@
                 (Group::Large, halls, sharers, sharers)
             }
         };
-        self.gateway.permits.set_heard_share(known_sharers.share());
+        self.gateway
+            .permits
+            .set_reachable_share(known_sharers.share());
         let instances = self.lock().instances_in_view.max(sharers.all);
         self.gateway.quota.set_instances(instances);
-        if self.gateway.quota.meets_others() {
+        if self.gateway.quota.is_bootstrapping() {
             self.gateway
                 .quota
                 .set_addresses(self.addresses(view).into_iter());
--- a/src/gateway/hearing.rs
+++ b/src/gateway/hearing.rs
@@ -12,7 +12,7 @@
         picture::Group,
     },
     gateway::{
-        endpoint_words, exchange::Exchange, far_book::FAR_HALLS, fetching::Wanted,
+        endpoint_announcements, exchange::Exchange, far_book::FAR_HALLS, fetching::Wanted,
         halls::teller_of_hall, protocol::Protocol,
     },
     peers::update::{self, HallSummary, Purpose, Update, address_key},
@@ -45,7 +45,7 @@
             return;
         }
         self.gateway.suspects().told(now_us, &update.suspects);
-        endpoint_words::told(&self.gateway, &update.standings);
+        endpoint_announcements::apply_from_peer(&self.gateway, &update.standings);
         let group = self.gateway.balancer().picture().group();
         match (group, update.purpose) {
             (Group::Small, _) => self.take_direct(now_us, &update),
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -18,9 +18,9 @@
 use crate::{
     balance::load::EndpointKey,
     gateway::{
-        endpoint_words,
+        endpoint_announcements,
         protocol::Protocol,
-        reserver::{Channel, Word},
+        reservation_client::{Channel, Word},
         state::Gateway,
     },
     limits::{
@@ -124,7 +124,7 @@
     }
 
     /// Sets the share of the instances known that are heard.
-    pub fn set_heard_share(&self, share: f64) {
+    pub fn set_reachable_share(&self, share: f64) {
         self.lock().heard_share = share;
     }
 
@@ -169,7 +169,7 @@
 }
 
 /// Asks for a permit to send a request of `rank` to an endpoint; returns whether it was given.
-pub(super) async fn ask<P: Protocol>(
+pub(super) async fn acquire<P: Protocol>(
     gateway: &Gateway<P>,
     endpoint: EndpointKey,
     rank: Rank,
@@ -220,7 +220,7 @@
 }
 
 /// Gives a permit back that was not used.
-pub(super) async fn give_back<P: Protocol>(gateway: &Gateway<P>, endpoint: EndpointKey) {
+pub(super) async fn release<P: Protocol>(gateway: &Gateway<P>, endpoint: EndpointKey) {
     gateway.metrics.permits_unused.inc();
     match (gateway.permits.keeper(endpoint), gateway.reserver.channel()) {
         (Some(Keeper::Me), _) => take_back(gateway, endpoint),
@@ -246,7 +246,7 @@
             rank,
             cold_us,
         } => {
-            endpoint_words::told(gateway, &[limit]);
+            endpoint_announcements::apply_from_peer(gateway, &[limit]);
             let endpoint = limit.endpoint;
             if cold_us > 0 {
                 let now_us = gateway.clock.now_us();
@@ -264,11 +264,11 @@
             channel.send(from, number, answer).await;
         }
         PermitWord::Answer { limit, permit } => {
-            endpoint_words::told(gateway, &[limit]);
+            endpoint_announcements::apply_from_peer(gateway, &[limit]);
             let is_taken = gateway.permits.answer(number, permit);
             if !is_taken && permit == Permit::Given {
                 // It came too late: its request went elsewhere.
-                give_back(gateway, limit.endpoint).await;
+                release(gateway, limit.endpoint).await;
             }
         }
         PermitWord::Unused(endpoint) => take_back(gateway, endpoint),
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -13,7 +13,7 @@
     gateway::{
         permits,
         protocol::Protocol,
-        reserver::PlaceAnswer,
+        reservation_client::ReservationReply,
         state::{Gateway, lock},
     },
     prelude::Name,
@@ -51,10 +51,13 @@
         if !ask.is_stream || ask.homes.are_named() {
             return None;
         }
-        let ledger = self.reserver.ledger(self.clock.now_us())?;
+        let ledger = self.reserver.issuer(self.clock.now_us())?;
         self.metrics.places_asked.inc();
         let closed = self.closed_to_me(tried);
-        let answer = self.reserver.ask(self.clock, ledger, ask, &closed).await;
+        let answer = self
+            .reserver
+            .request(self.clock, ledger, ask, &closed)
+            .await;
         let placement = answer.and_then(|answer| self.take_answer(ask, answer));
         if placement.is_none() {
             self.metrics.places_unanswered.inc();
@@ -79,10 +82,10 @@
     }
 
     /// Does what another instance decided on a request; none if it knows an endpoint that is not known here.
-    fn take_answer(&self, ask: &Ask, answer: PlaceAnswer) -> Option<Placement> {
+    fn take_answer(&self, ask: &Ask, answer: ReservationReply) -> Option<Placement> {
         let now_us = self.clock.now_us();
         match answer {
-            PlaceAnswer::Granted {
+            ReservationReply::Granted {
                 key,
                 expected,
                 by_permit,
@@ -94,8 +97,8 @@
                 }
                 balancer.take_place(now_us, ask, key, expected)
             }
-            PlaceAnswer::Refused => Some(refused(now_us, ask, BUSY)),
-            PlaceAnswer::OverEndpointLimits => Some(refused(now_us, ask, ENDPOINT_LIMITS)),
+            ReservationReply::Refused => Some(refused(now_us, ask, BUSY)),
+            ReservationReply::OverEndpointLimits => Some(refused(now_us, ask, ENDPOINT_LIMITS)),
         }
     }
 
@@ -105,7 +108,7 @@
         for _ in 0..MOST_PERMITS_ASKED {
             let now_us = self.clock.now_us();
             let wanted = self.balancer().wanted_permit(now_us, ask, tried)?;
-            if permits::ask(self, wanted, ask.rank).await {
+            if permits::acquire(self, wanted, ask.rank).await {
                 return Some(wanted);
             }
         }
@@ -118,7 +121,7 @@
         let now_us = self.clock.now_us();
         let placement = self.balancer().place_with(now_us, ask, tried, permit);
         if let Some(permit) = permit.filter(|permit| !is_sent_to(&placement, *permit)) {
-            permits::give_back(self, permit).await;
+            permits::release(self, permit).await;
         }
         if !matches!(placement, Placement::Wait) {
             return placement;
--- a/src/gateway/quota.rs
+++ b/src/gateway/quota.rs
@@ -13,7 +13,9 @@
 };
 
 use crate::{
-    gateway::{config::GatewayConfig, protocol::Protocol, reserver::Word, state::Gateway},
+    gateway::{
+        config::GatewayConfig, protocol::Protocol, reservation_client::Word, state::Gateway,
+    },
     limits::quota::{
         AccountState, Begun, Decision, Denied, Grant, LimitChange, Message, Node, Outgoing,
         Recipient, Tolerance,
@@ -121,7 +123,7 @@
     }
 
     /// Returns whether this instance still has to meet the others before it leases its share.
-    pub fn meets_others(&self) -> bool {
+    pub fn is_bootstrapping(&self) -> bool {
         let mut state = self.lock();
         let has_begun = state.node.has_begun();
         if has_begun {
@@ -339,7 +341,7 @@
 }
 
 /// Gives back what a request took and did not use.
-pub(super) async fn give_back<P: Protocol>(gateway: &Gateway<P>, grant: Grant) {
+pub(super) async fn release<P: Protocol>(gateway: &Gateway<P>, grant: Grant) {
     gateway.metrics.quota_unused.inc();
     gateway.quota.lock().node.give_back(grant);
     flush(gateway).await;
--- a/src/gateway/reserver.rs
+++ b/src/gateway/reservation_client.rs
@@ -49,7 +49,7 @@
 
 /// What is asked for, with times relative to the sending: clocks of instances differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PlaceAsk {
+pub struct ReservationRequest {
     /// As in [`Ask::service`].
     pub service: Name,
     /// As in [`Ask::prompt_tokens`].
@@ -76,7 +76,7 @@
     pub tried: Vec<EndpointKey>,
 }
 
-impl PlaceAsk {
+impl ReservationRequest {
     fn new(now_us: Micros, ask: &Ask, tried: &[EndpointKey]) -> Self {
         Self {
             service: ask.service.clone(),
@@ -117,7 +117,7 @@
 
 /// What is decided on a request for a place.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum PlaceAnswer {
+pub enum ReservationReply {
     /// A place is taken for it.
     Granted {
         /// The endpoint.
@@ -137,11 +137,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Word {
     /// Asks for a place.
-    Ask(Box<PlaceAsk>),
+    Ask(Box<ReservationRequest>),
     /// It waits for one.
     Waits,
     /// It is decided.
-    Decided(PlaceAnswer),
+    Decided(ReservationReply),
     /// Whoever was asked does not know the endpoints' load.
     Unable,
     /// Is of permits, not of places.
@@ -199,14 +199,14 @@
 
 /// Asks for places, and keeps account of what it asked for.
 #[derive(Default)]
-pub struct Reserver {
+pub struct ReservationClient {
     channel: OnceLock<Channel>,
     state: Mutex<State>,
 }
 
 /// A request for a place that is not decided; it is settled when this is dropped.
 struct Pending<'r> {
-    reserver: &'r Reserver,
+    reserver: &'r ReservationClient,
     number: u64,
     words: mpsc::UnboundedReceiver<Word>,
 }
@@ -217,7 +217,7 @@
     }
 }
 
-impl Reserver {
+impl ReservationClient {
     /// Sets how the others are reached.
     pub(super) fn open(&self, channel: Channel) {
         // It is opened once, when the instance starts.
@@ -229,7 +229,7 @@
     }
 
     /// Sets whom to ask, the first first; nobody if it is this instance.
-    pub fn set_ledgers(&self, ledgers: Vec<IpAddr>) {
+    pub fn set_issuers(&self, ledgers: Vec<IpAddr>) {
         self.lock().ledgers = ledgers;
     }
 
@@ -249,17 +249,17 @@
     }
 
     /// Asks `ledger` for a place; none if it does not answer in time, or cannot say.
-    pub async fn ask(
+    pub async fn request(
         &self,
         clock: Clock,
         ledger: IpAddr,
         ask: &Ask,
         tried: &[EndpointKey],
-    ) -> Option<PlaceAnswer> {
+    ) -> Option<ReservationReply> {
         let channel = self.channel.get()?;
         let now_us = clock.now_us();
         let mut pending = self.begin();
-        let word = Word::Ask(Box::new(PlaceAsk::new(now_us, ask, tried)));
+        let word = Word::Ask(Box::new(ReservationRequest::new(now_us, ask, tried)));
         channel.send(ledger, pending.number, word).await;
         let held_us = now_us.saturating_sub(ask.arrived_us);
         let hold = Duration::from_micros(hold_us(ask).saturating_sub(held_us));
@@ -291,7 +291,7 @@
     }
 
     /// Returns whom to ask now; none if it is this instance, or nobody that answers.
-    pub fn ledger(&self, now_us: Micros) -> Option<IpAddr> {
+    pub fn issuer(&self, now_us: Micros) -> Option<IpAddr> {
         let mut state = self.lock();
         state
             .passed_over_until_us
--- a/src/gateway/reservations.rs
+++ b/src/gateway/reservation_server.rs
@@ -12,7 +12,7 @@
         permits,
         protocol::Protocol,
         quota,
-        reserver::{Channel, PlaceAnswer, PlaceAsk, PlaceDatagram, Word},
+        reservation_client::{Channel, PlaceDatagram, ReservationReply, ReservationRequest, Word},
         state::Gateway,
     },
     peers::datagram::{Authenticator, DatagramError, UnreadableSnafu},
@@ -86,7 +86,7 @@
     from: IpAddr,
     taker: Incarnation,
     number: u64,
-    asked: PlaceAsk,
+    asked: ReservationRequest,
 ) {
     let Some(channel) = gateway.reserver.channel() else {
         return;
@@ -136,17 +136,17 @@
             let now_us = gateway.clock.now_us();
             let mut balancer = gateway.balancer();
             balancer.hand_over(now_us, &choice, taker, number);
-            Word::Decided(PlaceAnswer::Granted {
+            Word::Decided(ReservationReply::Granted {
                 key: choice.key,
                 expected: choice.expected,
                 by_permit: balancer.rate(now_us, choice.key).is_some(),
             })
         }
-        Placement::Refuse { reason: BUSY, .. } => Word::Decided(PlaceAnswer::Refused),
+        Placement::Refuse { reason: BUSY, .. } => Word::Decided(ReservationReply::Refused),
         Placement::Refuse {
             reason: ENDPOINT_LIMITS,
             ..
-        } => Word::Decided(PlaceAnswer::OverEndpointLimits),
+        } => Word::Decided(ReservationReply::OverEndpointLimits),
         // It may know endpoints that this instance does not.
         Placement::Refuse { .. } | Placement::Wait => Word::Unable,
     }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -172,7 +172,7 @@
         .err()
         .is_none_or(|r| r.retry_after_ms.is_none());
     if let Some(grant) = grant.filter(|_| !has_run) {
-        quota::give_back(gateway, grant).await;
+        quota::release(gateway, grant).await;
     }
     result
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -22,7 +22,7 @@
     gateway::{
         config::GatewayConfig,
         endings::Endings,
-        endpoint_words::UnreadHeaders,
+        endpoint_announcements::UnreadHeaders,
         evacuations::{EvacuationSet, Evacuations},
         freshness::{CurrentConfig, Offered},
         limit_log,
@@ -32,7 +32,7 @@
         permits::Permits,
         protocol::Protocol,
         quota::Quota,
-        reserver::Reserver,
+        reservation_client::ReservationClient,
         staleness::{Staleness, StalenessBound},
     },
     limits::{
@@ -130,7 +130,7 @@
     /// Data centres whose endpoints get nothing.
     pub evacuations: Evacuations,
     /// Asks others for places at endpoints.
-    pub reserver: Reserver,
+    pub reserver: ReservationClient,
     /// Asks for permits to send to endpoints that take only so many requests a second, and gives them.
     pub permits: Permits,
     /// Organisations' limits.
@@ -185,7 +185,7 @@
             waits_for_others: AtomicBool::new(false),
             others_know: AtomicBool::new(false),
             fetches_at_start: AtomicBool::new(false),
-            reserver: Reserver::default(),
+            reserver: ReservationClient::default(),
             permits: Permits::default(),
             quota,
             endings: Endings::default(),
@@ -401,7 +401,7 @@
 
     /// Writes a line on a change of the set of endpoints, if there are not too many.
     pub fn log_endpoint(&self, id: &str, change: Change, from: &'static str) {
-        let admitted = lock(&self.endpoint_lines).ask(self.clock.now_us());
+        let admitted = lock(&self.endpoint_lines).request(self.clock.now_us());
         if admitted.left_out > 0 {
             let left_out = admitted.left_out;
             log::info!(target: "ryevalve::endpoint", left_out; "endpoint_changes_left_out");
--- a/src/platform/edge.rs
+++ b/src/platform/edge.rs
@@ -17,7 +17,7 @@
         block_list, copies,
         exchange::{Exchange, ExchangePlace},
         front::{self, FrontStop},
-        instance_count, limit_log, probes, reservations,
+        instance_count, limit_log, probes, reservation_server,
         staleness::StalenessBound,
         state::{Gateway, GatewayBounds},
         stop,
@@ -141,7 +141,7 @@
         tokio::spawn(follow::evacuations(gateway.clone(), client));
     }
     let list = PlatformStore::new(store);
-    tokio::spawn(block_list::keep(
+    tokio::spawn(block_list::run(
         gateway.clone(),
         list,
         settings.is_first_start,
@@ -226,7 +226,9 @@
     tokio::spawn(exchange.run());
     let giving = gateway.clone();
     tokio::spawn(async move {
-        if let Err(error) = reservations::run(giving, places, key.as_bytes(), incarnation).await {
+        if let Err(error) =
+            reservation_server::run(giving, places, key.as_bytes(), incarnation).await
+        {
             let reason = error.to_string();
             log::error!(target: "ryevalve::process", reason; "places_not_given");
         }
--- a/tests/edge/group.rs
+++ b/tests/edge/group.rs
@@ -15,7 +15,7 @@
         block_list, copies,
         exchange::{Exchange, ExchangePlace},
         front::{self, FrontStop},
-        reservations,
+        reservation_server,
         staleness::StalenessBound,
         state::{Gateway, GatewayBounds},
     },
@@ -134,7 +134,7 @@
             tokio::spawn(clock.watch_for_suspensions()),
             tokio::spawn(async move {
                 // It gives places until the test ends.
-                let _ = reservations::run(giving, places, KEY, incarnation).await;
+                let _ = reservation_server::run(giving, places, KEY, incarnation).await;
             }),
         ];
         Self {
@@ -177,7 +177,7 @@
     /// Keeps the blocked requests in the store at `addr`, as one that is started when others have run.
     pub fn keep_block_list(&mut self, addr: SocketAddr) {
         let list = PlatformStore::new(addr);
-        let keeping = block_list::keep(self.gateway.clone(), list, false);
+        let keeping = block_list::run(self.gateway.clone(), list, false);
         self.tasks.push(tokio::spawn(keeping));
     }
 
