--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -401,7 +401,7 @@
 
     /// Writes a line on a change of the set of endpoints, if there are not too many.
     pub fn log_endpoint(&self, id: &str, change: Change, from: &'static str) {
-        let admitted = lock(&self.endpoint_lines).request(self.clock.now_us());
+        let admitted = lock(&self.endpoint_lines).ask(self.clock.now_us());
         if admitted.left_out > 0 {
             let left_out = admitted.left_out;
             log::info!(target: "ryevalve::endpoint", left_out; "endpoint_changes_left_out");
