--- a/src/gateway/block_list.rs
+++ b/src/gateway/block_list.rs
@@ -1,8 +1,8 @@
-//! Keeps the blocked requests in the store, for instances that start when none is left that knows of them.
+//! Persists the list of blocked requests in the store, for instances that start when no other instance has the list.
 //!
-//! Instances tell each other what they know, and one that starts hears it within two seconds. Only after the
-//! loss of all nobody is left: then each request that ends endpoints would end two or three again, beside what
-//! is lost already. Those that watch the store for the others read the list once and write what is new.
+//! Instances send the list to each other, and a new instance receives it within two seconds. If all instances are lost
+//! at once, no copy is left in memory: without the store each request that crashes endpoints would then crash two or
+//! three more. The instances that watch the store for the others read the list once and write what is new.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,32 +17,32 @@
     store::{Store, WriteError},
 };
 
-/// The key under which the store has the list.
+/// The store key of the list.
 const KEY: &str = "blocked-requests";
-/// How often it is looked whether there is something to write.
-const LOOK: Duration = Duration::from_millis(250);
-/// A call that failed is made again after this time; calls are paid for, and no request waits for these.
+/// How often the list is checked for changes to write.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// The delay before a failed store call is retried. Store calls cost money, and no request waits for these.
 const RETRY_US: Micros = 2_000_000;
-/// Of those that watch the store the first writes; each of the others waits this much longer, and looks then
-/// whether it is done.
-const TURN_US: Micros = 1_500_000;
+/// The first of the instances that watch the store writes at once. Each further one waits this much longer than the one
+/// before it, and then checks whether the write is done.
+const WRITE_STAGGER_US: Micros = 1_500_000;
 
-/// The list as the store has it.
+/// The list as it is stored.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct BlockList {
     written_unix_s: u64,
     suspects: Vec<ToldSuspect>,
 }
 
-/// What is known of the store's list.
+/// The store's list as last read or written.
 #[derive(Debug, Default)]
-struct Kept {
+struct Stored {
     version: u64,
     suspects: Vec<ToldSuspect>,
 }
 
-impl Kept {
-    fn has_same(&self, suspects: &[ToldSuspect]) -> bool {
+impl Stored {
+    fn matches(&self, suspects: &[ToldSuspect]) -> bool {
         let same = |(a, b): (&ToldSuspect, &ToldSuspect)| {
             a.fingerprint == b.fingerprint && a.endings == b.endings
         };
@@ -50,129 +50,131 @@
     }
 }
 
-/// What is to be done about what the store's list lacks.
+/// Whether the store's list has to be updated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Due {
+enum PendingWrite {
     Nothing,
-    /// It lacks something since then; whoever comes first in turn may write it.
+    /// The list is out of date since this time; an instance with a shorter delay may write it first.
     Since(Micros),
-    /// It is written once the list has been read again.
-    Now,
+    /// The delay is over: the list is read again, and written if it is still out of date.
+    AfterRead,
 }
 
-/// Keeps the list until dropped. At the first start of all there is none to be read.
+/// Synchronises the list with the store until dropped. On the first start of a deployment there is no list to read.
 pub async fn run<P: Protocol, S: Store>(gateway: Arc<Gateway<P>>, store: S, is_first_start: bool) {
-    let mut keeper = Keeper {
+    let mut sync = BlockListSync {
         gateway,
         store,
-        kept: is_first_start.then(Kept::default),
-        due: Due::Nothing,
-        rests_until_us: 0,
+        stored: is_first_start.then(Stored::default),
+        pending: PendingWrite::Nothing,
+        next_call_us: 0,
     };
-    let mut look = time::interval(LOOK);
-    look.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut interval = time::interval(CHECK_INTERVAL);
+    interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        look.tick().await;
-        keeper.look().await;
+        interval.tick().await;
+        sync.check().await;
     }
 }
 
-struct Keeper<P: Protocol, S: Store> {
+struct BlockListSync<P: Protocol, S: Store> {
     gateway: Arc<Gateway<P>>,
     store: S,
-    /// None while the store is to be read.
-    kept: Option<Kept>,
-    due: Due,
-    rests_until_us: Micros,
+    /// `None` until the store has been read, and again when it must be reread.
+    stored: Option<Stored>,
+    pending: PendingWrite,
+    /// No store call is made before this time.
+    next_call_us: Micros,
 }
 
-impl<P: Protocol, S: Store> Keeper<P, S> {
-    async fn look(&mut self) {
+impl<P: Protocol, S: Store> BlockListSync<P, S> {
+    async fn check(&mut self) {
         let now_us = self.gateway.clock.now_us();
-        if !self.gateway.watches_store() || now_us < self.rests_until_us {
+        if !self.gateway.watches_store() || now_us < self.next_call_us {
             return;
         }
-        let Some(kept) = &self.kept else {
+        let Some(stored) = &self.stored else {
             return self.read().await;
         };
         let wanted = self.gateway.suspects().to_keep(now_us);
-        if kept.has_same(&wanted) {
-            self.due = Due::Nothing;
+        if stored.matches(&wanted) {
+            self.pending = PendingWrite::Nothing;
             return;
         }
-        let turn_us = self.gateway.place_to_watch() as Micros * TURN_US;
-        match self.due {
-            Due::Nothing if turn_us > 0 => self.due = Due::Since(now_us),
-            Due::Since(since_us) if now_us < since_us + turn_us => {}
-            Due::Since(_) => {
-                self.kept = None;
-                self.due = Due::Now;
+        let delay_us = self.gateway.place_to_watch() as Micros * WRITE_STAGGER_US;
+        match self.pending {
+            PendingWrite::Nothing if delay_us > 0 => self.pending = PendingWrite::Since(now_us),
+            PendingWrite::Since(since_us) if now_us < since_us + delay_us => {}
+            PendingWrite::Since(_) => {
+                self.stored = None;
+                self.pending = PendingWrite::AfterRead;
             }
-            Due::Nothing | Due::Now => self.write(wanted).await,
+            PendingWrite::Nothing | PendingWrite::AfterRead => self.write(wanted).await,
         }
     }
 
     async fn read(&mut self) {
         match self.store.read(KEY).await {
-            Ok(None) => self.kept = Some(Kept::default()),
+            Ok(None) => self.stored = Some(Stored::default()),
             Ok(Some(object)) => {
                 let list = decode(&object.value);
-                self.take(&list);
-                self.kept = Some(Kept {
+                self.merge(&list);
+                self.stored = Some(Stored {
                     version: object.version,
                     suspects: list.suspects,
                 });
             }
-            Err(error) => self.rest("block_list_not_read", &error.to_string()),
+            Err(error) => self.back_off("block_list_not_read", &error.to_string()),
         }
     }
 
-    /// Takes the store's list as word of another instance, older by the time since it was written.
-    fn take(&self, list: &BlockList) {
+    /// Merges the store's list as if a peer had sent it, with ages increased by the time since it was written.
+    fn merge(&self, list: &BlockList) {
         let age_s = unix_s().saturating_sub(list.written_unix_s);
-        let aged = |told: &ToldSuspect| ToldSuspect {
-            age_s: u16::try_from(age_s + u64::from(told.age_s)).unwrap_or(u16::MAX),
-            ..told.clone()
+        let aged = |suspect: &ToldSuspect| ToldSuspect {
+            age_s: u16::try_from(age_s + u64::from(suspect.age_s)).unwrap_or(u16::MAX),
+            ..suspect.clone()
         };
-        let told: Vec<ToldSuspect> = list.suspects.iter().map(aged).collect();
+        let suspects: Vec<ToldSuspect> = list.suspects.iter().map(aged).collect();
         let now_us = self.gateway.clock.now_us();
-        self.gateway.suspects().told(now_us, &told);
-        let requests = told.len();
+        self.gateway.suspects().told(now_us, &suspects);
+        let requests = suspects.len();
         log::info!(target: "ryevalve::process", requests, age_s; "block_list_read");
     }
 
     async fn write(&mut self, suspects: Vec<ToldSuspect>) {
-        let version = self.kept.as_ref().map_or(0, |kept| kept.version);
+        let version = self.stored.as_ref().map_or(0, |stored| stored.version);
         let list = BlockList {
             written_unix_s: unix_s(),
             suspects,
         };
-        // Plain data of this kind always has a postcard form.
+        // Plain data like this always serialises to postcard.
         let bytes = postcard::to_stdvec(&list).unwrap_or_default();
-        self.due = Due::Nothing;
+        self.pending = PendingWrite::Nothing;
         match self.store.write(KEY, bytes.into(), version).await {
             Ok(version) => {
                 let requests = list.suspects.len();
                 log::info!(target: "ryevalve::process", requests; "block_list_written");
                 let suspects = list.suspects;
-                self.kept = Some(Kept { version, suspects });
+                self.stored = Some(Stored { version, suspects });
             }
-            // Another instance has written, or may be this one.
-            Err(WriteError::Conflict) => self.kept = None,
+            // Another instance has written the list, or an earlier write of this one succeeded after all.
+            Err(WriteError::Conflict) => self.stored = None,
             Err(error) => {
-                self.kept = None;
-                self.rest("block_list_not_written", &error.to_string());
+                self.stored = None;
+                self.back_off("block_list_not_written", &error.to_string());
             }
         }
     }
 
-    fn rest(&mut self, event: &'static str, reason: &str) {
+    fn back_off(&mut self, event: &'static str, reason: &str) {
         log::warn!(target: "ryevalve::process", reason; "{event}");
-        self.rests_until_us = self.gateway.clock.now_us() + RETRY_US;
+        self.next_call_us = self.gateway.clock.now_us() + RETRY_US;
     }
 }
 
-/// Reads the list; one that cannot be read is another version's, and is replaced.
+/// Decodes the list. One that cannot be decoded was written by another version of the software; it counts as empty and
+/// is replaced.
 fn decode(bytes: &[u8]) -> BlockList {
     postcard::from_bytes(bytes).unwrap_or_else(|error| {
         let reason = error.to_string();
