--- a/src/gateway/endpoint_announcements.rs
+++ b/src/gateway/endpoint_announcements.rs
@@ -1,4 +1,5 @@
-//! Takes what endpoints say of themselves in their answers, whatever the answers are.
+//! Applies what endpoints announce in the headers of their answers, whatever the status of the answer: that they leave,
+//! their rate limits and back-off periods. Also applies the announcements that peers pass on.
 
 use std::{
     collections::HashSet,
@@ -23,26 +24,26 @@
     prelude::Micros,
 };
 
-/// So much of a word that cannot be read is shown in its line, in characters.
-const SHOWN_CHARS: usize = 64;
-/// Headers that nothing reads and that were written to the log, at most: an endpoint may make up names.
-const MOST_UNREAD: usize = 64;
+/// The most characters of an unreadable header name or value that a log line shows.
+const MAX_LOGGED_CHARS: usize = 64;
+/// The most distinct unread headers that are logged. The bound is needed because an endpoint may make up names.
+const MAX_UNREAD_LOGGED: usize = 64;
 
-/// Headers of answers that nothing reads, each written to the log once.
+/// Names of answer headers that this software does not read; each is logged once.
 #[derive(Default)]
 pub struct UnreadHeaders {
     seen: Mutex<HashSet<HeaderName>>,
 }
 
 impl UnreadHeaders {
-    /// Notes a header; returns whether it is to be written to the log.
-    fn note(&self, name: &HeaderName) -> bool {
+    /// Records a header; returns whether it has to be logged.
+    fn record(&self, name: &HeaderName) -> bool {
         let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        seen.len() < MOST_UNREAD && seen.insert(name.clone())
+        seen.len() < MAX_UNREAD_LOGGED && seen.insert(name.clone())
     }
 }
 
-/// Notes that a request goes to an endpoint; returns the version of what is known of its limit.
+/// Records that a request is sent to an endpoint; returns the version of the endpoint's limit as known here.
 pub(super) fn record_sent<P: Protocol>(
     gateway: &Gateway<P>,
     key: EndpointKey,
@@ -56,19 +57,20 @@
     balancer.standings().version(key)
 }
 
-/// Takes what an endpoint says of itself in any answer, one to an earlier request included.
+/// Applies what an endpoint announces in an answer, except its limit (see [`handle_limit`]). The answer may belong to
+/// an earlier request.
 pub(super) fn handle_answer<P: Protocol>(gateway: &Gateway<P>, sent: &Sent<P>, head: &AnswerHead) {
     for name in &head.unread {
         gateway.metrics.answer_headers_unread.inc();
-        if gateway.unread_headers.note(name) {
+        if gateway.unread_headers.record(name) {
             log_unread(&sent.choice.id, name);
         }
     }
     if head.words.leaves {
-        heard_leaving(gateway, &sent.choice);
+        handle_leaving(gateway, &sent.choice);
     }
     match &head.words.rest {
-        RestWord::Asked(rest_us) => heard_rest(gateway, &sent.choice, *rest_us),
+        RestWord::Asked(back_off_us) => handle_back_off(gateway, &sent.choice, *back_off_us),
         RestWord::Unreadable(text) => {
             gateway.metrics.rest_words_unreadable.inc();
             if gateway.balancer().note_unreadable_rest(sent.choice.key) {
@@ -82,32 +84,32 @@
     }
 }
 
-fn heard_leaving<P: Protocol>(gateway: &Gateway<P>, choice: &Choice) {
+fn handle_leaving<P: Protocol>(gateway: &Gateway<P>, choice: &Choice) {
     let now_us = gateway.clock.now_us();
     if gateway.balancer().heard_leaving(now_us, choice.key) {
         log_leaving(&choice.id, "endpoint");
     }
 }
 
-fn heard_rest<P: Protocol>(gateway: &Gateway<P>, choice: &Choice, rest_us: Micros) {
+fn handle_back_off<P: Protocol>(gateway: &Gateway<P>, choice: &Choice, back_off_us: Micros) {
     gateway.metrics.rests_asked.inc();
     let now_us = gateway.clock.now_us();
     let instances = gateway.sharers().all;
     let draw = rand::rng().random_range(0.0..1.0);
     let mut balancer = gateway.balancer();
-    let is_new = balancer.heard_rest(now_us, choice.key, rest_us, instances, draw);
+    let is_new = balancer.heard_rest(now_us, choice.key, back_off_us, instances, draw);
     drop(balancer);
     if is_new {
         log::info!(
             target: "ryevalve::endpoint",
-            endpoint = &*choice.id, rest_ms = rest_us / 1_000;
+            endpoint = &*choice.id, rest_ms = back_off_us / 1_000;
             "endpoint_rests"
         );
     }
 }
 
-/// Takes an endpoint's word on its limit from an answer to a request that was sent when `sent.limit_version` was
-/// the version of what was known.
+/// Applies the rate limit that an endpoint announces in an answer. `sent.limit_version` is the version of the limit
+/// that was known when the request was sent.
 pub(super) fn handle_limit<P: Protocol>(gateway: &Gateway<P>, sent: &Sent<P>, head: &AnswerHead) {
     let choice = &sent.choice;
     let now_us = gateway.clock.now_us();
@@ -120,9 +122,9 @@
             }
             return;
         }
-        // Spoiled bytes without proof do not say that a limit is over.
+        // An unsigned answer may be corrupted: the absence of the header in it does not end a limit.
         LimitWord::Free if !head.is_signed => return,
-        word => balancer.heard_limit(now_us, choice.key, sent.limit_version, word),
+        header => balancer.heard_limit(now_us, choice.key, sent.limit_version, header),
     };
     let version = balancer.standings().version(choice.key);
     drop(balancer);
@@ -131,14 +133,14 @@
     }
 }
 
-/// Takes what another instance told.
-pub(super) fn apply_from_peer<P: Protocol>(gateway: &Gateway<P>, told: &[ToldStanding]) {
-    if told.is_empty() {
+/// Applies announcements that another instance passed on.
+pub(super) fn apply_from_peer<P: Protocol>(gateway: &Gateway<P>, updates: &[ToldStanding]) {
+    if updates.is_empty() {
         return;
     }
     let now_us = gateway.clock.now_us();
     let mut balancer = gateway.balancer();
-    let changes = balancer.told_standings(now_us, told);
+    let changes = balancer.told_standings(now_us, updates);
     let lines = changes.into_iter().filter_map(|change| {
         let endpoint = change.endpoint();
         let id = balancer.entry(endpoint)?.id.clone();
@@ -154,31 +156,31 @@
     }
 }
 
-/// Writes a line on an endpoint that leaves; `from` says who told.
+/// Logs that an endpoint leaves. `from` is the source: the endpoint itself or a peer.
 fn log_leaving(endpoint: &str, from: &'static str) {
     log::info!(target: "ryevalve::endpoint", endpoint, from; "endpoint_leaves");
 }
 
-/// Writes a line on a limit that changed; `from` says who told.
+/// Logs a changed limit. `from` is the source: the endpoint itself or a peer.
 fn log_limit(endpoint: &str, change: LimitChange, version: u32, from: &'static str) {
-    let shown =
+    let display =
         |rate: Option<RequestRate>| rate.map_or_else(|| "none".to_owned(), |r| r.to_string());
     log::info!(
         target: "ryevalve::endpoint",
         endpoint, version, from,
-        limit_per_s = shown(change.now),
-        before_per_s = shown(change.before);
+        limit_per_s = display(change.now),
+        before_per_s = display(change.before);
         "endpoint_limit"
     );
 }
 
-/// Writes a line on a word that cannot be read.
+/// Logs a header value that cannot be parsed.
 fn log_unreadable(event: &'static str, endpoint: &str, text: &str) {
-    let word: String = text.chars().take(SHOWN_CHARS).collect();
+    let word: String = text.chars().take(MAX_LOGGED_CHARS).collect();
     log::warn!(target: "ryevalve::endpoint", endpoint, word; "{event}");
 }
 
 fn log_unread(endpoint: &str, name: &HeaderName) {
-    let header: String = name.as_str().chars().take(SHOWN_CHARS).collect();
+    let header: String = name.as_str().chars().take(MAX_LOGGED_CHARS).collect();
     log::warn!(target: "ryevalve::endpoint", endpoint, header; "answer_header_unread");
 }
--- a/src/gateway/limit_log.rs
+++ b/src/gateway/limit_log.rs
@@ -1,18 +1,18 @@
-//! What the log says of organisations' limits: each change, and each second the state of those in use.
+//! Logs changes of organisations' limits, and once a second the state of the accounts that are running low.
 
 use crate::{
     gateway::{protocol::Protocol, state::Gateway},
     limits::quota::LimitChange,
 };
 
-/// Accounts of which an instance writes the state a second.
-const STATES_A_SECOND: usize = 16;
-/// Limits of which one configuration's change is written.
-const CHANGES_A_VERSION: usize = 32;
+/// The most accounts whose state an instance logs each second.
+const MAX_STATES_PER_SECOND: usize = 16;
+/// The most limit changes that are logged for one configuration version; the rest are counted.
+const MAX_CHANGES_PER_VERSION: usize = 32;
 
-/// Writes what a configuration changed of limits.
+/// Logs the limits that a configuration changed.
 pub fn log_changes(config_version: u64, changes: &[LimitChange]) {
-    for change in changes.iter().take(CHANGES_A_VERSION) {
+    for change in changes.iter().take(MAX_CHANGES_PER_VERSION) {
         log::info!(
             target: "ryevalve::limit",
             organisation = &*change.organisation,
@@ -24,16 +24,16 @@
             "limit_changed"
         );
     }
-    if changes.len() > CHANGES_A_VERSION {
-        let unshown = changes.len() - CHANGES_A_VERSION;
+    if changes.len() > MAX_CHANGES_PER_VERSION {
+        let unshown = changes.len() - MAX_CHANGES_PER_VERSION;
         log::info!(target: "ryevalve::limit", config_version, unshown; "limits_changed");
     }
 }
 
-/// Writes the state of the accounts that are scarce; called once a second.
+/// Logs the state of the accounts that denied requests or are less than half full. Called once a second.
 pub fn log_states<P: Protocol>(gateway: &Gateway<P>) {
     let now_us = gateway.clock.now_us();
-    let states = gateway.quota.take_states(now_us, STATES_A_SECOND);
+    let states = gateway.quota.take_states(now_us, MAX_STATES_PER_SECOND);
     let instances = gateway.quota.divisor(now_us);
     for state in states {
         log::info!(
