--- a/src/gateway/reservation_client.rs
+++ b/src/gateway/reservation_client.rs
@@ -77,26 +77,26 @@
 }
 
 impl ReservationRequest {
-    fn new(now_us: Micros, ask: &Ask, tried: &[EndpointKey]) -> Self {
+    fn new(now_us: Micros, request: &Ask, tried: &[EndpointKey]) -> Self {
         Self {
-            service: ask.service.clone(),
-            prompt_tokens: ask.prompt_tokens,
-            chains: ask.chains.iter().take(MAX_CHAINS).copied().collect(),
-            output_events: ask.output_events as f32,
-            target_us: ask.target_us,
-            spent_us: now_us.saturating_sub(ask.arrived_us),
-            waited_us: ask.waited_us,
-            left_us: ask.deadline_us.saturating_sub(now_us),
-            rank: ask.rank,
-            other_hall_cost: ask.other_hall_cost as f32,
-            draw: ask.draw,
+            service: request.service.clone(),
+            prompt_tokens: request.prompt_tokens,
+            chains: request.chains.iter().take(MAX_CHAINS).copied().collect(),
+            output_events: request.output_events as f32,
+            target_us: request.target_us,
+            spent_us: now_us.saturating_sub(request.arrived_us),
+            waited_us: request.waited_us,
+            left_us: request.deadline_us.saturating_sub(now_us),
+            rank: request.rank,
+            other_hall_cost: request.other_hall_cost as f32,
+            draw: request.draw,
             tried: tried.to_vec(),
         }
     }
 
     /// Converts to times by the receiver's clock; returns the placement request and the endpoints not to choose.
-    pub fn into_ask(self, now_us: Micros) -> (Ask, Vec<EndpointKey>) {
-        let ask = Ask {
+    pub fn into_placement_request(self, now_us: Micros) -> (Ask, Vec<EndpointKey>) {
+        let request = Ask {
             service: self.service,
             is_stream: true,
             prompt_tokens: self.prompt_tokens,
@@ -111,7 +111,7 @@
             homes: Homes::default(),
             draw: self.draw,
         };
-        (ask, self.tried)
+        (request, self.tried)
     }
 }
 
@@ -255,16 +255,16 @@
         &self,
         clock: Clock,
         issuer: IpAddr,
-        ask: &Ask,
+        request: &Ask,
         tried: &[EndpointKey],
     ) -> Option<ReservationReply> {
         let channel = self.channel.get()?;
         let now_us = clock.now_us();
         let mut pending = self.register();
-        let message = DirectMessage::Ask(Box::new(ReservationRequest::new(now_us, ask, tried)));
+        let message = DirectMessage::Ask(Box::new(ReservationRequest::new(now_us, request, tried)));
         channel.send(issuer, pending.number, message).await;
-        let held_us = now_us.saturating_sub(ask.arrived_us);
-        let hold = Duration::from_micros(hold_us(ask).saturating_sub(held_us));
+        let held_us = now_us.saturating_sub(request.arrived_us);
+        let hold = Duration::from_micros(hold_us(request).saturating_sub(held_us));
         let mut until = Instant::now() + FIRST_ANSWER_TIMEOUT;
         loop {
             match time::timeout_at(until, pending.messages.recv()).await {
--- a/src/gateway/reservation_server.rs
+++ b/src/gateway/reservation_server.rs
@@ -69,10 +69,10 @@
     datagram: DirectDatagram,
 ) {
     match datagram.message {
-        DirectMessage::Ask(request) => {
+        DirectMessage::Ask(reservation) => {
             let number = datagram.number;
             let requester = datagram.from;
-            decide(gateway, from, requester, number, *request).await;
+            decide(gateway, from, requester, number, *reservation).await;
         }
         DirectMessage::Permits(message) => {
             permits::receive(gateway, channel, from, datagram.number, message).await;
@@ -90,7 +90,7 @@
     from: IpAddr,
     requester: Incarnation,
     number: u64,
-    request: ReservationRequest,
+    reservation: ReservationRequest,
 ) {
     let Some(channel) = gateway.reserver.channel() else {
         return;
@@ -100,14 +100,14 @@
         return;
     }
     gateway.metrics.places_decided.inc();
-    let (ask, tried) = request.into_ask(gateway.clock.now_us());
+    let (request, tried) = reservation.into_placement_request(gateway.clock.now_us());
     let now_us = gateway.clock.now_us();
     let needs_permit = gateway
         .balancer()
-        .wanted_permit(now_us, &ask, &tried)
+        .wanted_permit(now_us, &request, &tried)
         .is_some();
     if !needs_permit {
-        let placement = gateway.balancer().place(now_us, &ask, &tried);
+        let placement = gateway.balancer().place(now_us, &request, &tried);
         if !matches!(placement, Placement::Wait) {
             let message = conclude(gateway, requester, number, placement);
             channel.send(from, number, message).await;
@@ -118,8 +118,8 @@
     let gateway = gateway.clone();
     tokio::spawn(async move {
         let placement = match needs_permit {
-            true => gateway.place_here(&ask, &tried).await,
-            false => gateway.wait_for_place(&ask).await,
+            true => gateway.place_here(&request, &tried).await,
+            false => gateway.wait_for_place(&request).await,
         };
         let message = conclude(&gateway, requester, number, placement);
         if let Some(channel) = gateway.reserver.channel() {
--- a/tests/edge/resting_endpoints.rs
+++ b/tests/edge/resting_endpoints.rs
@@ -255,7 +255,7 @@
         edge.call("/again/w", &format!("malformed-{number}")).await;
     }
     edge.runners[0].ask_for_rest(Some("20"));
-    edge.call("/again/w", "asked").await;
+    edge.call("/again/w", "rejected").await;
     let got = edge.call("/again/w", "refused").await;
     assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(got.retry_after_s().is_some_and(|s| s > 19.0), "{got:?}");
