--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -22,7 +22,7 @@
     gateway::{
         config::GatewayConfig,
         endings::Endings,
-        endpoint_words::UnreadHeaders,
+        endpoint_announcements::UnreadHeaders,
         evacuations::{EvacuationSet, Evacuations},
         freshness::{CurrentConfig, Offered},
         limit_log,
@@ -32,7 +32,7 @@
         permits::Permits,
         protocol::Protocol,
         quota::Quota,
-        reserver::Reserver,
+        reservation_client::ReservationClient,
         staleness::{Staleness, StalenessBound},
     },
     limits::{
@@ -130,7 +130,7 @@
     /// Data centres whose endpoints get nothing.
     pub evacuations: Evacuations,
     /// Asks others for places at endpoints.
-    pub reserver: Reserver,
+    pub reserver: ReservationClient,
     /// Asks for permits to send to endpoints that take only so many requests a second, and gives them.
     pub permits: Permits,
     /// Organisations' limits.
@@ -162,7 +162,7 @@
         let started_us = clock.now_us();
         let quota = Quota::new(started_us, bounds.tolerance);
         if is_first_start {
-            quota.first_start();
+            quota.mark_first_start();
         }
         Self {
             protocol,
@@ -185,7 +185,7 @@
             waits_for_others: AtomicBool::new(false),
             others_know: AtomicBool::new(false),
             fetches_at_start: AtomicBool::new(false),
-            reserver: Reserver::default(),
+            reserver: ReservationClient::default(),
             permits: Permits::default(),
             quota,
             endings: Endings::default(),
