--- a/src/gateway/quota.rs
+++ b/src/gateway/quota.rs
@@ -15,7 +15,7 @@
 use crate::{
     gateway::{config::GatewayConfig, protocol::Protocol, reserver::Word, state::Gateway},
     limits::quota::{
-        AccountState, Begun, Decision, Denied, Grant, LimitChange, Message, Node, Outgoing,
+        AccountState, Acquisition, Decision, Denied, Grant, LimitChange, Message, Node, Outgoing,
         Recipient, Tolerance,
     },
     peers::view::{Member, View},
@@ -123,7 +123,7 @@
     /// Returns whether this instance still has to meet the others before it leases its share.
     pub fn meets_others(&self) -> bool {
         let mut state = self.lock();
-        let has_begun = state.node.has_begun();
+        let has_begun = state.node.is_leasing();
         if has_begun {
             state.starts.clear();
         }
@@ -136,23 +136,23 @@
         let hashed: Vec<(u32, IpAddr)> = addresses.map(|ip| (address_hash(ip), ip)).collect();
         state
             .node
-            .set_addresses(hashed.iter().map(|(hash, _)| *hash));
+            .add_addresses(hashed.iter().map(|(hash, _)| *hash));
         state.addresses.extend(hashed);
     }
 
     /// Notes that no instance has run before this one.
     pub fn first_start(&self) {
-        self.lock().node.first_start();
+        self.lock().node.mark_first_start();
     }
 
     /// Takes how many instances there were, as the store has it; 0 if it has no number.
     pub fn remember_instances(&self, now_us: Micros, instances: u32) {
-        self.lock().node.remember_instances(now_us, instances);
+        self.lock().node.restore_instance_count(now_us, instances);
     }
 
     /// Returns whether it is known how many instances there are.
     pub fn knows_instances(&self) -> bool {
-        self.lock().node.knows_instances()
+        self.lock().node.knows_instance_count()
     }
 
     /// Returns how many instances there are by this one's own view.
@@ -162,7 +162,7 @@
 
     /// Returns whether this instance is the first of the quota servers.
     pub fn serves_first(&self) -> bool {
-        self.lock().node.serves_first()
+        self.lock().node.is_first_server()
     }
 
     /// Returns by how many instances limits are divided.
@@ -188,7 +188,7 @@
             // A caller that has just left is noticed when its question is dropped.
             let unheard = waiting.and_then(|waiting| waiting.send(decision).err());
             if let Some(Decision::Granted(grant)) = unheard {
-                state.node.give_back(grant);
+                state.node.refund(grant);
             }
         }
         let outgoing = state.node.take_outgoing();
@@ -198,7 +198,7 @@
         let addressed = outgoing.into_iter().filter_map(|Outgoing { to, message }| {
             let ip = match to {
                 Recipient::Address(address) => *addresses.get(&address)?,
-                Recipient::Start(start) => match view.member(start) {
+                Recipient::Incarnation(start) => match view.member(start) {
                     Some(member) => member.info.peer_addr.ip(),
                     None => *starts.get(&start)?,
                 },
@@ -211,7 +211,7 @@
     /// Wakes those that wait until this instance leases its share.
     fn notify_if_begun(&self, now_us: Micros) {
         let mut state = self.lock();
-        if state.has_begun || !state.node.has_begun() {
+        if state.has_begun || !state.node.is_leasing() {
             return;
         }
         state.has_begun = true;
@@ -225,10 +225,10 @@
         organisation: &str,
         units: u32,
         rank: Rank,
-    ) -> Result<Begun, Waiting<'_>> {
+    ) -> Result<Acquisition, Waiting<'_>> {
         let mut state = self.lock();
-        match state.node.begin(now_us, organisation, units, rank) {
-            Begun::Asked(number) => {
+        match state.node.acquire(now_us, organisation, units, rank) {
+            Acquisition::Pending(number) => {
                 let (sender, decision) = oneshot::channel();
                 state.waiting.insert(number, sender);
                 Err(Waiting {
@@ -253,10 +253,10 @@
     rank: Rank,
     allowed_us: Micros,
 ) -> Result<Option<Grant>, Denied> {
-    let patience_us = gateway.quota.lock().node.patience_us(organisation);
+    let patience_us = gateway.quota.lock().node.max_wait_us(organisation);
     let patience = Duration::from_micros(patience_us.min(allowed_us / PATIENCE_PART));
     let until = time::Instant::now() + patience;
-    if !gateway.quota.lock().node.has_begun() {
+    if !gateway.quota.lock().node.is_leasing() {
         // Where all have just started, there is nothing yet, and will be in a moment.
         let begun = gateway.quota.begun.notified();
         // What comes of it is looked at next.
@@ -290,9 +290,9 @@
     let begun = gateway.quota.begin(now_us, organisation, units, rank);
     flush(gateway).await;
     match begun {
-        Ok(Begun::Decided(Decision::Granted(grant))) => Ok(Some(grant)),
-        Ok(Begun::Decided(Decision::Denied(denied))) => Err(denied),
-        Ok(Begun::Unlimited | Begun::Asked(_)) => Ok(None),
+        Ok(Acquisition::Decided(Decision::Granted(grant))) => Ok(Some(grant)),
+        Ok(Acquisition::Decided(Decision::Denied(denied))) => Err(denied),
+        Ok(Acquisition::Unlimited | Acquisition::Pending(_)) => Ok(None),
         Err(mut waiting) => {
             gateway.metrics.quota_asked.inc();
             wait(gateway, &mut waiting, until).await.map(Some)
@@ -341,7 +341,7 @@
 /// Gives back what a request took and did not use.
 pub(super) async fn give_back<P: Protocol>(gateway: &Gateway<P>, grant: Grant) {
     gateway.metrics.quota_unused.inc();
-    gateway.quota.lock().node.give_back(grant);
+    gateway.quota.lock().node.refund(grant);
     flush(gateway).await;
 }
 
--- a/src/gateway/report.rs
+++ b/src/gateway/report.rs
@@ -105,7 +105,7 @@
         organisation = trace.organisation.as_deref().unwrap_or("-"),
         limit_level:serde = trace.denied.and_then(|d| d.level),
         limit_wait_ms:serde = trace.denied.map(|d| d.wait_us / 1_000),
-        limit_asked = trace.denied.is_some_and(|d| !d.is_known),
+        limit_asked = trace.denied.is_some_and(|d| !d.is_cached),
         instances = sharers.all,
         instances_heard = sharers.heard;
         "request_refused"
--- a/src/limits/quota/account.rs
+++ b/src/limits/quota/account.rs
@@ -150,7 +150,7 @@
     }
 
     /// Takes back what was not used.
-    pub(super) fn give_back(&mut self, units: u32, shares: &Shares) {
+    pub(super) fn refund(&mut self, units: u32, shares: &Shares) {
         self.level += f64::from(units);
         self.granted = self.granted.saturating_sub(u64::from(units));
         self.clip(shares);
--- a/src/limits/quota/client.rs
+++ b/src/limits/quota/client.rs
@@ -26,7 +26,7 @@
     /// Units left where it was asked, the most of them; none if nobody answered.
     pub level: Option<i64>,
     /// It was not asked for: a question shortly before was denied.
-    pub is_known: bool,
+    pub is_cached: bool,
     /// No share is leased where it was asked: leases are moving, and there may be some in a moment.
     pub is_unleased: bool,
 }
--- a/src/limits/quota/delegation.rs
+++ b/src/limits/quota/delegation.rs
@@ -44,7 +44,7 @@
     pub(super) address: u32,
     started_us: Micros,
     /// Nobody holds anything of the start before this one.
-    has_begun: bool,
+    is_leasing: bool,
     /// Since then nobody used what is leased for the first time; none if that is not known.
     idle_since_us: Option<Micros>,
     ever_leased: PartitionSet,
@@ -59,7 +59,7 @@
         Self {
             address: 0,
             started_us,
-            has_begun: false,
+            is_leasing: false,
             idle_since_us: None,
             ever_leased: PartitionSet::default(),
             seq: 0,
@@ -71,13 +71,13 @@
     /// Begins to lease: nobody holds anything of the start before this one, nor has since `idle_since_us`, if that is
     /// known.
     pub(super) fn begin(&mut self, idle_since_us: Option<Micros>) {
-        self.has_begun = true;
+        self.is_leasing = true;
         self.idle_since_us = idle_since_us;
     }
 
     /// Returns whether shares are leased.
-    pub(super) fn has_begun(&self) -> bool {
-        self.has_begun
+    pub(super) fn is_leasing(&self) -> bool {
+        self.is_leasing
     }
 
     /// Returns whether all leases of the start before this one have ended, in a group of `instances`.
@@ -103,7 +103,7 @@
         self.seq += 1;
         let stamp_us = self.stamps.get(&server).copied().unwrap_or(0);
         let mut partitions = PartitionSet::default();
-        if stamp_us > 0 && self.has_begun {
+        if stamp_us > 0 && self.is_leasing {
             partitions = wanted
                 .iter()
                 .filter(|p| self.is_free_for(now_us, *p, server))
--- a/src/limits/quota/message.rs
+++ b/src/limits/quota/message.rs
@@ -144,7 +144,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recipient {
     /// That start.
-    Start(Incarnation),
+    Incarnation(Incarnation),
     /// Whoever is at an address, as in [`Lease::address`].
     Address(u32),
 }
--- a/src/limits/quota/mod.rs
+++ b/src/limits/quota/mod.rs
@@ -21,7 +21,7 @@
     account::{Bounds, Tolerance},
     client::{Decision, Denied, Grant},
     message::{InstanceCount, Lease, Message, Outgoing, Recipient, Verdict},
-    node::{Begun, LimitChange, Node},
+    node::{Acquisition, LimitChange, Node},
     partition::{COPIES, Partition, PartitionSet},
     server::AccountState,
 };
--- a/src/limits/quota/node.rs
+++ b/src/limits/quota/node.rs
@@ -46,13 +46,13 @@
 
 /// What came of beginning to ask.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begun {
+pub enum Acquisition {
     /// The organisation has no limit.
     Unlimited,
     /// It is decided.
     Decided(Decision),
     /// Servers were asked, under this number.
-    Asked(u64),
+    Pending(u64),
 }
 
 #[derive(Debug)]
@@ -216,13 +216,13 @@
     }
 
     /// Notes that no instance has run before this one: its view is all there is to know, and nothing is leased.
-    pub fn first_start(&mut self) {
+    pub fn mark_first_start(&mut self) {
         self.is_first_start = true;
         self.has_no_predecessor = true;
     }
 
     /// Takes how many instances there were, as the store has it; 0 if it has no number, and the own view counts.
-    pub fn remember_instances(&mut self, now_us: Micros, instances: u32) {
+    pub fn restore_instance_count(&mut self, now_us: Micros, instances: u32) {
         let now_us = self.advance(now_us);
         if instances == 0 {
             self.is_first_start = true;
@@ -231,7 +231,7 @@
     }
 
     /// Returns whether it is known how many instances there are.
-    pub fn knows_instances(&self) -> bool {
+    pub fn knows_instance_count(&self) -> bool {
         self.is_first_start || self.told_instances.is_some()
     }
 
@@ -241,17 +241,17 @@
     }
 
     /// Returns whether this instance leases its share yet.
-    pub fn has_begun(&self) -> bool {
-        self.delegation.has_begun()
+    pub fn is_leasing(&self) -> bool {
+        self.delegation.is_leasing()
     }
 
     /// Takes where instances are, or were, this one included; by a hash.
-    pub fn set_addresses(&mut self, addresses: impl IntoIterator<Item = u32>) {
+    pub fn add_addresses(&mut self, addresses: impl IntoIterator<Item = u32>) {
         self.addresses.extend(addresses);
     }
 
     /// Returns whether this instance is the first of the quota servers.
-    pub fn serves_first(&self) -> bool {
+    pub fn is_first_server(&self) -> bool {
         self.directory.servers().first() == Some(&self.me)
     }
 
@@ -269,10 +269,10 @@
         let is_kept = |q: &Question| now_us.saturating_sub(q.asked_us) < FORGOTTEN_US;
         self.questions.retain(|_, question| is_kept(question));
         for grant in self.client.take_expired(now_us) {
-            self.give_back(grant);
+            self.refund(grant);
         }
         self.begin_if_due(now_us);
-        if !self.delegation.has_begun() {
+        if !self.delegation.is_leasing() {
             self.introduce(now_us);
         }
         self.ask_back(now_us);
@@ -320,7 +320,7 @@
 
     /// Begins to lease once all that there are have met this start, or its predecessor's leases have ended.
     fn begin_if_due(&mut self, now_us: Micros) {
-        if self.delegation.has_begun() || !self.knows_instances() {
+        if self.delegation.is_leasing() || !self.knows_instance_count() {
             return;
         }
         let instances = self.divisor(now_us);
@@ -345,26 +345,32 @@
     }
 
     /// Returns for how long a caller may wait for an answer: a grant that comes later is not for it.
-    pub fn patience_us(&self, organisation: &str) -> Micros {
+    pub fn max_wait_us(&self, organisation: &str) -> Micros {
         let limited = self.limits.get(&short_hash(organisation));
         limited.map_or(0, |l| l.credit_us)
     }
 
     /// Begins to ask for what a request uses.
-    pub fn begin(&mut self, now_us: Micros, organisation: &str, units: u32, rank: Rank) -> Begun {
+    pub fn acquire(
+        &mut self,
+        now_us: Micros,
+        organisation: &str,
+        units: u32,
+        rank: Rank,
+    ) -> Acquisition {
         let now_us = self.advance(now_us);
         let organisation = short_hash(organisation);
         if !self.limits.contains_key(&organisation) {
-            return Begun::Unlimited;
+            return Acquisition::Unlimited;
         }
         if let Some(grant) = self.client.use_credit(now_us, organisation, units) {
-            return Begun::Decided(Decision::Granted(grant));
+            return Acquisition::Decided(Decision::Granted(grant));
         }
         if let Some(wait_us) = self.client.denied_us(now_us, organisation, units, rank) {
-            return Begun::Decided(Decision::Denied(Denied {
+            return Acquisition::Decided(Decision::Denied(Denied {
                 wait_us,
                 level: None,
-                is_known: true,
+                is_cached: true,
                 is_unleased: false,
             }));
         }
@@ -382,8 +388,8 @@
         self.waiting.insert(number, waiting);
         self.ask_next(now_us, number);
         match self.decided.iter().position(|(n, _)| *n == number) {
-            Some(place) => Begun::Decided(self.decided.swap_remove(place).1),
-            None => Begun::Asked(number),
+            Some(place) => Acquisition::Decided(self.decided.swap_remove(place).1),
+            None => Acquisition::Pending(number),
         }
     }
 
@@ -414,7 +420,7 @@
     }
 
     /// Gives back what a request did not use.
-    pub fn give_back(&mut self, grant: Grant) {
+    pub fn refund(&mut self, grant: Grant) {
         let Grant {
             organisation,
             units,
@@ -422,7 +428,7 @@
         } = grant;
         match from {
             Some((server, copy)) if server == self.me => {
-                self.server.give_back(organisation, copy, units);
+                self.server.refund(organisation, copy, units);
             }
             Some((to, copy)) => self.send(
                 to,
@@ -503,7 +509,7 @@
                 self.addresses.insert(from_address);
                 // It has just started: what it was told before that is lost.
                 let has_met = self.met_at.contains(&from_address);
-                if !has_met && !self.delegation.has_begun() {
+                if !has_met && !self.delegation.is_leasing() {
                     self.introduce_to(from_address);
                 }
             }
@@ -542,7 +548,7 @@
                 organisation,
                 copy,
                 units,
-            } => self.server.give_back(organisation, copy, units),
+            } => self.server.refund(organisation, copy, units),
         }
     }
 
@@ -632,7 +638,7 @@
         let known = self
             .told(now_us)
             .max(own)
-            .filter(|_| self.knows_instances());
+            .filter(|_| self.knows_instance_count());
         let (instances, seen_us) = known.unwrap_or((0, now_us));
         InstanceCount {
             instances,
@@ -658,7 +664,7 @@
                 from: Some((from, copy)),
             };
             match question.is_spare {
-                true => self.give_back(grant),
+                true => self.refund(grant),
                 false => self.granted(now_us, number, grant, question.asked_us),
             }
             return;
@@ -692,7 +698,7 @@
             }
             Some(_) => {
                 self.decided.push((number, Decision::Denied(unanswered())));
-                self.give_back(grant);
+                self.refund(grant);
             }
             None => self.keep(grant, until_us),
         }
@@ -817,7 +823,7 @@
 
     fn lease_to(&mut self, now_us: Micros, server: Incarnation) -> Lease {
         self.leased_us.insert(server, now_us);
-        let wanted = match self.knows_instances() {
+        let wanted = match self.knows_instance_count() {
             true => self.directory.partitions_of(server),
             false => PartitionSet::default(),
         };
@@ -853,7 +859,7 @@
     }
 
     fn send(&mut self, to: Incarnation, message: Message) {
-        let to = Recipient::Start(to);
+        let to = Recipient::Incarnation(to);
         self.outgoing.push(Outgoing { to, message });
     }
 }
@@ -869,7 +875,7 @@
     Denied {
         wait_us: UNANSWERED_US,
         level: None,
-        is_known: false,
+        is_cached: false,
         is_unleased: false,
     }
 }
--- a/src/limits/quota/server.rs
+++ b/src/limits/quota/server.rs
@@ -204,11 +204,11 @@
         account.map_or(Verdict::Unknown, |a| a.grant(units, rank, shares))
     }
 
-    pub(super) fn give_back(&mut self, organisation: u32, copy: u8, units: u32) {
+    pub(super) fn refund(&mut self, organisation: u32, copy: u8, units: u32) {
         let partition = Partition::of(organisation, copy);
         let shares = &self.shares[partition.index()];
         if let Some(account) = self.accounts.get_mut(&(organisation, copy)) {
-            account.give_back(units, shares);
+            account.refund(units, shares);
         }
     }
 
--- a/tests/gateway/growth.rs
+++ b/tests/gateway/growth.rs
@@ -106,7 +106,7 @@
 fn leases_a_second(count: u32) -> f64 {
     let mut node = Node::new(0, Incarnation(1), TOLERANCE);
     node.join(Incarnation(1), 0);
-    node.first_start();
+    node.mark_first_start();
     node.set_instances(count as usize);
     node.set_members(0, &[Incarnation(2), Incarnation(1)]);
     let mut leases = 0;
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -3,8 +3,8 @@
 use ryevalve::{
     gateway::config::{UseLimit, UseUnit},
     limits::quota::{
-        AccountState, Begun, Bounds, COPIES, Decision, Grant, InstanceCount, Lease, Message, Node,
-        Outgoing, Partition, PartitionSet, Recipient, Tolerance,
+        AccountState, Acquisition, Bounds, COPIES, Decision, Grant, InstanceCount, Lease, Message,
+        Node, Outgoing, Partition, PartitionSet, Recipient, Tolerance,
     },
     prelude::{Incarnation, short_hash},
 };
@@ -26,7 +26,7 @@
 fn alone(rate: f64, burst: f64) -> Node {
     let mut node = Node::new(0, Incarnation(1), TOLERANCE);
     node.join(Incarnation(1), 1);
-    node.first_start();
+    node.mark_first_start();
     node.set_members(0, &[Incarnation(1)]);
     node.configure(0, &config(1, vec![], vec![limited("org", rate, burst)]));
     run(&mut node, 0, FULL_US);
@@ -41,11 +41,11 @@
 
 fn ask(node: &mut Node, now_us: u64, tokens: u32, rank: u8) -> Result<Option<Grant>, u64> {
     node.tick(now_us);
-    match node.begin(now_us, "org", tokens, rank) {
-        Begun::Unlimited => Ok(None),
-        Begun::Decided(Decision::Granted(grant)) => Ok(Some(grant)),
-        Begun::Decided(Decision::Denied(denied)) => Err(denied.wait_us),
-        Begun::Asked(number) => panic!("alone, and others were asked: {number}"),
+    match node.acquire(now_us, "org", tokens, rank) {
+        Acquisition::Unlimited => Ok(None),
+        Acquisition::Decided(Decision::Granted(grant)) => Ok(Some(grant)),
+        Acquisition::Decided(Decision::Denied(denied)) => Err(denied.wait_us),
+        Acquisition::Pending(number) => panic!("alone, and others were asked: {number}"),
     }
 }
 
@@ -144,7 +144,7 @@
     let mut node = alone(RATE, BURST);
     let grant = ask(&mut node, FULL_US, 3_000, 0).unwrap().unwrap();
     while ask(&mut node, FULL_US, 100, 0).is_ok() {}
-    node.give_back(grant);
+    node.refund(grant);
     let later_us = FULL_US + 500 * MS;
     assert!(ask(&mut node, later_us, 2_500, 0).is_ok());
 }
@@ -212,10 +212,10 @@
         let nodes = [0, 1].map(|place| {
             let mut node = Node::new(0, STARTS[place], TOLERANCE);
             node.join(STARTS[place], place as u32);
-            node.first_start();
+            node.mark_first_start();
             node.set_members(0, &STARTS);
             node.set_instances(2);
-            node.set_addresses([0, 1]);
+            node.add_addresses([0, 1]);
             node.configure(0, &config(1, vec![], vec![limited("org", RATE, BURST)]));
             node
         });
@@ -241,7 +241,7 @@
         for (from, start) in STARTS.iter().enumerate() {
             for Outgoing { to, message } in self.nodes[from].take_outgoing() {
                 let to = match to {
-                    Recipient::Start(start) => STARTS.iter().position(|s| *s == start),
+                    Recipient::Incarnation(start) => STARTS.iter().position(|s| *s == start),
                     Recipient::Address(address) => Some(address as usize),
                 };
                 if let Some(to) = to {
@@ -365,10 +365,10 @@
     let mut node = Node::new(0, me, TOLERANCE);
     node.join(me, 0);
     match is_first_start {
-        true => node.first_start(),
-        false => node.remember_instances(0, count),
+        true => node.mark_first_start(),
+        false => node.restore_instance_count(0, count),
     }
-    node.set_addresses(0..count);
+    node.add_addresses(0..count);
     node.set_instances(count as usize);
     let mut told = 0;
     for now_us in (0..5 * SECOND).step_by(40 * MS as usize) {
@@ -399,8 +399,8 @@
     let start = |now_us: u64, me: u64, address: u32| {
         let mut node = Node::new(now_us, Incarnation(me), TOLERANCE);
         node.join(Incarnation(me), address);
-        node.remember_instances(now_us, 2);
-        node.set_addresses(0..2);
+        node.restore_instance_count(now_us, 2);
+        node.add_addresses(0..2);
         node.set_instances(2);
         node
     };
@@ -409,7 +409,7 @@
         first.tick(now_us);
         first.take_outgoing();
     }
-    assert!(!first.has_begun());
+    assert!(!first.is_leasing());
     let mut second = start(2 * SECOND, 12, 1);
     second.tick(2 * SECOND);
     for now_us in [2 * SECOND + 2 * MS, 2 * SECOND + 4 * MS] {
@@ -420,7 +420,7 @@
             second.receive(now_us, Incarnation(11), 0, sent.message);
         }
     }
-    assert!(first.has_begun() && second.has_begun());
+    assert!(first.is_leasing() && second.is_leasing());
 }
 
 /// Tasks that read the clock one after the other may reach the node in the other order.
@@ -428,7 +428,7 @@
 fn a_time_that_comes_late_stops_no_instance() {
     let mut node = alone(RATE, BURST);
     let (earlier_us, later_us) = (FULL_US + SECOND, FULL_US + 2 * SECOND);
-    node.remember_instances(later_us, 3);
+    node.restore_instance_count(later_us, 3);
     node.tick(earlier_us);
     let count = InstanceCount {
         instances: 5,
--- a/tests/gateway/quota_fleet.rs
+++ b/tests/gateway/quota_fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use ryevalve::{
-    limits::quota::{Begun, Decision, Message, Node, Recipient},
+    limits::quota::{Acquisition, Decision, Message, Node, Recipient},
     prelude::Incarnation,
 };
 
@@ -130,13 +130,13 @@
             members.sort_unstable();
             instance.node.set_members(now_us, &members);
             let met = instance.seen.iter().map(|n| *n as u32);
-            instance.node.set_addresses(met);
+            instance.node.add_addresses(met);
             instance.node.set_instances(instance.seen.len());
-            if has_met && !instance.node.knows_instances() {
+            if has_met && !instance.node.knows_instance_count() {
                 // From the store.
                 instance
                     .node
-                    .remember_instances(now_us, case.instances as u32);
+                    .restore_instance_count(now_us, case.instances as u32);
             }
             instance.node.tick(now_us);
         }
@@ -148,7 +148,7 @@
         for (from, instance) in self.instances.iter_mut().enumerate() {
             for outgoing in instance.node.take_outgoing() {
                 let to = match outgoing.to {
-                    Recipient::Start(start) => self.by_start[&start],
+                    Recipient::Incarnation(start) => self.by_start[&start],
                     Recipient::Address(address) => address as usize,
                 };
                 self.sent += 1;
@@ -197,7 +197,7 @@
     fn wait(&mut self, now_us: u64) {
         for instance in &mut self.instances {
             let node = &mut instance.node;
-            let patience_us = node.patience_us("org");
+            let patience_us = node.max_wait_us("org");
             instance.asked.retain(|asked| {
                 node.hedge(now_us, asked.number);
                 let has_time = now_us - asked.asked_us < patience_us;
@@ -234,7 +234,7 @@
         };
         for place in 0..case.instances {
             let mut instance = fleet.instance(0, place);
-            instance.node.first_start();
+            instance.node.mark_first_start();
             fleet.instances.push(instance);
         }
         fleet
@@ -258,10 +258,12 @@
         if instance.started_us > now_us {
             return;
         }
-        match instance.node.begin(now_us, "org", tokens, 0) {
-            Begun::Unlimited | Begun::Decided(Decision::Granted(_)) => self.granted.push(tokens),
-            Begun::Decided(Decision::Denied(_)) => {}
-            Begun::Asked(number) => instance.asked.push(Asked {
+        match instance.node.acquire(now_us, "org", tokens, 0) {
+            Acquisition::Unlimited | Acquisition::Decided(Decision::Granted(_)) => {
+                self.granted.push(tokens)
+            }
+            Acquisition::Decided(Decision::Denied(_)) => {}
+            Acquisition::Pending(number) => instance.asked.push(Asked {
                 number,
                 tokens,
                 asked_us: now_us,
