--- a/src/limits/quota/account.rs
+++ b/src/limits/quota/account.rs
@@ -7,25 +7,25 @@
 };
 
 /// What is granted reaches an endpoint within this time, in seconds.
-const ARRIVAL_S: f64 = 0.25;
+const MAX_DISPATCH_DELAY_S: f64 = 0.25;
 /// The longest that a grant may be old when it is used, in seconds: round trips take as long where instances are slow.
-const MAX_CREDIT_S: f64 = 2.6;
+const MAX_GRANT_AGE_S: f64 = 2.6;
 /// The part of what a window allows beyond the rate, and beyond what arrives late, that old grants may take.
-const CREDIT_PART: f64 = 0.5;
+const GRANT_AGE_FRACTION: f64 = 0.5;
 /// The part that an account has at least where what arrives late takes all of it.
-const LEAST_CAPACITY_PART: f64 = 0.4;
+const MIN_CAPACITY_FRACTION: f64 = 0.4;
 /// The part of an account that is debt: a request is let in while anything is left and its debt is within it, so that
 /// long requests find room beside short ones.
-const DEBT_PART: f64 = 0.4;
+const DEBT_FRACTION: f64 = 0.4;
 /// The part of an account that is left to the more urgent, a rank.
-const RANK_RESERVE: f64 = 0.05;
+const RESERVE_PER_RANK: f64 = 0.05;
 /// The least urgent rank that is told apart.
-const LEAST_URGENT: Rank = 2;
+const MAX_RANK: Rank = 2;
 /// Those that are denied wait longer, the more of them there are, by this part of the time that one request's
 /// units take to come.
-const QUEUE_PART: f64 = 0.25;
+const QUEUE_WAIT_FRACTION: f64 = 0.25;
 /// The longest that they wait for each other.
-const MAX_QUEUE_US: f64 = 400_000.0;
+const MAX_QUEUE_WAIT_US: f64 = 400_000.0;
 /// The least that a denied one waits.
 const MIN_WAIT_US: f64 = 20_000.0;
 
@@ -50,7 +50,7 @@
     /// Units that may be owed.
     pub debt: f64,
     /// How old a grant may be when it is used.
-    pub credit_us: Micros,
+    pub max_grant_age_us: Micros,
 }
 
 impl Bounds {
@@ -60,18 +60,19 @@
         let rate_per_s = limit.rate_per_s;
         let in_window = rate_per_s * tolerance.window_s;
         let allowed = (in_window + limit.burst) * (1.0 + tolerance.overage) + tolerance.slack;
-        let room = allowed - in_window;
-        let room_in_time = (room - rate_per_s * ARRIVAL_S).max(0.0);
-        let credit_s = (room_in_time * CREDIT_PART / rate_per_s.max(1.0)).min(MAX_CREDIT_S);
-        let capacity = match room_in_time > 0.0 {
-            true => room_in_time - rate_per_s * credit_s,
-            false => room * LEAST_CAPACITY_PART,
+        let headroom = allowed - in_window;
+        let timely_headroom = (headroom - rate_per_s * MAX_DISPATCH_DELAY_S).max(0.0);
+        let max_grant_age_s =
+            (timely_headroom * GRANT_AGE_FRACTION / rate_per_s.max(1.0)).min(MAX_GRANT_AGE_S);
+        let capacity = match timely_headroom > 0.0 {
+            true => timely_headroom - rate_per_s * max_grant_age_s,
+            false => headroom * MIN_CAPACITY_FRACTION,
         };
         Self {
             rate_per_s,
-            depth: capacity * (1.0 - DEBT_PART),
-            debt: capacity * DEBT_PART,
-            credit_us: (credit_s * 1e6) as Micros,
+            depth: capacity * (1.0 - DEBT_FRACTION),
+            debt: capacity * DEBT_FRACTION,
+            max_grant_age_us: (max_grant_age_s * 1e6) as Micros,
         }
     }
 }
@@ -84,7 +85,7 @@
     /// [`Shares::accrued_s`] up to which it is filled.
     filled_s: f64,
     /// Requests denied since one was granted.
-    queue: f64,
+    denied_since_grant: f64,
     /// Units granted since the account was opened.
     pub(super) granted: u64,
     /// Requests denied since the state was shown last.
@@ -99,14 +100,14 @@
             limit,
             level: 0.0,
             filled_s: shares.accrued_s(),
-            queue: 0.0,
+            denied_since_grant: 0.0,
             granted: 0,
             denied: 0,
         }
     }
 
     /// Takes another limit. What is left stays left, as far as the new limit lets it.
-    pub(super) fn change(&mut self, limit: UseLimit, tolerance: &Tolerance, shares: &Shares) {
+    pub(super) fn update_limit(&mut self, limit: UseLimit, tolerance: &Tolerance, shares: &Shares) {
         self.fill(shares);
         self.limit = limit;
         self.bounds = Bounds::new(&limit, tolerance);
@@ -123,28 +124,29 @@
 
     /// Cuts off what the shares leased now do not cover.
     pub(super) fn clip(&mut self, shares: &Shares) {
-        self.level = self.level.min(self.bounds.depth * part(shares));
+        self.level = self.level.min(self.bounds.depth * account_share(shares));
     }
 
     pub(super) fn grant(&mut self, units: u32, rank: Rank, shares: &Shares) -> Verdict {
         self.fill(shares);
-        let part = part(shares);
-        if part <= 0.0 {
+        let account_share = account_share(shares);
+        if account_share <= 0.0 {
             return Verdict::Unleased;
         }
-        let reserve = self.bounds.depth * part * RANK_RESERVE * f64::from(rank.min(LEAST_URGENT));
-        let needed = f64::from(units) - self.bounds.debt * part;
+        let reserve =
+            self.bounds.depth * account_share * RESERVE_PER_RANK * f64::from(rank.min(MAX_RANK));
+        let needed = f64::from(units) - self.bounds.debt * account_share;
         if self.level > reserve && self.level >= needed {
             self.level -= f64::from(units);
             self.granted += u64::from(units);
-            self.queue = 0.0;
+            self.denied_since_grant = 0.0;
             return Verdict::Granted;
         }
         self.denied += 1;
         // One more than is there at the moment when it is due.
         let missing = reserve.max(needed) - self.level + 1.0;
         Verdict::Denied {
-            wait_us: self.wait_us(missing, units, part),
+            wait_us: self.wait_us(missing, units, account_share),
             level: self.level as i64,
         }
     }
@@ -156,18 +158,18 @@
         self.clip(shares);
     }
 
-    fn wait_us(&mut self, missing: f64, units: u32, part: f64) -> Micros {
-        let rate_per_us = self.bounds.rate_per_s * part / 1e6;
-        let each_us = f64::from(units) / rate_per_us * QUEUE_PART;
-        let queue_us = (self.queue * each_us).min(MAX_QUEUE_US);
-        self.queue += 1.0;
-        let due_us = (missing / rate_per_us).max(MIN_WAIT_US);
+    fn wait_us(&mut self, missing: f64, units: u32, account_share: f64) -> Micros {
+        let rate_per_us = self.bounds.rate_per_s * account_share / 1e6;
+        let per_request_us = f64::from(units) / rate_per_us * QUEUE_WAIT_FRACTION;
+        let queue_wait_us = (self.denied_since_grant * per_request_us).min(MAX_QUEUE_WAIT_US);
+        self.denied_since_grant += 1.0;
+        let refill_us = (missing / rate_per_us).max(MIN_WAIT_US);
         // A cast keeps to the bounds of the type.
-        (due_us + queue_us) as Micros
+        (refill_us + queue_wait_us) as Micros
     }
 }
 
 /// Returns the part of an organisation's limit that one account has.
-fn part(shares: &Shares) -> f64 {
+fn account_share(shares: &Shares) -> f64 {
     shares.total() / f64::from(COPIES)
 }
--- a/src/limits/quota/client.rs
+++ b/src/limits/quota/client.rs
@@ -42,7 +42,7 @@
 
 /// A grant that came after whoever asked had given up, and is kept for a later request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Credit {
+pub(super) struct LateGrant {
     pub(super) units: u32,
     pub(super) until_us: Micros,
     /// Who granted it, and from which account.
@@ -57,8 +57,8 @@
 }
 
 #[derive(Debug, Default)]
-struct Account {
-    credits: Vec<Credit>,
+struct OrganisationState {
+    late_grants: Vec<LateGrant>,
     /// By rank.
     denials: [Denial; RANKS],
 }
@@ -66,31 +66,31 @@
 /// Grants that came late, and denials that still hold.
 #[derive(Debug, Default)]
 pub(super) struct Client {
-    accounts: HashMap<u32, Account>,
+    organisations: HashMap<u32, OrganisationState>,
 }
 
 impl Client {
     /// Takes quota that was granted before; none if there is not enough.
-    pub(super) fn use_credit(
+    pub(super) fn use_late_grants(
         &mut self,
         now_us: Micros,
         organisation: u32,
         units: u32,
     ) -> Option<Grant> {
-        let account = self.accounts.get_mut(&organisation)?;
-        let is_sound = |c: &Credit| c.until_us > now_us;
-        let sound = account.credits.iter().filter(|c| is_sound(c));
-        let left: u64 = sound.map(|c| u64::from(c.units)).sum();
+        let state = self.organisations.get_mut(&organisation)?;
+        let is_valid = |c: &LateGrant| c.until_us > now_us;
+        let valid = state.late_grants.iter().filter(|c| is_valid(c));
+        let left: u64 = valid.map(|c| u64::from(c.units)).sum();
         if left < u64::from(units) {
             return None;
         }
         let mut needed = units;
-        for credit in account.credits.iter_mut().filter(|c| is_sound(c)) {
-            let taken = credit.units.min(needed);
-            credit.units -= taken;
-            needed -= taken;
+        for late_grant in state.late_grants.iter_mut().filter(|c| is_valid(c)) {
+            let used = late_grant.units.min(needed);
+            late_grant.units -= used;
+            needed -= used;
         }
-        account.credits.retain(|c| c.units > 0);
+        state.late_grants.retain(|c| c.units > 0);
         Some(Grant {
             organisation,
             units,
@@ -99,41 +99,41 @@
     }
 
     /// Keeps quota for a later request.
-    pub(super) fn keep(&mut self, organisation: u32, credit: Credit) {
-        let account = self.accounts.entry(organisation).or_default();
-        account.credits.push(credit);
+    pub(super) fn store_late_grant(&mut self, organisation: u32, late_grant: LateGrant) {
+        let state = self.organisations.entry(organisation).or_default();
+        state.late_grants.push(late_grant);
     }
 
     /// Returns the quota that was not used in its time.
     pub(super) fn take_expired(&mut self, now_us: Micros) -> Vec<Grant> {
         let mut expired = Vec::new();
-        for (organisation, account) in &mut self.accounts {
-            let gone = account.credits.extract_if(.., |c| c.until_us <= now_us);
-            expired.extend(gone.map(|credit| Grant {
+        for (organisation, state) in &mut self.organisations {
+            let removed = state.late_grants.extract_if(.., |c| c.until_us <= now_us);
+            expired.extend(removed.map(|late_grant| Grant {
                 organisation: *organisation,
-                units: credit.units,
-                from: Some(credit.from),
+                units: late_grant.units,
+                from: Some(late_grant.from),
             }));
         }
         expired
     }
 
     /// Returns for how much longer a request is denied without a question.
-    pub(super) fn denied_us(
+    pub(super) fn denied_for_us(
         &self,
         now_us: Micros,
         organisation: u32,
         units: u32,
         rank: Rank,
     ) -> Option<Micros> {
-        let account = self.accounts.get(&organisation)?;
-        let denial = account.denials[index(rank)];
+        let state = self.organisations.get(&organisation)?;
+        let denial = state.denials[rank_index(rank)];
         let holds = denial.until_us > now_us && units >= denial.units;
         holds.then(|| denial.until_us - now_us)
     }
 
     /// Notes that requests like a denied one are denied for a while: those that are as large, and as urgent at most.
-    pub(super) fn note_denied(
+    pub(super) fn record_denial(
         &mut self,
         now_us: Micros,
         organisation: u32,
@@ -141,10 +141,10 @@
         rank: Rank,
         until_us: Micros,
     ) {
-        let account = self.accounts.entry(organisation).or_default();
-        for denial in &mut account.denials[index(rank)..] {
-            let is_over = denial.until_us <= now_us;
-            if is_over || units <= denial.units {
+        let state = self.organisations.entry(organisation).or_default();
+        for denial in &mut state.denials[rank_index(rank)..] {
+            let has_expired = denial.until_us <= now_us;
+            if has_expired || units <= denial.units {
                 *denial = Denial { until_us, units };
             }
         }
@@ -152,11 +152,11 @@
 
     /// Forgets organisations without a limit.
     pub(super) fn retain(&mut self, is_kept: impl Fn(u32) -> bool) {
-        self.accounts
+        self.organisations
             .retain(|organisation, _| is_kept(*organisation));
     }
 }
 
-fn index(rank: Rank) -> usize {
+fn rank_index(rank: Rank) -> usize {
     usize::from(rank).min(RANKS - 1)
 }
--- a/src/limits/quota/delegation.rs
+++ b/src/limits/quota/delegation.rs
@@ -11,27 +11,27 @@
 };
 
 /// How often a lease is renewed, an instance: in large groups servers have more to renew.
-const RENEWAL_EACH_US: Micros = 4_000;
+const RENEWAL_PER_INSTANCE_US: Micros = 4_000;
 const MIN_RENEWAL_US: Micros = 400_000;
 const MAX_RENEWAL_US: Micros = 4_000_000;
 /// The longest round trip over which leases hold. A lease runs from a stamp that has come to the lessor and is sent
 /// back, so a round trip is lost of it.
-const LONGEST_ROUND_TRIP_US: Micros = 2_800_000;
+const MAX_ROUND_TRIP_US: Micros = 2_800_000;
 /// A renewal may be lost, and a lease holds.
-const RENEWALS: Micros = 2;
+const RENEWALS_PER_LEASE: Micros = 2;
 
 /// Returns how long leases run in a group.
-fn lease_us(instances: u32) -> Micros {
-    LONGEST_ROUND_TRIP_US + RENEWALS * renewal_us(instances)
+fn lease_duration_us(instances: u32) -> Micros {
+    MAX_ROUND_TRIP_US + RENEWALS_PER_LEASE * renewal_interval_us(instances)
 }
 
 /// Returns how often leases are renewed in a group.
-pub(super) fn renewal_us(instances: u32) -> Micros {
-    (Micros::from(instances) * RENEWAL_EACH_US).clamp(MIN_RENEWAL_US, MAX_RENEWAL_US)
+pub(super) fn renewal_interval_us(instances: u32) -> Micros {
+    (Micros::from(instances) * RENEWAL_PER_INSTANCE_US).clamp(MIN_RENEWAL_US, MAX_RENEWAL_US)
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Leased {
+struct IssuedLease {
     to: Incarnation,
     seq: u64,
     until_us: Micros,
@@ -49,7 +49,7 @@
     idle_since_us: Option<Micros>,
     ever_leased: PartitionSet,
     seq: u64,
-    leased: Vec<Option<Leased>>,
+    leased: Vec<Option<IssuedLease>>,
     /// The newest stamp of each server.
     stamps: HashMap<Incarnation, Micros>,
 }
@@ -70,7 +70,7 @@
 
     /// Begins to lease: nobody holds anything of the start before this one, nor has since `idle_since_us`, if that is
     /// known.
-    pub(super) fn begin(&mut self, idle_since_us: Option<Micros>) {
+    pub(super) fn start_leasing(&mut self, idle_since_us: Option<Micros>) {
         self.is_leasing = true;
         self.idle_since_us = idle_since_us;
     }
@@ -81,12 +81,12 @@
     }
 
     /// Returns whether all leases of the start before this one have ended, in a group of `instances`.
-    pub(super) fn are_earlier_over(&self, now_us: Micros, instances: u32) -> bool {
-        now_us >= self.started_us + lease_us(instances)
+    pub(super) fn have_predecessor_leases_expired(&self, now_us: Micros, instances: u32) -> bool {
+        now_us >= self.started_us + lease_duration_us(instances)
     }
 
     /// Notes a server's stamp.
-    pub(super) fn note_stamp(&mut self, server: Incarnation, stamp_us: Micros) {
+    pub(super) fn record_stamp(&mut self, server: Incarnation, stamp_us: Micros) {
         let newest_us = self.stamps.entry(server).or_default();
         *newest_us = stamp_us.max(*newest_us);
     }
@@ -106,13 +106,13 @@
         if stamp_us > 0 && self.is_leasing {
             partitions = wanted
                 .iter()
-                .filter(|p| self.is_free_for(now_us, *p, server))
+                .filter(|p| self.can_lease_to(now_us, *p, server))
                 .collect();
         }
-        let lasts_us = lease_us(count.instances);
+        let lasts_us = lease_duration_us(count.instances);
         let mut idle = PartitionSet::default();
         for partition in partitions.iter() {
-            self.leased[partition.index()] = Some(Leased {
+            self.leased[partition.index()] = Some(IssuedLease {
                 to: server,
                 seq: self.seq,
                 until_us: now_us + lasts_us,
@@ -140,14 +140,14 @@
     pub(super) fn misplaced(
         &self,
         now_us: Micros,
-        serves: impl Fn(Partition) -> Incarnation,
+        server_of: impl Fn(Partition) -> Incarnation,
     ) -> HashMap<Incarnation, PartitionSet> {
         let mut misplaced: HashMap<Incarnation, PartitionSet> = HashMap::new();
         for partition in Partition::all() {
             let Some(leased) = self.leased[partition.index()] else {
                 continue;
             };
-            if leased.until_us > now_us && leased.to != serves(partition) {
+            if leased.until_us > now_us && leased.to != server_of(partition) {
                 misplaced.entry(leased.to).or_default().insert(partition);
             }
         }
@@ -161,7 +161,12 @@
     }
 
     /// Notes that leases are over, which were asked back by the question `seq`.
-    pub(super) fn released(&mut self, from: Incarnation, seq: u64, partitions: PartitionSet) {
+    pub(super) fn confirm_release(
+        &mut self,
+        from: Incarnation,
+        seq: u64,
+        partitions: PartitionSet,
+    ) {
         for partition in partitions.iter() {
             let leased = &mut self.leased[partition.index()];
             leased.take_if(|l| l.to == from && l.seq < seq);
@@ -169,13 +174,13 @@
     }
 
     /// Notes that a lessee has ended, and its leases with it; returns whether there were any.
-    pub(super) fn lessee_ended(&mut self, lessee: Incarnation) -> bool {
+    pub(super) fn end_leases_to(&mut self, lessee: Incarnation) -> bool {
         let leases = self.leased.iter_mut();
         let ended = leases.filter_map(|leased| leased.take_if(|l| l.to == lessee));
         ended.count() > 0
     }
 
-    fn is_free_for(&self, now_us: Micros, partition: Partition, server: Incarnation) -> bool {
+    fn can_lease_to(&self, now_us: Micros, partition: Partition, server: Incarnation) -> bool {
         let leased = self.leased[partition.index()];
         leased.is_none_or(|l| l.to == server || l.until_us <= now_us)
     }
--- a/src/limits/quota/directory.rs
+++ b/src/limits/quota/directory.rs
@@ -11,17 +11,17 @@
 const SERVERS: usize = 8;
 /// A server that was asked for this long and did not answer is passed over if another one answered what it was asked
 /// later: where nobody answers, all are slow or this instance is cut off.
-const SILENT_US: Micros = 700_000;
+const UNRESPONSIVE_US: Micros = 700_000;
 /// And after this time in any case.
-const LONG_SILENT_US: Micros = 3_200_000;
+const MAX_UNRESPONSIVE_US: Micros = 3_200_000;
 /// One that is passed over is used again if it answers within this many times what the others take.
-const BACK_TIMES: Micros = 2;
+const READMIT_ROUND_TRIPS: Micros = 2;
 /// An answer is overdue after this many times what the servers take.
-const OVERDUE_TIMES: f64 = 1.5;
+const OVERDUE_ROUND_TRIPS: f64 = 1.5;
 /// But not before this time.
-const LEAST_OVERDUE_US: Micros = 40_000;
+const MIN_OVERDUE_US: Micros = 40_000;
 /// The weight of the newest round trip.
-const NEWEST_WEIGHT: f64 = 0.25;
+const ROUND_TRIP_GAIN: f64 = 0.25;
 
 #[derive(Debug)]
 pub(super) struct Directory {
@@ -31,13 +31,13 @@
     /// Since when those asked have not answered.
     unanswered_since_us: HashMap<Incarnation, Micros>,
     /// When the newest question was sent that each answered.
-    answered_us: HashMap<Incarnation, Micros>,
+    newest_answered_us: HashMap<Incarnation, Micros>,
     /// How long each takes to answer.
     round_trip_us: HashMap<Incarnation, f64>,
     /// Those that are passed over.
-    passed_over: HashSet<Incarnation>,
+    excluded: HashSet<Incarnation>,
     servers: Vec<Incarnation>,
-    assigned: Vec<Incarnation>,
+    assignments: Vec<Incarnation>,
 }
 
 impl Directory {
@@ -46,11 +46,11 @@
             me,
             candidates: Vec::new(),
             unanswered_since_us: HashMap::new(),
-            answered_us: HashMap::new(),
+            newest_answered_us: HashMap::new(),
             round_trip_us: HashMap::new(),
-            passed_over: HashSet::new(),
+            excluded: HashSet::new(),
             servers: vec![me],
-            assigned: vec![me; PARTITIONS],
+            assignments: vec![me; PARTITIONS],
         }
     }
 
@@ -69,7 +69,7 @@
 
     /// Returns who serves a partition.
     pub(super) fn server_of(&self, partition: Partition) -> Incarnation {
-        self.assigned[partition.index()]
+        self.assignments[partition.index()]
     }
 
     /// Returns what a server serves.
@@ -79,67 +79,69 @@
     }
 
     /// Notes that a server was sent something that it answers.
-    pub(super) fn asked(&mut self, now_us: Micros, server: Incarnation) {
+    pub(super) fn record_query(&mut self, now_us: Micros, server: Incarnation) {
         self.unanswered_since_us.entry(server).or_insert(now_us);
     }
 
-    /// Notes that a server answered a question that was sent at `asked_us`, if that is known.
-    pub(super) fn answered(
+    /// Notes that a server answered a question that was sent at `sent_us`, if that is known.
+    pub(super) fn record_answer(
         &mut self,
         now_us: Micros,
         server: Incarnation,
-        asked_us: Option<Micros>,
+        sent_us: Option<Micros>,
     ) {
         self.unanswered_since_us.remove(&server);
-        let Some(asked_us) = asked_us else { return };
-        let newest_us = self.answered_us.entry(server).or_insert(asked_us);
-        *newest_us = asked_us.max(*newest_us);
-        let took_us = now_us.saturating_sub(asked_us) as f64;
-        let known_us = self.round_trip_us.entry(server).or_insert(took_us);
-        *known_us += NEWEST_WEIGHT * (took_us - *known_us);
-        if self.passed_over.contains(&server) && took_us <= self.back_within_us() {
-            self.passed_over.remove(&server);
+        let Some(sent_us) = sent_us else { return };
+        let newest_us = self.newest_answered_us.entry(server).or_insert(sent_us);
+        *newest_us = sent_us.max(*newest_us);
+        let sample_us = now_us.saturating_sub(sent_us) as f64;
+        let average_us = self.round_trip_us.entry(server).or_insert(sample_us);
+        *average_us += ROUND_TRIP_GAIN * (sample_us - *average_us);
+        if self.excluded.contains(&server) && sample_us <= self.readmit_within_us() {
+            self.excluded.remove(&server);
         }
     }
 
     /// Returns those that are passed over and are to be asked whether they answer again.
-    pub(super) fn passed_over(&self) -> Vec<Incarnation> {
-        self.passed_over.iter().copied().collect()
+    pub(super) fn excluded(&self) -> Vec<Incarnation> {
+        self.excluded.iter().copied().collect()
     }
 
-    /// Returns whether the answer of a server that was asked at `asked_us` is late, while another answered what it
+    /// Returns whether the answer of a server that was asked at `sent_us` is late, while another answered what it
     /// was asked later.
-    pub(super) fn is_overdue(&self, now_us: Micros, server: Incarnation, asked_us: Micros) -> bool {
-        let usual_us = self.usual_round_trip_us().unwrap_or(0.0) * OVERDUE_TIMES;
-        let due_us = asked_us + LEAST_OVERDUE_US.max(usual_us as Micros);
-        now_us >= due_us && self.has_another_answered(server, asked_us)
+    pub(super) fn is_overdue(&self, now_us: Micros, server: Incarnation, sent_us: Micros) -> bool {
+        let fastest_us = self.fastest_round_trip_us().unwrap_or(0.0) * OVERDUE_ROUND_TRIPS;
+        let due_us = sent_us + MIN_OVERDUE_US.max(fastest_us as Micros);
+        now_us >= due_us && self.has_another_answered(server, sent_us)
     }
 
     /// Returns how long the servers take to answer, the quickest of them.
-    pub(super) fn usual_round_trip_us(&self) -> Option<f64> {
+    pub(super) fn fastest_round_trip_us(&self) -> Option<f64> {
         let others = self.servers.iter().filter(|s| **s != self.me);
         let known = others.filter_map(|s| self.round_trip_us.get(s).copied());
         known.min_by(f64::total_cmp)
     }
 
     /// Returns within which time one that is passed over has to answer to be used again.
-    fn back_within_us(&self) -> f64 {
-        match self.usual_round_trip_us() {
-            Some(usual_us) => (usual_us * BACK_TIMES as f64).max(SILENT_US as f64),
+    fn readmit_within_us(&self) -> f64 {
+        match self.fastest_round_trip_us() {
+            Some(fastest_us) => {
+                (fastest_us * READMIT_ROUND_TRIPS as f64).max(UNRESPONSIVE_US as f64)
+            }
             None => f64::INFINITY,
         }
     }
 
     fn has_another_answered(&self, server: Incarnation, after_us: Micros) -> bool {
-        let mut answered = self.answered_us.iter();
+        let mut answered = self.newest_answered_us.iter();
         answered.any(|(other, at_us)| *other != server && *at_us > after_us)
     }
 
     /// Notes that a server has ended, which the view may not say yet.
-    pub(super) fn ended(&mut self, now_us: Micros, server: Incarnation) {
+    pub(super) fn record_end(&mut self, now_us: Micros, server: Incarnation) {
         self.unanswered_since_us.remove(&server);
         if self.candidates.contains(&server) {
-            self.passed_over.insert(server);
+            self.excluded.insert(server);
             self.refresh(now_us);
         }
     }
@@ -147,26 +149,26 @@
     /// Passes over those that do not answer.
     pub(super) fn refresh(&mut self, now_us: Micros) {
         let candidates: HashSet<Incarnation> = self.candidates.iter().copied().collect();
-        self.passed_over
-            .retain(|server| candidates.contains(server));
-        self.answered_us
+        self.excluded.retain(|server| candidates.contains(server));
+        self.newest_answered_us
             .retain(|server, _| candidates.contains(server));
         self.round_trip_us
             .retain(|server, _| candidates.contains(server));
         let unanswered = self.unanswered_since_us.iter();
-        let silent = unanswered.filter(|(server, since_us)| {
-            let silent_us = now_us.saturating_sub(**since_us);
-            let is_alone = || self.has_another_answered(**server, **since_us);
-            silent_us >= LONG_SILENT_US || (silent_us >= SILENT_US && is_alone())
+        let unresponsive = unanswered.filter(|(server, since_us)| {
+            let unresponsive_us = now_us.saturating_sub(**since_us);
+            let others_answer = || self.has_another_answered(**server, **since_us);
+            unresponsive_us >= MAX_UNRESPONSIVE_US
+                || (unresponsive_us >= UNRESPONSIVE_US && others_answer())
         });
-        let silent: Vec<Incarnation> = silent.map(|(server, _)| *server).collect();
-        for server in silent {
+        let unresponsive: Vec<Incarnation> = unresponsive.map(|(server, _)| *server).collect();
+        for server in unresponsive {
             self.unanswered_since_us.remove(&server);
-            self.passed_over.insert(server);
+            self.excluded.insert(server);
         }
-        let answering = self.candidates.iter().copied();
-        let answering = answering.filter(|c| *c == self.me || !self.passed_over.contains(c));
-        let mut servers: Vec<Incarnation> = answering.take(SERVERS).collect();
+        let responsive = self.candidates.iter().copied();
+        let responsive = responsive.filter(|c| *c == self.me || !self.excluded.contains(c));
+        let mut servers: Vec<Incarnation> = responsive.take(SERVERS).collect();
         if servers.is_empty() {
             servers.push(self.me);
         }
@@ -178,23 +180,23 @@
 
     fn assign(&mut self) {
         for partition in Partition::all().filter(|p| p.copy() == 0) {
-            let mut taken = Vec::new();
+            let mut used = Vec::new();
             for copy in 0..COPIES {
-                let partition = partition.of_copy(copy);
-                let server = self.best(partition, &taken);
-                self.assigned[partition.index()] = server;
-                taken.push(server);
+                let partition = partition.with_copy(copy);
+                let server = self.highest_scoring(partition, &used);
+                self.assignments[partition.index()] = server;
+                used.push(server);
             }
         }
     }
 
-    /// Returns the server with the highest score for a partition, none of those `taken` if there are others.
-    fn best(&self, partition: Partition, taken: &[Incarnation]) -> Incarnation {
+    /// Returns the server with the highest score for a partition, none of those `used` if there are others.
+    fn highest_scoring(&self, partition: Partition, used: &[Incarnation]) -> Incarnation {
         let score = |server: &&Incarnation| score(partition, **server);
-        let free = self.servers.iter().filter(|s| !taken.contains(s));
-        let best = free.max_by_key(score);
-        let best = best.or_else(|| self.servers.iter().max_by_key(score));
-        best.copied().unwrap_or(self.me)
+        let unused = self.servers.iter().filter(|s| !used.contains(s));
+        let highest_scoring = unused.max_by_key(score);
+        let highest_scoring = highest_scoring.or_else(|| self.servers.iter().max_by_key(score));
+        highest_scoring.copied().unwrap_or(self.me)
     }
 }
 
--- a/src/limits/quota/message.rs
+++ b/src/limits/quota/message.rs
@@ -66,11 +66,13 @@
         address: u32,
     },
     /// Answers that: leases of earlier starts at the address are over.
-    Met {
+    #[serde(rename = "Met")]
+    StartAck {
         /// For how long the sender has run.
         uptime_us: Micros,
         /// It had met an earlier start at the address, and may have used its shares till now.
-        met_earlier: bool,
+        #[serde(rename = "met_earlier")]
+        saw_predecessor: bool,
         /// How many instances the sender knows.
         count: InstanceCount,
     },
--- a/src/limits/quota/node.rs
+++ b/src/limits/quota/node.rs
@@ -6,32 +6,32 @@
     gateway::config::{GatewayConfig, UseLimit},
     limits::quota::{
         account::{Bounds, Tolerance},
-        client::{Client, Credit, Decision, Denied, Grant},
-        delegation::{Delegation, renewal_us},
+        client::{Client, Decision, Denied, Grant, LateGrant},
+        delegation::{Delegation, renewal_interval_us},
         directory::Directory,
         message::{InstanceCount, Lease, Message, Outgoing, Recipient, Verdict},
         partition::{COPIES, Partition, PartitionSet},
-        server::{AccountState, Met, QuotaServer},
+        server::{AccountState, QuotaServer, StartStatus},
     },
     prelude::{Incarnation, Micros, Name, Rank, short_hash},
 };
 
 /// A server that is passed over is asked this often whether it answers again.
-const PROBE_US: Micros = 800_000;
+const PROBE_INTERVAL_US: Micros = 800_000;
 /// A member that has not answered a process that starts is told again after this time, and then after twice as long
 /// each time.
-const INTRODUCE_US: Micros = 120_000;
-const MAX_INTRODUCE_US: Micros = 960_000;
+const ANNOUNCE_INTERVAL_US: Micros = 120_000;
+const MAX_ANNOUNCE_INTERVAL_US: Micros = 960_000;
 /// A question without an answer is forgotten after this time.
-const FORGOTTEN_US: Micros = 5_000_000;
+const QUERY_RETENTION_US: Micros = 5_000_000;
 /// How many instances somebody saw counts for this long: some may be cut off now.
-const TOLD_US: Micros = 600_000_000;
+const INSTANCE_COUNT_TTL_US: Micros = 600_000_000;
 /// Leases whose sending is remembered: some seconds of renewals and questions.
-const MOST_SENT_LEASES: usize = 256;
+const MAX_SENT_LEASES: usize = 256;
 /// Whoever asked a server to which nothing is leased asks again after this time.
-const UNLEASED_US: Micros = 40_000;
+const UNLEASED_RETRY_US: Micros = 40_000;
 /// Where nobody answered, callers come back after this time.
-const UNANSWERED_US: Micros = 300_000;
+const UNANSWERED_RETRY_US: Micros = 300_000;
 
 /// How a configuration changed a limit.
 #[derive(Clone, Debug, PartialEq)]
@@ -56,38 +56,38 @@
 }
 
 #[derive(Debug)]
-struct Limited {
+struct OrganisationLimit {
     name: Name,
     limit: UseLimit,
-    credit_us: Micros,
+    max_grant_age_us: Micros,
 }
 
 /// A request whose caller waits for quota.
 #[derive(Debug)]
-struct Waiting {
+struct PendingRequest {
     organisation: u32,
     units: u32,
     rank: Rank,
     /// Accounts that have not been asked, since all were asked last.
-    unasked: Vec<u8>,
+    untried: Vec<u8>,
     /// Whom the newest question was sent, and when.
-    asked: Option<(Incarnation, Micros)>,
+    last_query: Option<(Incarnation, Micros)>,
     /// Questions without an answer.
-    open: u8,
+    open_queries: u8,
     denied: Option<Denied>,
 }
 
 /// A question.
 #[derive(Clone, Copy, Debug)]
-struct Question {
+struct Query {
     organisation: u32,
     units: u32,
     /// When it was sent first.
-    asked_us: Micros,
+    sent_us: Micros,
     /// It was sent again: its answer says nothing of the round trip.
-    is_repeated: bool,
+    is_resent: bool,
     /// Its request was granted by another account.
-    is_spare: bool,
+    is_redundant: bool,
 }
 
 /// The protocol of one instance.
@@ -95,7 +95,7 @@
 pub struct Node {
     me: Incarnation,
     tolerance: Tolerance,
-    limits: HashMap<u32, Limited>,
+    limits: HashMap<u32, OrganisationLimit>,
     directory: Directory,
     delegation: Delegation,
     server: QuotaServer,
@@ -103,12 +103,12 @@
     /// How many instances there are by the own view.
     instances: u32,
     /// The most that anybody saw, by what others or the store said, and when; none until anybody did.
-    told_instances: Option<(u32, Micros)>,
+    reported_instances: Option<(u32, Micros)>,
     /// What the own view says counts by itself.
-    is_first_start: bool,
+    trusts_own_view: bool,
     /// No process ran at this address before: there are no leases to end.
     has_no_predecessor: bool,
-    leased_us: HashMap<Incarnation, Micros>,
+    last_leased_us: HashMap<Incarnation, Micros>,
     /// The newest leases that were sent, by their numbers.
     sent_leases: VecDeque<(u64, Micros)>,
     started_us: Micros,
@@ -117,14 +117,14 @@
     /// Where instances are, or were.
     addresses: HashSet<u32>,
     /// Where this start was met: nobody there holds a lease of the one before it.
-    met_at: HashSet<u32>,
-    introduced_us: Option<Micros>,
-    introduce_after_us: Micros,
+    acknowledged_by: HashSet<u32>,
+    announced_us: Option<Micros>,
+    announce_interval_us: Micros,
     /// Since then none of them used such a lease; none if one may have till it answered.
     idle_since_us: Option<Micros>,
     last_number: u64,
-    waiting: HashMap<u64, Waiting>,
-    questions: HashMap<(u64, u8), Question>,
+    pending: HashMap<u64, PendingRequest>,
+    queries: HashMap<(u64, u8), Query>,
     outgoing: Vec<Outgoing>,
     decided: Vec<(u64, Decision)>,
 }
@@ -141,21 +141,21 @@
             server: QuotaServer::new(tolerance),
             client: Client::default(),
             instances: 1,
-            told_instances: None,
-            is_first_start: false,
+            reported_instances: None,
+            trusts_own_view: false,
             has_no_predecessor: false,
-            leased_us: HashMap::new(),
+            last_leased_us: HashMap::new(),
             sent_leases: VecDeque::new(),
             started_us: now_us,
             now_us,
             addresses: HashSet::new(),
-            met_at: HashSet::new(),
-            introduced_us: None,
-            introduce_after_us: INTRODUCE_US,
+            acknowledged_by: HashSet::new(),
+            announced_us: None,
+            announce_interval_us: ANNOUNCE_INTERVAL_US,
             idle_since_us: Some(now_us),
             last_number: 0,
-            waiting: HashMap::new(),
-            questions: HashMap::new(),
+            pending: HashMap::new(),
+            queries: HashMap::new(),
             outgoing: Vec::new(),
             decided: Vec::new(),
         }
@@ -182,19 +182,19 @@
             .filter_map(|o| Some((o.name.clone(), o.limit?)))
             .collect();
         self.server.configure(now_us, &limits);
-        let limited = limits.into_iter().map(|(name, limit)| {
-            let credit_us = Bounds::new(&limit, &self.tolerance).credit_us;
-            let limited = Limited {
+        let organisation_limit = limits.into_iter().map(|(name, limit)| {
+            let max_grant_age_us = Bounds::new(&limit, &self.tolerance).max_grant_age_us;
+            let organisation_limit = OrganisationLimit {
                 name: name.clone(),
                 limit,
-                credit_us,
+                max_grant_age_us,
             };
-            (short_hash(&name), limited)
+            (short_hash(&name), organisation_limit)
         });
-        let before = std::mem::replace(&mut self.limits, limited.collect());
+        let before = std::mem::replace(&mut self.limits, organisation_limit.collect());
         let limits = &self.limits;
         self.client.retain(|o| limits.contains_key(&o));
-        changes(&before, limits)
+        limit_changes(&before, limits)
     }
 
     /// Joins a group as `me`, before anything is leased.
@@ -217,7 +217,7 @@
 
     /// Notes that no instance has run before this one: its view is all there is to know, and nothing is leased.
     pub fn mark_first_start(&mut self) {
-        self.is_first_start = true;
+        self.trusts_own_view = true;
         self.has_no_predecessor = true;
     }
 
@@ -225,14 +225,14 @@
     pub fn restore_instance_count(&mut self, now_us: Micros, instances: u32) {
         let now_us = self.advance(now_us);
         if instances == 0 {
-            self.is_first_start = true;
+            self.trusts_own_view = true;
         }
-        self.note_seen(now_us, instances, now_us);
+        self.record_instances(now_us, instances, now_us);
     }
 
     /// Returns whether it is known how many instances there are.
     pub fn knows_instance_count(&self) -> bool {
-        self.is_first_start || self.told_instances.is_some()
+        self.trusts_own_view || self.reported_instances.is_some()
     }
 
     /// Returns how many instances there are by this one's own view.
@@ -257,8 +257,10 @@
 
     /// Returns by how many instances limits are divided.
     pub fn divisor(&self, now_us: Micros) -> u32 {
-        let told = self.told(now_us).map_or(0, |(told, _)| told);
-        told.max(self.instances)
+        let reported = self
+            .recent_report(now_us)
+            .map_or(0, |(reported, _)| reported);
+        reported.max(self.instances)
     }
 
     /// Does what is due by the clock.
@@ -266,49 +268,51 @@
         let now_us = self.advance(now_us);
         self.directory.refresh(now_us);
         self.server.expire(now_us);
-        let is_kept = |q: &Question| now_us.saturating_sub(q.asked_us) < FORGOTTEN_US;
-        self.questions.retain(|_, question| is_kept(question));
+        let is_kept = |q: &Query| now_us.saturating_sub(q.sent_us) < QUERY_RETENTION_US;
+        self.queries.retain(|_, query| is_kept(query));
         for grant in self.client.take_expired(now_us) {
             self.refund(grant);
         }
-        self.begin_if_due(now_us);
+        self.start_leasing_if_due(now_us);
         if !self.delegation.is_leasing() {
-            self.introduce(now_us);
+            self.announce_start(now_us);
         }
-        self.ask_back(now_us);
-        let renewal_us = renewal_us(self.divisor(now_us));
+        self.recall_misplaced(now_us);
+        let renewal_interval_us = renewal_interval_us(self.divisor(now_us));
         for server in self.directory.servers().to_vec() {
-            let leased_us = self.leased_us.get(&server).copied();
-            let is_due = leased_us.is_none_or(|us| now_us.saturating_sub(us) >= renewal_us);
+            let last_leased_us = self.last_leased_us.get(&server).copied();
+            let is_due =
+                last_leased_us.is_none_or(|us| now_us.saturating_sub(us) >= renewal_interval_us);
             if is_due {
                 self.renew(now_us, server);
             }
         }
-        for server in self.directory.passed_over() {
+        for server in self.directory.excluded() {
             self.probe(now_us, server);
         }
-        let is_recent = |us: &Micros| now_us.saturating_sub(*us) < FORGOTTEN_US;
-        self.leased_us.retain(|_, us| is_recent(us));
+        let is_recent = |us: &Micros| now_us.saturating_sub(*us) < QUERY_RETENTION_US;
+        self.last_leased_us.retain(|_, us| is_recent(us));
     }
 
     /// Tells all instances that this one started: they end what the start before it leased.
-    fn introduce(&mut self, now_us: Micros) {
-        let told_us = self.introduced_us;
-        if let Some(told_us) = told_us {
-            if now_us.saturating_sub(told_us) < self.introduce_after_us {
+    fn announce_start(&mut self, now_us: Micros) {
+        let last_us = self.announced_us;
+        if let Some(last_us) = last_us {
+            if now_us.saturating_sub(last_us) < self.announce_interval_us {
                 return;
             }
-            self.introduce_after_us = (2 * self.introduce_after_us).min(MAX_INTRODUCE_US);
+            self.announce_interval_us =
+                (2 * self.announce_interval_us).min(MAX_ANNOUNCE_INTERVAL_US);
         }
-        self.introduced_us = Some(now_us);
-        let unmet = self.addresses.difference(&self.met_at);
-        let unmet: Vec<u32> = unmet.copied().collect();
-        for address in unmet {
-            self.introduce_to(address);
+        self.announced_us = Some(now_us);
+        let unacknowledged = self.addresses.difference(&self.acknowledged_by);
+        let unacknowledged: Vec<u32> = unacknowledged.copied().collect();
+        for address in unacknowledged {
+            self.announce_start_to(address);
         }
     }
 
-    fn introduce_to(&mut self, to: u32) {
+    fn announce_start_to(&mut self, to: u32) {
         let address = self.delegation.address;
         if to != address {
             self.outgoing.push(Outgoing {
@@ -319,15 +323,18 @@
     }
 
     /// Begins to lease once all that there are have met this start, or its predecessor's leases have ended.
-    fn begin_if_due(&mut self, now_us: Micros) {
+    fn start_leasing_if_due(&mut self, now_us: Micros) {
         if self.delegation.is_leasing() || !self.knows_instance_count() {
             return;
         }
         let instances = self.divisor(now_us);
-        if self.has_no_predecessor || self.met_at.len() + 1 >= instances as usize {
-            self.delegation.begin(self.idle_since_us);
-        } else if self.delegation.are_earlier_over(now_us, instances) {
-            self.delegation.begin(None);
+        if self.has_no_predecessor || self.acknowledged_by.len() + 1 >= instances as usize {
+            self.delegation.start_leasing(self.idle_since_us);
+        } else if self
+            .delegation
+            .have_predecessor_leases_expired(now_us, instances)
+        {
+            self.delegation.start_leasing(None);
         } else {
             return;
         }
@@ -336,8 +343,8 @@
 
     /// Asks a server that is passed over whether it answers again.
     fn probe(&mut self, now_us: Micros, server: Incarnation) {
-        let leased_us = self.leased_us.get(&server).copied().unwrap_or(0);
-        if now_us.saturating_sub(leased_us) < PROBE_US {
+        let last_leased_us = self.last_leased_us.get(&server).copied().unwrap_or(0);
+        if now_us.saturating_sub(last_leased_us) < PROBE_INTERVAL_US {
             return;
         }
         let lease = self.lease_to(now_us, server);
@@ -346,8 +353,8 @@
 
     /// Returns for how long a caller may wait for an answer: a grant that comes later is not for it.
     pub fn max_wait_us(&self, organisation: &str) -> Micros {
-        let limited = self.limits.get(&short_hash(organisation));
-        limited.map_or(0, |l| l.credit_us)
+        let organisation_limit = self.limits.get(&short_hash(organisation));
+        organisation_limit.map_or(0, |l| l.max_grant_age_us)
     }
 
     /// Begins to ask for what a request uses.
@@ -363,10 +370,10 @@
         if !self.limits.contains_key(&organisation) {
             return Acquisition::Unlimited;
         }
-        if let Some(grant) = self.client.use_credit(now_us, organisation, units) {
+        if let Some(grant) = self.client.use_late_grants(now_us, organisation, units) {
             return Acquisition::Decided(Decision::Granted(grant));
         }
-        if let Some(wait_us) = self.client.denied_us(now_us, organisation, units, rank) {
+        if let Some(wait_us) = self.client.denied_for_us(now_us, organisation, units, rank) {
             return Acquisition::Decided(Decision::Denied(Denied {
                 wait_us,
                 level: None,
@@ -376,19 +383,19 @@
         }
         self.last_number += 1;
         let number = self.last_number;
-        let waiting = Waiting {
+        let pending = PendingRequest {
             organisation,
             units,
             rank,
-            unasked: accounts_from(self.me, number),
-            asked: None,
-            open: 0,
+            untried: account_order(self.me, number),
+            last_query: None,
+            open_queries: 0,
             denied: None,
         };
-        self.waiting.insert(number, waiting);
-        self.ask_next(now_us, number);
+        self.pending.insert(number, pending);
+        self.query_next(now_us, number);
         match self.decided.iter().position(|(n, _)| *n == number) {
-            Some(place) => Acquisition::Decided(self.decided.swap_remove(place).1),
+            Some(position) => Acquisition::Decided(self.decided.swap_remove(position).1),
             None => Acquisition::Pending(number),
         }
     }
@@ -397,26 +404,28 @@
     /// again once all were asked. Returns whether it asked.
     pub fn hedge(&mut self, now_us: Micros, number: u64) -> bool {
         let now_us = self.advance(now_us);
-        let Some(waiting) = self.waiting.get_mut(&number) else {
+        let Some(pending) = self.pending.get_mut(&number) else {
             return false;
         };
-        let is_overdue = |(server, asked_us): (Incarnation, Micros)| {
-            self.directory.is_overdue(now_us, server, asked_us)
+        let is_overdue = |(server, sent_us): (Incarnation, Micros)| {
+            self.directory.is_overdue(now_us, server, sent_us)
         };
-        if !waiting.asked.is_some_and(is_overdue) {
+        if !pending.last_query.is_some_and(is_overdue) {
             return false;
         }
-        if waiting.unasked.is_empty() {
-            waiting.unasked = accounts_from(self.me, number);
+        if pending.untried.is_empty() {
+            pending.untried = account_order(self.me, number);
         }
-        self.ask_next(now_us, number);
+        self.query_next(now_us, number);
         true
     }
 
     /// Notes that a caller waits no longer; what is granted later is kept for others. Returns why there was nothing.
     pub fn give_up(&mut self, number: u64) -> Denied {
-        let waiting = self.waiting.remove(&number);
-        waiting.and_then(|w| w.denied).unwrap_or(unanswered())
+        let pending = self.pending.remove(&number);
+        pending
+            .and_then(|w| w.denied)
+            .unwrap_or(unanswered_denial())
     }
 
     /// Gives back what a request did not use.
@@ -454,7 +463,7 @@
         let now_us = self.advance(now_us);
         match message {
             Message::Lease(lease) => {
-                if let Some(answer) = self.take_lease(now_us, from, &lease) {
+                if let Some(answer) = self.handle_lease(now_us, from, &lease) {
                     self.send(from, answer);
                 }
             }
@@ -466,7 +475,7 @@
                 units,
                 rank,
             } => {
-                if self.take_lease(now_us, from, &lease).is_some() {
+                if self.handle_lease(now_us, from, &lease).is_some() {
                     let verdict = self.server.grant(now_us, organisation, copy, units, rank);
                     self.send(
                         from,
@@ -487,39 +496,39 @@
                 stamp_us,
                 count,
             } => {
-                let question = self.questions.get(&(number, copy));
-                let asked_us = question.filter(|q| !q.is_repeated).map(|q| q.asked_us);
-                self.directory.answered(now_us, from, asked_us);
-                self.take_stamp(now_us, from, stamp_us, count);
-                self.take_verdict(now_us, from, (number, copy), verdict);
+                let query = self.queries.get(&(number, copy));
+                let sent_us = query.filter(|q| !q.is_resent).map(|q| q.sent_us);
+                self.directory.record_answer(now_us, from, sent_us);
+                self.handle_stamp(now_us, from, stamp_us, count);
+                self.handle_verdict(now_us, from, (number, copy), verdict);
             }
             Message::Started { address } => {
-                let met = self.server.meet(now_us, address, from);
-                if let Met::Follows(ended) = met {
-                    self.server_ended(now_us, ended);
+                let status = self.server.record_start(now_us, address, from);
+                if let StartStatus::Replaces(ended) = status {
+                    self.handle_server_end(now_us, ended);
                 }
-                if met != Met::Late {
-                    let met = Message::Met {
+                if status != StartStatus::Superseded {
+                    let ack = Message::StartAck {
                         uptime_us: now_us.saturating_sub(self.started_us),
-                        met_earlier: self.server.met_earlier(address, from),
+                        saw_predecessor: self.server.saw_predecessor(address, from),
                         count: self.count(now_us),
                     };
-                    self.send(from, met);
+                    self.send(from, ack);
                 }
                 self.addresses.insert(from_address);
                 // It has just started: what it was told before that is lost.
-                let has_met = self.met_at.contains(&from_address);
-                if !has_met && !self.delegation.is_leasing() {
-                    self.introduce_to(from_address);
+                let has_acknowledged = self.acknowledged_by.contains(&from_address);
+                if !has_acknowledged && !self.delegation.is_leasing() {
+                    self.announce_start_to(from_address);
                 }
             }
-            Message::Met {
+            Message::StartAck {
                 uptime_us,
-                met_earlier,
+                saw_predecessor,
                 count,
             } => {
-                self.note_count(now_us, count);
-                self.note_met(now_us, from_address, uptime_us, met_earlier);
+                self.record_count(now_us, count);
+                self.record_start_ack(now_us, from_address, uptime_us, saw_predecessor);
             }
             Message::Leased {
                 seq,
@@ -527,9 +536,9 @@
                 count,
             } => {
                 let sent = self.sent_leases.iter().find(|(sent, _)| *sent == seq);
-                let asked_us = sent.map(|(_, at_us)| *at_us);
-                self.directory.answered(now_us, from, asked_us);
-                self.take_stamp(now_us, from, stamp_us, count);
+                let sent_us = sent.map(|(_, at_us)| *at_us);
+                self.directory.record_answer(now_us, from, sent_us);
+                self.handle_stamp(now_us, from, stamp_us, count);
             }
             Message::Release {
                 to,
@@ -541,7 +550,7 @@
                 }
             }
             Message::Released { partitions, seq } => {
-                self.delegation.released(from, seq, partitions);
+                self.delegation.confirm_release(from, seq, partitions);
                 self.renew_all(now_us);
             }
             Message::Unused {
@@ -562,17 +571,24 @@
         std::mem::take(&mut self.decided)
     }
 
-    /// Returns the state of this instance's accounts that are scarce, `most` at most.
-    pub fn take_states(&mut self, now_us: Micros, most: usize) -> Vec<AccountState> {
+    /// Returns the state of this instance's accounts that are scarce, `max_states` at most.
+    pub fn take_states(&mut self, now_us: Micros, max_states: usize) -> Vec<AccountState> {
         let now_us = self.advance(now_us);
-        self.server.take_states(now_us, most)
+        self.server.take_states(now_us, max_states)
     }
 
-    fn take_lease(&mut self, now_us: Micros, from: Incarnation, lease: &Lease) -> Option<Message> {
-        if lease.to != self.me || self.server.meet(now_us, lease.address, from) == Met::Late {
+    fn handle_lease(
+        &mut self,
+        now_us: Micros,
+        from: Incarnation,
+        lease: &Lease,
+    ) -> Option<Message> {
+        if lease.to != self.me
+            || self.server.record_start(now_us, lease.address, from) == StartStatus::Superseded
+        {
             return None;
         }
-        self.note_count(now_us, lease.count);
+        self.record_count(now_us, lease.count);
         self.server.lease(now_us, from, lease);
         Some(Message::Leased {
             seq: lease.seq,
@@ -582,61 +598,68 @@
     }
 
     /// Takes back what is leased to a process that has ended: nobody grants from it any more.
-    fn server_ended(&mut self, now_us: Micros, ended: Incarnation) {
-        self.directory.ended(now_us, ended);
-        if self.delegation.lessee_ended(ended) {
+    fn handle_server_end(&mut self, now_us: Micros, ended: Incarnation) {
+        self.directory.record_end(now_us, ended);
+        if self.delegation.end_leases_to(ended) {
             self.renew_all(now_us);
         }
     }
 
     /// Notes that an instance has met this start.
-    fn note_met(&mut self, now_us: Micros, address: u32, uptime_us: Micros, met_earlier: bool) {
-        if !self.met_at.insert(address) {
+    fn record_start_ack(
+        &mut self,
+        now_us: Micros,
+        address: u32,
+        uptime_us: Micros,
+        saw_predecessor: bool,
+    ) {
+        if !self.acknowledged_by.insert(address) {
             return;
         }
         // Before its start there was another one at its address.
         let started_us = now_us.saturating_sub(uptime_us);
-        let since_us = self.idle_since_us.filter(|_| !met_earlier);
+        let since_us = self.idle_since_us.filter(|_| !saw_predecessor);
         self.idle_since_us = since_us.map(|since_us| since_us.max(started_us));
-        self.begin_if_due(now_us);
+        self.start_leasing_if_due(now_us);
     }
 
-    fn take_stamp(
+    fn handle_stamp(
         &mut self,
         now_us: Micros,
         from: Incarnation,
         stamp_us: Micros,
         count: InstanceCount,
     ) {
-        self.delegation.note_stamp(from, stamp_us);
-        self.note_count(now_us, count);
+        self.delegation.record_stamp(from, stamp_us);
+        self.record_count(now_us, count);
     }
 
-    fn note_count(&mut self, now_us: Micros, count: InstanceCount) {
+    fn record_count(&mut self, now_us: Micros, count: InstanceCount) {
         let seen_us = now_us.saturating_sub(Micros::from(count.age_ms) * 1_000);
         if count.instances > 0 {
-            self.note_seen(now_us, count.instances, seen_us);
+            self.record_instances(now_us, count.instances, seen_us);
         }
     }
 
     /// Notes that somebody saw as many instances at a moment.
-    fn note_seen(&mut self, now_us: Micros, instances: u32, seen_us: Micros) {
+    fn record_instances(&mut self, now_us: Micros, instances: u32, seen_us: Micros) {
         let seen = (instances, seen_us);
-        let known = self.told(now_us);
-        self.told_instances = known.max(Some(seen));
+        let known = self.recent_report(now_us);
+        self.reported_instances = known.max(Some(seen));
     }
 
     /// Returns the most that anybody saw within the time for which it counts.
-    fn told(&self, now_us: Micros) -> Option<(u32, Micros)> {
-        let is_recent = |seen_us: Micros| now_us.saturating_sub(seen_us) < TOLD_US;
-        self.told_instances.filter(|(_, at_us)| is_recent(*at_us))
+    fn recent_report(&self, now_us: Micros) -> Option<(u32, Micros)> {
+        let is_recent = |seen_us: Micros| now_us.saturating_sub(seen_us) < INSTANCE_COUNT_TTL_US;
+        self.reported_instances
+            .filter(|(_, at_us)| is_recent(*at_us))
     }
 
     /// Returns how many instances others are told that there are.
     fn count(&self, now_us: Micros) -> InstanceCount {
         let own = Some((self.instances, now_us));
         let known = self
-            .told(now_us)
+            .recent_report(now_us)
             .max(own)
             .filter(|_| self.knows_instance_count());
         let (instances, seen_us) = known.unwrap_or((0, now_us));
@@ -646,26 +669,26 @@
         }
     }
 
-    fn take_verdict(
+    fn handle_verdict(
         &mut self,
         now_us: Micros,
         from: Incarnation,
         key: (u64, u8),
         verdict: Verdict,
     ) {
-        let Some(question) = self.questions.remove(&key) else {
+        let Some(query) = self.queries.remove(&key) else {
             return;
         };
         let (number, copy) = key;
         if verdict == Verdict::Granted {
             let grant = Grant {
-                organisation: question.organisation,
-                units: question.units,
+                organisation: query.organisation,
+                units: query.units,
                 from: Some((from, copy)),
             };
-            match question.is_spare {
+            match query.is_redundant {
                 true => self.refund(grant),
-                false => self.granted(now_us, number, grant, question.asked_us),
+                false => self.complete_grant(now_us, number, grant, query.sent_us),
             }
             return;
         }
@@ -673,122 +696,123 @@
             Verdict::Denied { wait_us, level } => Denied {
                 wait_us,
                 level: Some(level),
-                ..unanswered()
+                ..unanswered_denial()
             },
             Verdict::Unleased => Denied {
-                wait_us: UNLEASED_US,
+                wait_us: UNLEASED_RETRY_US,
                 is_unleased: true,
-                ..unanswered()
+                ..unanswered_denial()
             },
-            Verdict::Granted | Verdict::Unknown => unanswered(),
+            Verdict::Granted | Verdict::Unknown => unanswered_denial(),
         };
-        self.denied(now_us, number, denied);
+        self.handle_denial(now_us, number, denied);
     }
 
-    fn granted(&mut self, now_us: Micros, number: u64, grant: Grant, asked_us: Micros) {
-        let Some(limited) = self.limits.get(&grant.organisation) else {
+    fn complete_grant(&mut self, now_us: Micros, number: u64, grant: Grant, sent_us: Micros) {
+        let Some(organisation_limit) = self.limits.get(&grant.organisation) else {
             return;
         };
         // A grant counts for its server when it was made: one that comes late is no more than that.
-        let until_us = asked_us + limited.credit_us;
-        match self.waiting.remove(&number) {
+        let until_us = sent_us + organisation_limit.max_grant_age_us;
+        match self.pending.remove(&number) {
             Some(_) if now_us <= until_us => {
-                self.mark_spare(number);
+                self.mark_redundant(number);
                 self.decided.push((number, Decision::Granted(grant)));
             }
             Some(_) => {
-                self.decided.push((number, Decision::Denied(unanswered())));
+                self.decided
+                    .push((number, Decision::Denied(unanswered_denial())));
                 self.refund(grant);
             }
-            None => self.keep(grant, until_us),
+            None => self.keep_late_grant(grant, until_us),
         }
     }
 
     /// Marks the open questions of a request that was granted: what they bring is not needed.
-    fn mark_spare(&mut self, number: u64) {
+    fn mark_redundant(&mut self, number: u64) {
         for copy in 0..COPIES {
-            if let Some(question) = self.questions.get_mut(&(number, copy)) {
-                question.is_spare = true;
+            if let Some(query) = self.queries.get_mut(&(number, copy)) {
+                query.is_redundant = true;
             }
         }
     }
 
     /// Keeps a grant for a later request of its organisation.
-    fn keep(&mut self, grant: Grant, until_us: Micros) {
+    fn keep_late_grant(&mut self, grant: Grant, until_us: Micros) {
         let Some(from) = grant.from else { return };
-        let credit = Credit {
+        let late_grant = LateGrant {
             units: grant.units,
             until_us,
             from,
         };
-        self.client.keep(grant.organisation, credit);
+        self.client.store_late_grant(grant.organisation, late_grant);
     }
 
-    fn denied(&mut self, now_us: Micros, number: u64, denied: Denied) {
-        let Some(waiting) = self.waiting.get_mut(&number) else {
+    fn handle_denial(&mut self, now_us: Micros, number: u64, denied: Denied) {
+        let Some(pending) = self.pending.get_mut(&number) else {
             return;
         };
-        waiting.open = waiting.open.saturating_sub(1);
-        let before = waiting.denied;
-        let sooner = before.is_none_or(|b| denied.wait_us < b.wait_us);
-        waiting.denied = if sooner { Some(denied) } else { before };
-        if !waiting.unasked.is_empty() {
-            self.ask_next(now_us, number);
+        pending.open_queries = pending.open_queries.saturating_sub(1);
+        let before = pending.denied;
+        let is_sooner = before.is_none_or(|b| denied.wait_us < b.wait_us);
+        pending.denied = if is_sooner { Some(denied) } else { before };
+        if !pending.untried.is_empty() {
+            self.query_next(now_us, number);
             return;
         }
-        if waiting.open > 0 {
+        if pending.open_queries > 0 {
             return;
         }
-        let Some(waiting) = self.waiting.remove(&number) else {
+        let Some(pending) = self.pending.remove(&number) else {
             return;
         };
-        let denied = waiting.denied.unwrap_or(denied);
+        let denied = pending.denied.unwrap_or(denied);
         let until_us = now_us + denied.wait_us;
-        let Waiting {
+        let PendingRequest {
             organisation,
             units,
             rank,
             ..
-        } = waiting;
+        } = pending;
         if !denied.is_unleased {
             self.client
-                .note_denied(now_us, organisation, units, rank, until_us);
+                .record_denial(now_us, organisation, units, rank, until_us);
         }
         self.decided.push((number, Decision::Denied(denied)));
     }
 
     /// Asks the next account that a request has not asked.
-    fn ask_next(&mut self, now_us: Micros, number: u64) {
-        let Some(waiting) = self.waiting.get_mut(&number) else {
+    fn query_next(&mut self, now_us: Micros, number: u64) {
+        let Some(pending) = self.pending.get_mut(&number) else {
             return;
         };
-        let Some(copy) = waiting.unasked.pop() else {
+        let Some(copy) = pending.untried.pop() else {
             return;
         };
-        waiting.open += 1;
-        let (organisation, units, rank) = (waiting.organisation, waiting.units, waiting.rank);
+        pending.open_queries += 1;
+        let (organisation, units, rank) = (pending.organisation, pending.units, pending.rank);
         let server = self.directory.server_of(Partition::of(organisation, copy));
-        waiting.asked = Some((server, now_us));
-        let question = Question {
+        pending.last_query = Some((server, now_us));
+        let query = Query {
             organisation,
             units,
-            asked_us: now_us,
-            is_repeated: false,
-            is_spare: false,
+            sent_us: now_us,
+            is_resent: false,
+            is_redundant: false,
         };
         // The answer to the first may come yet: a grant is as old as that.
-        let asked = self.questions.entry((number, copy));
-        asked
-            .and_modify(|q| q.is_repeated = true)
-            .or_insert(question);
+        let query_entry = self.queries.entry((number, copy));
+        query_entry
+            .and_modify(|q| q.is_resent = true)
+            .or_insert(query);
         if server == self.me {
             self.renew(now_us, server);
             let verdict = self.server.grant(now_us, organisation, copy, units, rank);
-            self.take_verdict(now_us, server, (number, copy), verdict);
+            self.handle_verdict(now_us, server, (number, copy), verdict);
             return;
         }
         let lease = self.lease_to(now_us, server);
-        self.directory.asked(now_us, server);
+        self.directory.record_query(now_us, server);
         self.send(
             server,
             Message::Ask {
@@ -810,19 +834,19 @@
 
     fn renew(&mut self, now_us: Micros, server: Incarnation) {
         if server == self.me {
-            self.delegation.note_stamp(server, now_us.max(1));
+            self.delegation.record_stamp(server, now_us.max(1));
         }
         let lease = self.lease_to(now_us, server);
         if server == self.me {
             self.server.lease(now_us, server, &lease);
             return;
         }
-        self.directory.asked(now_us, server);
+        self.directory.record_query(now_us, server);
         self.send(server, Message::Lease(lease));
     }
 
     fn lease_to(&mut self, now_us: Micros, server: Incarnation) -> Lease {
-        self.leased_us.insert(server, now_us);
+        self.last_leased_us.insert(server, now_us);
         let wanted = match self.knows_instance_count() {
             true => self.directory.partitions_of(server),
             false => PartitionSet::default(),
@@ -830,14 +854,14 @@
         let count = self.count(now_us);
         let lease = self.delegation.lease(now_us, server, wanted, count);
         self.sent_leases.push_back((lease.seq, now_us));
-        if self.sent_leases.len() > MOST_SENT_LEASES {
+        if self.sent_leases.len() > MAX_SENT_LEASES {
             self.sent_leases.pop_front();
         }
         lease
     }
 
     /// Asks for leases back that are with others than those who serve their partitions now.
-    fn ask_back(&mut self, now_us: Micros) {
+    fn recall_misplaced(&mut self, now_us: Micros) {
         let directory = &self.directory;
         let misplaced = self
             .delegation
@@ -846,7 +870,7 @@
             let seq = self.delegation.next_seq();
             if to == self.me {
                 self.server.release(now_us, to, seq, partitions);
-                self.delegation.released(to, seq, partitions);
+                self.delegation.confirm_release(to, seq, partitions);
                 continue;
             }
             let release = Message::Release {
@@ -865,24 +889,27 @@
 }
 
 /// Returns the accounts in the order in which a request asks them, the first last. Instances begin with different ones.
-fn accounts_from(me: Incarnation, number: u64) -> Vec<u8> {
+fn account_order(me: Incarnation, number: u64) -> Vec<u8> {
     let first = (me.0.wrapping_add(number) % u64::from(COPIES)) as u8;
     let accounts = (0..COPIES).rev().map(|c| (first + c) % COPIES);
     accounts.collect()
 }
 
-fn unanswered() -> Denied {
+fn unanswered_denial() -> Denied {
     Denied {
-        wait_us: UNANSWERED_US,
+        wait_us: UNANSWERED_RETRY_US,
         level: None,
         is_cached: false,
         is_unleased: false,
     }
 }
 
-fn changes(before: &HashMap<u32, Limited>, after: &HashMap<u32, Limited>) -> Vec<LimitChange> {
+fn limit_changes(
+    before: &HashMap<u32, OrganisationLimit>,
+    after: &HashMap<u32, OrganisationLimit>,
+) -> Vec<LimitChange> {
     let organisations: HashSet<u32> = before.keys().chain(after.keys()).copied().collect();
-    let changes = organisations.into_iter().filter_map(|organisation| {
+    let limit_changes = organisations.into_iter().filter_map(|organisation| {
         let (before, after) = (before.get(&organisation), after.get(&organisation));
         let name = &after.or(before)?.name;
         let change = LimitChange {
@@ -892,5 +919,5 @@
         };
         (change.before != change.after).then_some(change)
     });
-    changes.collect()
+    limit_changes.collect()
 }
--- a/src/limits/quota/partition.rs
+++ b/src/limits/quota/partition.rs
@@ -4,9 +4,9 @@
 
 /// Accounts of an organisation, at different quota servers: the loss of one leaves the others.
 pub const COPIES: u8 = 3;
-const PARTITIONS_A_COPY: u8 = 40;
+const PARTITIONS_PER_COPY: u8 = 40;
 /// All partitions, of all copies.
-pub(super) const PARTITIONS: usize = PARTITIONS_A_COPY as usize * COPIES as usize;
+pub(super) const PARTITIONS: usize = PARTITIONS_PER_COPY as usize * COPIES as usize;
 
 /// One copy of one part of the organisations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -15,8 +15,8 @@
 impl Partition {
     /// Returns the partition of a copy of an organisation's account.
     pub fn of(organisation: u32, copy: u8) -> Self {
-        let part = (organisation % u32::from(PARTITIONS_A_COPY)) as u8;
-        Self(copy % COPIES * PARTITIONS_A_COPY + part)
+        let part = (organisation % u32::from(PARTITIONS_PER_COPY)) as u8;
+        Self(copy % COPIES * PARTITIONS_PER_COPY + part)
     }
 
     /// Returns all partitions.
@@ -25,13 +25,13 @@
     }
 
     /// Returns the same part's partition of another copy.
-    pub(super) fn of_copy(self, copy: u8) -> Self {
-        Self(copy * PARTITIONS_A_COPY + self.0 % PARTITIONS_A_COPY)
+    pub(super) fn with_copy(self, copy: u8) -> Self {
+        Self(copy * PARTITIONS_PER_COPY + self.0 % PARTITIONS_PER_COPY)
     }
 
     /// Returns which copy it is of.
     pub(super) fn copy(self) -> u8 {
-        self.0 / PARTITIONS_A_COPY
+        self.0 / PARTITIONS_PER_COPY
     }
 
     pub(super) fn index(self) -> usize {
--- a/src/limits/quota/server.rs
+++ b/src/limits/quota/server.rs
@@ -14,7 +14,7 @@
 };
 
 /// A lessor that was silent for this long is forgotten.
-const LESSOR_KEPT_US: Micros = 60_000_000;
+const LESSOR_RETENTION_US: Micros = 60_000_000;
 
 /// The state of an account, for the log.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,26 +40,26 @@
 #[derive(Clone, Copy, Debug)]
 struct Lessor {
     seq: u64,
-    seen_us: Micros,
+    last_seen_us: Micros,
 }
 
 /// Who sent a message, among the starts at its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Met {
+pub(super) enum StartStatus {
     /// A start that has a successor: the message is late.
-    Late,
+    Superseded,
     /// The one that runs there.
-    Runs,
+    Current,
     /// The successor of this one.
-    Follows(Incarnation),
+    Replaces(Incarnation),
 }
 
 /// Who runs at an address, and who does no more.
 #[derive(Debug, Default)]
-struct Starts {
-    by_address: HashMap<u32, Incarnation>,
+struct Incarnations {
+    current: HashMap<u32, Incarnation>,
     /// The start before.
-    ended_at: HashMap<u32, Incarnation>,
+    predecessors: HashMap<u32, Incarnation>,
     ended_us: HashMap<Incarnation, Micros>,
 }
 
@@ -68,11 +68,11 @@
     tolerance: Tolerance,
     shares: Vec<Shares>,
     lessors: HashMap<Incarnation, Lessor>,
-    starts: Starts,
+    incarnations: Incarnations,
     names: HashMap<u32, Name>,
     accounts: HashMap<(u32, u8), Account>,
     /// The accounts of each partition.
-    of_partition: Vec<Vec<(u32, u8)>>,
+    accounts_by_partition: Vec<Vec<(u32, u8)>>,
 }
 
 impl QuotaServer {
@@ -81,10 +81,10 @@
             tolerance,
             shares: (0..PARTITIONS).map(|_| Shares::default()).collect(),
             lessors: HashMap::new(),
-            starts: Starts::default(),
+            incarnations: Incarnations::default(),
             names: HashMap::new(),
             accounts: HashMap::new(),
-            of_partition: vec![Vec::new(); PARTITIONS],
+            accounts_by_partition: vec![Vec::new(); PARTITIONS],
         }
     }
 
@@ -105,10 +105,10 @@
         }
         let names = &self.names;
         self.accounts.retain(|(o, _), _| names.contains_key(o));
-        self.of_partition = vec![Vec::new(); PARTITIONS];
+        self.accounts_by_partition = vec![Vec::new(); PARTITIONS];
         for (organisation, copy) in self.accounts.keys() {
             let partition = Partition::of(*organisation, *copy);
-            self.of_partition[partition.index()].push((*organisation, *copy));
+            self.accounts_by_partition[partition.index()].push((*organisation, *copy));
         }
     }
 
@@ -119,39 +119,44 @@
         let tolerance = &self.tolerance;
         self.accounts
             .entry((organisation, copy))
-            .and_modify(|account| account.change(limit, tolerance, shares))
+            .and_modify(|account| account.update_limit(limit, tolerance, shares))
             .or_insert_with(|| Account::open(limit, tolerance, shares));
     }
 
     /// Returns whether an earlier start than `lessor` was met at an address.
-    pub(super) fn met_earlier(&self, address: u32, lessor: Incarnation) -> bool {
-        let ended = self.starts.ended_at.get(&address);
+    pub(super) fn saw_predecessor(&self, address: u32, lessor: Incarnation) -> bool {
+        let ended = self.incarnations.predecessors.get(&address);
         ended.is_some_and(|ended| *ended != lessor)
     }
 
     /// Notes who runs at an address; what an earlier start at it leased ends.
-    pub(super) fn meet(&mut self, now_us: Micros, address: u32, lessor: Incarnation) -> Met {
-        if self.starts.ended_us.contains_key(&lessor) {
-            return Met::Late;
+    pub(super) fn record_start(
+        &mut self,
+        now_us: Micros,
+        address: u32,
+        lessor: Incarnation,
+    ) -> StartStatus {
+        if self.incarnations.ended_us.contains_key(&lessor) {
+            return StartStatus::Superseded;
         }
-        let before = self.starts.by_address.insert(address, lessor);
+        let before = self.incarnations.current.insert(address, lessor);
         let Some(ended) = before.filter(|b| *b != lessor) else {
-            return Met::Runs;
+            return StartStatus::Current;
         };
-        self.starts.ended_us.insert(ended, now_us);
-        self.starts.ended_at.insert(address, ended);
+        self.incarnations.ended_us.insert(ended, now_us);
+        self.incarnations.predecessors.insert(address, ended);
         for partition in Partition::all() {
             self.advance(now_us, partition);
             if self.shares[partition.index()].release(ended) {
-                self.clip(partition);
+                self.clip_accounts(partition);
             }
         }
-        Met::Follows(ended)
+        StartStatus::Replaces(ended)
     }
 
     /// Takes a lease of `lessor`, which runs from the moment at which this server's stamp was made.
     pub(super) fn lease(&mut self, now_us: Micros, lessor: Incarnation, lease: &Lease) {
-        if !self.is_newest(now_us, lessor, lease.seq) || lease.stamp_us == 0 {
+        if !self.accept_seq(now_us, lessor, lease.seq) || lease.stamp_us == 0 {
             return;
         }
         let until_us = lease.stamp_us.saturating_add(lease.lasts_us);
@@ -159,12 +164,12 @@
         for partition in lease.partitions.iter() {
             self.advance(now_us, partition);
             let shares = &mut self.shares[partition.index()];
-            let fell = shares.lease(lessor, share, until_us);
+            let total_fell = shares.lease(lessor, share, until_us);
             if lease.idle.contains(partition) {
                 shares.add_idle(share, lease.idle_us);
             }
-            if fell {
-                self.clip(partition);
+            if total_fell {
+                self.clip_accounts(partition);
             }
         }
     }
@@ -177,13 +182,13 @@
         seq: u64,
         partitions: PartitionSet,
     ) -> bool {
-        if !self.is_newest(now_us, lessor, seq) {
+        if !self.accept_seq(now_us, lessor, seq) {
             return false;
         }
         for partition in partitions.iter() {
             self.advance(now_us, partition);
             if self.shares[partition.index()].release(lessor) {
-                self.clip(partition);
+                self.clip_accounts(partition);
             }
         }
         true
@@ -214,24 +219,26 @@
 
     /// Forgets lessors that are long silent.
     pub(super) fn expire(&mut self, now_us: Micros) {
-        let is_kept = |l: &Lessor| now_us.saturating_sub(l.seen_us) < LESSOR_KEPT_US;
+        let is_kept = |l: &Lessor| now_us.saturating_sub(l.last_seen_us) < LESSOR_RETENTION_US;
         self.lessors.retain(|_, lessor| is_kept(lessor));
-        let is_recent = |us: &Micros| now_us.saturating_sub(*us) < LESSOR_KEPT_US;
-        self.starts.ended_us.retain(|_, us| is_recent(us));
-        let ended_us = &self.starts.ended_us;
+        let is_recent = |us: &Micros| now_us.saturating_sub(*us) < LESSOR_RETENTION_US;
+        self.incarnations.ended_us.retain(|_, us| is_recent(us));
+        let ended_us = &self.incarnations.ended_us;
         let is_known = |ended: &Incarnation| ended_us.contains_key(ended);
-        self.starts.ended_at.retain(|_, ended| is_known(ended));
+        self.incarnations
+            .predecessors
+            .retain(|_, ended| is_known(ended));
     }
 
-    /// Returns the state of the accounts that denied requests or are half empty, `most` at most.
-    pub(super) fn take_states(&mut self, now_us: Micros, most: usize) -> Vec<AccountState> {
+    /// Returns the state of the accounts that denied requests or are half empty, `max_states` at most.
+    pub(super) fn take_states(&mut self, now_us: Micros, max_states: usize) -> Vec<AccountState> {
         let keys: Vec<(u32, u8)> = self.accounts.keys().copied().collect();
         let mut states: Vec<AccountState> = keys
             .into_iter()
             .filter_map(|key| self.take_state(now_us, key))
             .collect();
         states.sort_by_key(|s| std::cmp::Reverse(s.denied));
-        states.truncate(most);
+        states.truncate(max_states);
         states
     }
 
@@ -242,8 +249,8 @@
         let shares = &self.shares[partition.index()];
         let account = self.accounts.get_mut(&key)?;
         account.fill(shares);
-        let half = account.bounds.depth * shares.total() / f64::from(COPIES) / 2.0;
-        let is_scarce = account.denied > 0 || (shares.total() > 0.0 && account.level < half);
+        let half_full = account.bounds.depth * shares.total() / f64::from(COPIES) / 2.0;
+        let is_scarce = account.denied > 0 || (shares.total() > 0.0 && account.level < half_full);
         let organisation = self.names.get(&organisation).filter(|_| is_scarce)?;
         Some(AccountState {
             organisation: organisation.clone(),
@@ -257,12 +264,12 @@
         })
     }
 
-    fn is_newest(&mut self, now_us: Micros, lessor: Incarnation, seq: u64) -> bool {
+    fn accept_seq(&mut self, now_us: Micros, lessor: Incarnation, seq: u64) -> bool {
         let known = self.lessors.entry(lessor).or_insert(Lessor {
             seq: 0,
-            seen_us: now_us,
+            last_seen_us: now_us,
         });
-        known.seen_us = now_us;
+        known.last_seen_us = now_us;
         let is_newest = seq > known.seq;
         known.seq = known.seq.max(seq);
         is_newest
@@ -270,14 +277,14 @@
 
     fn advance(&mut self, now_us: Micros, partition: Partition) {
         if self.shares[partition.index()].advance(now_us) {
-            self.clip(partition);
+            self.clip_accounts(partition);
         }
     }
 
     /// Cuts the accounts of a partition to the shares that are left.
-    fn clip(&mut self, partition: Partition) {
+    fn clip_accounts(&mut self, partition: Partition) {
         let shares = &self.shares[partition.index()];
-        for key in &self.of_partition[partition.index()] {
+        for key in &self.accounts_by_partition[partition.index()] {
             if let Some(account) = self.accounts.get_mut(key) {
                 account.fill(shares);
             }
--- a/src/limits/quota/shares.rs
+++ b/src/limits/quota/shares.rs
@@ -5,7 +5,7 @@
 use crate::prelude::{Incarnation, Micros};
 
 #[derive(Clone, Copy, Debug)]
-struct Leased {
+struct ShareLease {
     share: f64,
     until_us: Micros,
 }
@@ -13,14 +13,14 @@
 /// Who leases what, and how much has come of it.
 #[derive(Debug, Default)]
 pub(super) struct Shares {
-    by_lessor: HashMap<Incarnation, Leased>,
+    by_lessor: HashMap<Incarnation, ShareLease>,
     /// The sum of all shares leased.
     sum: f64,
     /// The total over time, in seconds of a whole limit.
     accrued_s: f64,
-    at_us: Micros,
+    advanced_to_us: Micros,
     /// No lease ends before this.
-    ends_us: Micros,
+    earliest_expiry_us: Micros,
 }
 
 impl Shares {
@@ -43,13 +43,14 @@
     /// Goes on to `now_us`; true if leases ended.
     pub(super) fn advance(&mut self, now_us: Micros) -> bool {
         let mut has_ended = false;
-        while self.ends_us <= now_us && !self.by_lessor.is_empty() {
-            self.accrue(self.ends_us);
+        while self.earliest_expiry_us <= now_us && !self.by_lessor.is_empty() {
+            self.accrue(self.earliest_expiry_us);
             let before = self.by_lessor.len();
-            let at_us = self.at_us;
-            self.by_lessor.retain(|_, leased| leased.until_us > at_us);
+            let advanced_to_us = self.advanced_to_us;
+            self.by_lessor
+                .retain(|_, leased| leased.until_us > advanced_to_us);
             has_ended |= self.by_lessor.len() < before;
-            self.sum_up();
+            self.recompute();
         }
         self.accrue(now_us);
         has_ended
@@ -57,17 +58,17 @@
 
     /// Takes a lease; call [`Self::advance`] before. True if the total fell.
     pub(super) fn lease(&mut self, lessor: Incarnation, share: f64, until_us: Micros) -> bool {
-        if until_us <= self.at_us {
+        if until_us <= self.advanced_to_us {
             return false;
         }
         let before = self.total();
-        let leased = Leased { share, until_us };
+        let leased = ShareLease { share, until_us };
         let replaced = self.by_lessor.insert(lessor, leased);
         // What a sum gains by rounding goes when leases end.
         self.sum += share - replaced.map_or(0.0, |old| old.share);
-        self.ends_us = match self.by_lessor.len() {
+        self.earliest_expiry_us = match self.by_lessor.len() {
             1 => until_us,
-            _ => self.ends_us.min(until_us),
+            _ => self.earliest_expiry_us.min(until_us),
         };
         self.total() < before
     }
@@ -79,22 +80,22 @@
 
     /// Ends a lease before its time; true if there was one.
     pub(super) fn release(&mut self, lessor: Incarnation) -> bool {
-        let had = self.by_lessor.remove(&lessor).is_some();
-        if had {
-            self.sum_up();
+        let was_leased = self.by_lessor.remove(&lessor).is_some();
+        if was_leased {
+            self.recompute();
         }
-        had
+        was_leased
     }
 
     fn accrue(&mut self, now_us: Micros) {
-        let since_us = now_us.saturating_sub(self.at_us);
+        let since_us = now_us.saturating_sub(self.advanced_to_us);
         self.accrued_s += self.total() * since_us as f64 / 1e6;
-        self.at_us = self.at_us.max(now_us);
+        self.advanced_to_us = self.advanced_to_us.max(now_us);
     }
 
-    fn sum_up(&mut self) {
+    fn recompute(&mut self) {
         self.sum = self.by_lessor.values().map(|l| l.share).sum();
-        let ends = self.by_lessor.values().map(|l| l.until_us);
-        self.ends_us = ends.min().unwrap_or(Micros::MAX);
+        let expiries = self.by_lessor.values().map(|l| l.until_us);
+        self.earliest_expiry_us = expiries.min().unwrap_or(Micros::MAX);
     }
 }
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -188,7 +188,7 @@
                 burst,
             };
             let bounds = Bounds::new(&limit, &TOLERANCE);
-            let late = rate_per_s * bounds.credit_us as f64 / 1e6;
+            let late = rate_per_s * bounds.max_grant_age_us as f64 / 1e6;
             let most = rate_per_s * 8.0 + bounds.depth + bounds.debt + late;
             let allowed = (rate_per_s * 8.0 + burst) * 1.1 + 20_000.0;
             assert!(
@@ -334,8 +334,8 @@
     let is_met = |o: &Outgoing| {
         matches!(
             o.message,
-            Message::Met {
-                met_earlier: true,
+            Message::StartAck {
+                saw_predecessor: true,
                 ..
             }
         )
@@ -434,9 +434,9 @@
         instances: 5,
         age_ms: 0,
     };
-    let told = Message::Met {
+    let told = Message::StartAck {
         uptime_us: 0,
-        met_earlier: false,
+        saw_predecessor: false,
         count,
     };
     node.receive(later_us + SECOND, Incarnation(2), 2, told);
