--- a/src/limits/quota/account.rs
+++ b/src/limits/quota/account.rs
@@ -1,4 +1,4 @@
-//! One account of an organisation's limit: a token bucket that fills at the share of the rate that is leased.
+//! An account of an organisation's limit: a token bucket that fills at the leased share of the rate.
 
 use crate::{
     gateway::config::UseLimit,
@@ -6,56 +6,56 @@
     prelude::{Micros, Rank},
 };
 
-/// What is granted reaches an endpoint within this time, in seconds.
+/// Time within which a granted request reaches its endpoint, in seconds.
 const MAX_DISPATCH_DELAY_S: f64 = 0.25;
-/// The longest that a grant may be old when it is used, in seconds: round trips take as long where instances are slow.
+/// Upper bound on the age at which a grant may be used, in seconds: round trips take as long when instances are slow.
 const MAX_GRANT_AGE_S: f64 = 2.6;
-/// The part of what a window allows beyond the rate, and beyond what arrives late, that old grants may take.
+/// Fraction that old grants may use of what a window allows beyond the rate and beyond the dispatch delay.
 const GRANT_AGE_FRACTION: f64 = 0.5;
-/// The part that an account has at least where what arrives late takes all of it.
+/// Fraction of the headroom that accounts keep as capacity where the dispatch delay uses up all of it.
 const MIN_CAPACITY_FRACTION: f64 = 0.4;
-/// The part of an account that is debt: a request is let in while anything is left and its debt is within it, so that
-/// long requests find room beside short ones.
+/// Fraction of an account's capacity that is for debt: a request is granted while the level is above the reserve if
+/// the debt that it leaves is within this part, so that long requests are not starved by short ones.
 const DEBT_FRACTION: f64 = 0.4;
-/// The part of an account that is left to the more urgent, a rank.
+/// Fraction of an account's depth that each rank leaves to more urgent requests.
 const RESERVE_PER_RANK: f64 = 0.05;
-/// The least urgent rank that is told apart.
+/// The highest rank (least urgent) that is distinguished.
 const MAX_RANK: Rank = 2;
-/// Those that are denied wait longer, the more of them there are, by this part of the time that one request's
-/// units take to come.
+/// Denied requests wait longer the more of them there are: each one denied since the last grant adds this fraction of
+/// the time in which the units of one request accrue.
 const QUEUE_WAIT_FRACTION: f64 = 0.25;
-/// The longest that they wait for each other.
+/// Upper bound on the wait that earlier denials add.
 const MAX_QUEUE_WAIT_US: f64 = 400_000.0;
-/// The least that a denied one waits.
+/// Lower bound on the wait of a denied request.
 const MIN_WAIT_US: f64 = 20_000.0;
 
-/// How far above its limit an organisation may come in a window.
+/// How far an organisation may exceed its limit in a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
     /// Length of the window, in seconds.
     pub window_s: f64,
-    /// Share of the limit.
+    /// Allowed excess, as a fraction of the limit.
     pub overage: f64,
-    /// Units on top.
+    /// Allowed excess in units, in addition.
     pub slack: f64,
 }
 
-/// What a limit comes to, for all accounts of an organisation together.
+/// The bucket parameters of a limit, for all accounts of an organisation together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Units a second.
+    /// Refill rate, in units per second.
     pub rate_per_s: f64,
-    /// Units that may be saved.
+    /// Units that may accumulate.
     pub depth: f64,
-    /// Units that may be owed.
+    /// Units by which the level may be negative.
     pub debt: f64,
-    /// How old a grant may be when it is used.
+    /// Maximum age of a grant when it is used.
     pub max_grant_age_us: Micros,
 }
 
 impl Bounds {
-    /// Works them out. What may be granted in a window, and kept from before it, and arrive late in it, is within
-    /// what the window allows.
+    /// Computes the bounds such that what is granted in a window, accumulated before it and used late in it stays
+    /// within what the window allows.
     pub fn new(limit: &UseLimit, tolerance: &Tolerance) -> Self {
         let rate_per_s = limit.rate_per_s;
         let in_window = rate_per_s * tolerance.window_s;
@@ -82,18 +82,18 @@
     pub(super) bounds: Bounds,
     pub(super) limit: UseLimit,
     pub(super) level: f64,
-    /// [`Shares::accrued_s`] up to which it is filled.
+    /// [`Shares::accrued_s`] when the account was last filled.
     filled_s: f64,
-    /// Requests denied since one was granted.
+    /// Number of requests denied since the last grant.
     denied_since_grant: f64,
     /// Units granted since the account was opened.
     pub(super) granted: u64,
-    /// Requests denied since the state was shown last.
+    /// Requests denied since the state was last reported.
     pub(super) denied: u64,
 }
 
 impl Account {
-    /// Opens an account with nothing in it: what was used before is not known.
+    /// Opens an empty account: earlier use is not known.
     pub(super) fn open(limit: UseLimit, tolerance: &Tolerance, shares: &Shares) -> Self {
         Self {
             bounds: Bounds::new(&limit, tolerance),
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Takes another limit. What is left stays left, as far as the new limit lets it.
+    /// Applies another limit and keeps the level, clipped to the new depth.
     pub(super) fn update_limit(&mut self, limit: UseLimit, tolerance: &Tolerance, shares: &Shares) {
         self.fill(shares);
         self.limit = limit;
@@ -114,7 +114,7 @@
         self.clip(shares);
     }
 
-    /// Adds what came of the leased shares since it was filled last.
+    /// Adds what the leased shares accrued since the account was last filled.
     pub(super) fn fill(&mut self, shares: &Shares) {
         let gained_s = shares.accrued_s() - self.filled_s;
         self.filled_s = shares.accrued_s();
@@ -122,7 +122,7 @@
         self.clip(shares);
     }
 
-    /// Cuts off what the shares leased now do not cover.
+    /// Clips the level to the depth that the currently leased shares cover.
     pub(super) fn clip(&mut self, shares: &Shares) {
         self.level = self.level.min(self.bounds.depth * account_share(shares));
     }
@@ -143,7 +143,7 @@
             return Verdict::Granted;
         }
         self.denied += 1;
-        // One more than is there at the moment when it is due.
+        // One unit more, as the level has to exceed the reserve at the retry.
         let missing = reserve.max(needed) - self.level + 1.0;
         Verdict::Denied {
             wait_us: self.wait_us(missing, units, account_share),
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Takes back what was not used.
+    /// Returns unused units to the account.
     pub(super) fn refund(&mut self, units: u32, shares: &Shares) {
         self.level += f64::from(units);
         self.granted = self.granted.saturating_sub(u64::from(units));
@@ -164,12 +164,12 @@
         let queue_wait_us = (self.denied_since_grant * per_request_us).min(MAX_QUEUE_WAIT_US);
         self.denied_since_grant += 1.0;
         let refill_us = (missing / rate_per_us).max(MIN_WAIT_US);
-        // A cast keeps to the bounds of the type.
+        // The cast saturates.
         (refill_us + queue_wait_us) as Micros
     }
 }
 
-/// Returns the part of an organisation's limit that one account has.
+/// Returns the fraction of an organisation's limit that is available to one account.
 fn account_share(shares: &Shares) -> f64 {
     shares.total() / f64::from(COPIES)
 }
--- a/src/limits/quota/client.rs
+++ b/src/limits/quota/client.rs
@@ -1,55 +1,55 @@
-//! What an instance was granted and denied.
+//! The client side of quota: grants, denials and their caches.
 
 use std::collections::HashMap;
 
 use crate::prelude::{Incarnation, Micros, Rank};
 
-/// The least urgent rank that is told apart.
+/// Number of ranks that are distinguished; less urgent ones count as the last.
 const RANKS: usize = 3;
 
 /// Quota for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The organisation, by its hash.
+    /// Hash of the organisation's name.
     pub organisation: u32,
-    /// How much.
+    /// Units granted.
     pub units: u32,
-    /// Where it came from, if it came whole from one account.
+    /// The server and account index that granted it; none if it is made up of several grants.
     pub from: Option<(Incarnation, u8)>,
 }
 
-/// Why there is no quota for a request.
+/// The reason why a request got no quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Denied {
-    /// When there will be some.
+    /// Time until a retry may succeed.
     pub wait_us: Micros,
-    /// Units left where it was asked, the most of them; none if nobody answered.
+    /// Units left in the account that answered with the shortest wait; none if there was no such answer.
     pub level: Option<i64>,
-    /// It was not asked for: a question shortly before was denied.
+    /// No server was queried, because a similar request was denied shortly before.
     pub is_cached: bool,
-    /// No share is leased where it was asked: leases are moving, and there may be some in a moment.
+    /// No share is leased to the queried server: leases are being moved, and there may be quota in a moment.
     pub is_unleased: bool,
 }
 
-/// What came of asking.
+/// The outcome of a quota request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// The request may be sent.
+    /// The request may run.
     Granted(Grant),
-    /// It may not.
+    /// The request may not run now.
     Denied(Denied),
 }
 
-/// A grant that came after whoever asked had given up, and is kept for a later request.
+/// A grant that arrived after its request had been given up, kept for later requests.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LateGrant {
     pub(super) units: u32,
     pub(super) until_us: Micros,
-    /// Who granted it, and from which account.
+    /// The server and account index that granted it.
     pub(super) from: (Incarnation, u8),
 }
 
-/// There is no quota until a time for requests of some size and above.
+/// Until a time, requests of a size and above are denied without a query.
 #[derive(Clone, Copy, Debug, Default)]
 struct Denial {
     until_us: Micros,
@@ -59,18 +59,18 @@
 #[derive(Debug, Default)]
 struct OrganisationState {
     late_grants: Vec<LateGrant>,
-    /// By rank.
+    /// Indexed by rank.
     denials: [Denial; RANKS],
 }
 
-/// Grants that came late, and denials that still hold.
+/// Late grants for reuse, and denials that are still in force.
 #[derive(Debug, Default)]
 pub(super) struct Client {
     organisations: HashMap<u32, OrganisationState>,
 }
 
 impl Client {
-    /// Takes quota that was granted before; none if there is not enough.
+    /// Takes units from late grants; none if they do not cover the request.
     pub(super) fn use_late_grants(
         &mut self,
         now_us: Micros,
@@ -98,13 +98,13 @@
         })
     }
 
-    /// Keeps quota for a later request.
+    /// Stores a grant for later requests.
     pub(super) fn store_late_grant(&mut self, organisation: u32, late_grant: LateGrant) {
         let state = self.organisations.entry(organisation).or_default();
         state.late_grants.push(late_grant);
     }
 
-    /// Returns the quota that was not used in its time.
+    /// Removes and returns the late grants that expired unused.
     pub(super) fn take_expired(&mut self, now_us: Micros) -> Vec<Grant> {
         let mut expired = Vec::new();
         for (organisation, state) in &mut self.organisations {
@@ -118,7 +118,7 @@
         expired
     }
 
-    /// Returns for how much longer a request is denied without a question.
+    /// Returns for how much longer a request is denied without a query; none if it is not.
     pub(super) fn denied_for_us(
         &self,
         now_us: Micros,
@@ -132,7 +132,7 @@
         holds.then(|| denial.until_us - now_us)
     }
 
-    /// Notes that requests like a denied one are denied for a while: those that are as large, and as urgent at most.
+    /// Records a denial: until it expires, requests that are at least as large and no more urgent are denied as well.
     pub(super) fn record_denial(
         &mut self,
         now_us: Micros,
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Forgets organisations without a limit.
+    /// Removes the state of organisations that are not kept.
     pub(super) fn retain(&mut self, is_kept: impl Fn(u32) -> bool) {
         self.organisations
             .retain(|organisation, _| is_kept(*organisation));
--- a/src/limits/quota/delegation.rs
+++ b/src/limits/quota/delegation.rs
@@ -1,4 +1,4 @@
-//! Whom this instance has leased its share of each partition to, and until when.
+//! The leases that this instance has issued: the lessee and expiry of its share in each partition.
 
 use std::collections::HashMap;
 
@@ -10,22 +10,22 @@
     prelude::{Incarnation, Micros},
 };
 
-/// How often a lease is renewed, an instance: in large groups servers have more to renew.
+/// Renewal interval per instance of the group: it grows with the group, as servers then get more renewals.
 const RENEWAL_PER_INSTANCE_US: Micros = 4_000;
 const MIN_RENEWAL_US: Micros = 400_000;
 const MAX_RENEWAL_US: Micros = 4_000_000;
-/// The longest round trip over which leases hold. A lease runs from a stamp that has come to the lessor and is sent
-/// back, so a round trip is lost of it.
+/// The longest round trip at which leases still cover the time between renewals. A lease runs from a server timestamp
+/// that travelled to the lessor and back, so a round trip of its duration is lost.
 const MAX_ROUND_TRIP_US: Micros = 2_800_000;
-/// A renewal may be lost, and a lease holds.
+/// Renewal intervals that a lease covers, so that the loss of one renewal does not end it.
 const RENEWALS_PER_LEASE: Micros = 2;
 
-/// Returns how long leases run in a group.
+/// Returns the duration of leases in a group of `instances`.
 fn lease_duration_us(instances: u32) -> Micros {
     MAX_ROUND_TRIP_US + RENEWALS_PER_LEASE * renewal_interval_us(instances)
 }
 
-/// Returns how often leases are renewed in a group.
+/// Returns the interval at which leases are renewed in a group of `instances`.
 pub(super) fn renewal_interval_us(instances: u32) -> Micros {
     (Micros::from(instances) * RENEWAL_PER_INSTANCE_US).clamp(MIN_RENEWAL_US, MAX_RENEWAL_US)
 }
@@ -37,20 +37,20 @@
     until_us: Micros,
 }
 
-/// The leases that this instance gave.
+/// The leases that this instance has issued as a lessor.
 #[derive(Debug)]
 pub(super) struct Delegation {
-    /// This instance's address, by a hash.
+    /// Hash of this instance's address.
     pub(super) address: u32,
     started_us: Micros,
-    /// Nobody holds anything of the start before this one.
+    /// No lease of an earlier incarnation at this address is held any more, and this one may issue leases.
     is_leasing: bool,
-    /// Since then nobody used what is leased for the first time; none if that is not known.
+    /// Since when shares that are leased for the first time have been unused; none if that is not known.
     idle_since_us: Option<Micros>,
     ever_leased: PartitionSet,
     seq: u64,
     leased: Vec<Option<IssuedLease>>,
-    /// The newest stamp of each server.
+    /// Newest timestamp received from each server, on that server's clock.
     stamps: HashMap<Incarnation, Micros>,
 }
 
@@ -68,31 +68,31 @@
         }
     }
 
-    /// Begins to lease: nobody holds anything of the start before this one, nor has since `idle_since_us`, if that is
-    /// known.
+    /// Starts to issue leases: none of an earlier incarnation is held any more, nor has been used since
+    /// `idle_since_us`, if that is known.
     pub(super) fn start_leasing(&mut self, idle_since_us: Option<Micros>) {
         self.is_leasing = true;
         self.idle_since_us = idle_since_us;
     }
 
-    /// Returns whether shares are leased.
+    /// Returns whether this instance issues leases.
     pub(super) fn is_leasing(&self) -> bool {
         self.is_leasing
     }
 
-    /// Returns whether all leases of the start before this one have ended, in a group of `instances`.
+    /// Returns whether all leases of earlier incarnations have expired, in a group of `instances`.
     pub(super) fn have_predecessor_leases_expired(&self, now_us: Micros, instances: u32) -> bool {
         now_us >= self.started_us + lease_duration_us(instances)
     }
 
-    /// Notes a server's stamp.
+    /// Records a timestamp of a server.
     pub(super) fn record_stamp(&mut self, server: Incarnation, stamp_us: Micros) {
         let newest_us = self.stamps.entry(server).or_default();
         *newest_us = stamp_us.max(*newest_us);
     }
 
-    /// Leases to `server` what of `wanted` is leased to nobody else. Without a stamp of the server nothing is
-    /// leased: its answer brings one.
+    /// Leases to `server` those of the `wanted` partitions that are not leased to another server. Without a timestamp
+    /// of the server the lease is empty; the server's answer brings a timestamp.
     pub(super) fn lease(
         &mut self,
         now_us: Micros,
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Returns what is leased to others than those who serve it now, by lessee.
+    /// Returns, by lessee, the partitions that are leased to another server than the one that serves them now.
     pub(super) fn misplaced(
         &self,
         now_us: Micros,
@@ -154,13 +154,13 @@
         misplaced
     }
 
-    /// Returns the number of a question to release leases.
+    /// Returns the sequence number for a release request.
     pub(super) fn next_seq(&mut self) -> u64 {
         self.seq += 1;
         self.seq
     }
 
-    /// Notes that leases are over, which were asked back by the question `seq`.
+    /// Records that a lessee has released leases, as requested under `seq`; newer leases stay.
     pub(super) fn confirm_release(
         &mut self,
         from: Incarnation,
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Notes that a lessee has ended, and its leases with it; returns whether there were any.
+    /// Ends the leases to a lessee that has terminated; returns whether there were any.
     pub(super) fn end_leases_to(&mut self, lessee: Incarnation) -> bool {
         let leases = self.leased.iter_mut();
         let ended = leases.filter_map(|leased| leased.take_if(|l| l.to == lessee));
--- a/src/limits/quota/directory.rs
+++ b/src/limits/quota/directory.rs
@@ -1,4 +1,4 @@
-//! Which quota server serves which partition, as one instance sees it.
+//! The assignment of partitions to quota servers, as computed by one instance.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,20 +7,20 @@
     prelude::{Incarnation, Micros},
 };
 
-/// Quota servers of a group.
+/// Number of quota servers in a group.
 const SERVERS: usize = 8;
-/// A server that was asked for this long and did not answer is passed over if another one answered what it was asked
-/// later: where nobody answers, all are slow or this instance is cut off.
+/// A server that has not answered for this long is excluded if another server answered a later query: if none answers,
+/// all are slow or this instance is cut off.
 const UNRESPONSIVE_US: Micros = 700_000;
-/// And after this time in any case.
+/// After this time a server that has not answered is excluded in any case.
 const MAX_UNRESPONSIVE_US: Micros = 3_200_000;
-/// One that is passed over is used again if it answers within this many times what the others take.
+/// An excluded server is readmitted if it answers within this many times the fastest round trip of the servers in use.
 const READMIT_ROUND_TRIPS: Micros = 2;
-/// An answer is overdue after this many times what the servers take.
+/// An answer is overdue after this many times the fastest round trip.
 const OVERDUE_ROUND_TRIPS: f64 = 1.5;
-/// But not before this time.
+/// An answer is not overdue before this time.
 const MIN_OVERDUE_US: Micros = 40_000;
-/// The weight of the newest round trip.
+/// Weight of the newest sample in the moving average of round trips.
 const ROUND_TRIP_GAIN: f64 = 0.25;
 
 #[derive(Debug)]
@@ -28,13 +28,13 @@
     me: Incarnation,
     /// Members in the order in which they are to serve.
     candidates: Vec<Incarnation>,
-    /// Since when those asked have not answered.
+    /// The time of the earliest unanswered query to each server.
     unanswered_since_us: HashMap<Incarnation, Micros>,
-    /// When the newest question was sent that each answered.
+    /// When the newest query that each server answered was sent.
     newest_answered_us: HashMap<Incarnation, Micros>,
-    /// How long each takes to answer.
+    /// Moving average of each server's round trip.
     round_trip_us: HashMap<Incarnation, f64>,
-    /// Those that are passed over.
+    /// Candidates that are not used because they do not answer or have ended.
     excluded: HashSet<Incarnation>,
     servers: Vec<Incarnation>,
     assignments: Vec<Incarnation>,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Takes the members in the order in which they are to serve.
+    /// Replaces the candidates: the members in the order in which they are to serve.
     pub(super) fn set_candidates(&mut self, now_us: Micros, members: &[Incarnation]) {
         if self.candidates != members {
             self.candidates = members.to_vec();
@@ -67,23 +67,23 @@
         &self.servers
     }
 
-    /// Returns who serves a partition.
+    /// Returns the server of a partition.
     pub(super) fn server_of(&self, partition: Partition) -> Incarnation {
         self.assignments[partition.index()]
     }
 
-    /// Returns what a server serves.
+    /// Returns the partitions of a server.
     pub(super) fn partitions_of(&self, server: Incarnation) -> PartitionSet {
         let own = Partition::all().filter(|p| self.server_of(*p) == server);
         own.collect()
     }
 
-    /// Notes that a server was sent something that it answers.
+    /// Records that a server was sent a message that requires an answer.
     pub(super) fn record_query(&mut self, now_us: Micros, server: Incarnation) {
         self.unanswered_since_us.entry(server).or_insert(now_us);
     }
 
-    /// Notes that a server answered a question that was sent at `sent_us`, if that is known.
+    /// Records the answer of a server to a query that was sent at `sent_us`, if that is known.
     pub(super) fn record_answer(
         &mut self,
         now_us: Micros,
@@ -102,27 +102,27 @@
         }
     }
 
-    /// Returns those that are passed over and are to be asked whether they answer again.
+    /// Returns the excluded servers, which are to be probed.
     pub(super) fn excluded(&self) -> Vec<Incarnation> {
         self.excluded.iter().copied().collect()
     }
 
-    /// Returns whether the answer of a server that was asked at `sent_us` is late, while another answered what it
-    /// was asked later.
+    /// Returns whether a server's answer to a query sent at `sent_us` is overdue while another server answered a later
+    /// query.
     pub(super) fn is_overdue(&self, now_us: Micros, server: Incarnation, sent_us: Micros) -> bool {
         let fastest_us = self.fastest_round_trip_us().unwrap_or(0.0) * OVERDUE_ROUND_TRIPS;
         let due_us = sent_us + MIN_OVERDUE_US.max(fastest_us as Micros);
         now_us >= due_us && self.has_another_answered(server, sent_us)
     }
 
-    /// Returns how long the servers take to answer, the quickest of them.
+    /// Returns the shortest of the other servers' average round trips.
     pub(super) fn fastest_round_trip_us(&self) -> Option<f64> {
         let others = self.servers.iter().filter(|s| **s != self.me);
         let known = others.filter_map(|s| self.round_trip_us.get(s).copied());
         known.min_by(f64::total_cmp)
     }
 
-    /// Returns within which time one that is passed over has to answer to be used again.
+    /// Returns the round trip within which an excluded server has to answer to be readmitted.
     fn readmit_within_us(&self) -> f64 {
         match self.fastest_round_trip_us() {
             Some(fastest_us) => {
@@ -137,7 +137,7 @@
         answered.any(|(other, at_us)| *other != server && *at_us > after_us)
     }
 
-    /// Notes that a server has ended, which the view may not say yet.
+    /// Records that a server has terminated, which the membership view may not show yet.
     pub(super) fn record_end(&mut self, now_us: Micros, server: Incarnation) {
         self.unanswered_since_us.remove(&server);
         if self.candidates.contains(&server) {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Passes over those that do not answer.
+    /// Excludes servers that do not answer and updates the assignment.
     pub(super) fn refresh(&mut self, now_us: Micros) {
         let candidates: HashSet<Incarnation> = self.candidates.iter().copied().collect();
         self.excluded.retain(|server| candidates.contains(server));
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Returns the server with the highest score for a partition, none of those `used` if there are others.
+    /// Returns the server with the highest score for a partition, preferring those that are not in `used`.
     fn highest_scoring(&self, partition: Partition, used: &[Incarnation]) -> Incarnation {
         let score = |server: &&Incarnation| score(partition, **server);
         let unused = self.servers.iter().filter(|s| !used.contains(s));
@@ -200,7 +200,7 @@
     }
 }
 
-/// Mixes a partition and a start as splitmix does.
+/// Returns the rendezvous hash of a partition and a server, mixed as in SplitMix64.
 fn score(partition: Partition, server: Incarnation) -> u64 {
     let mut hash = server.0 ^ (partition.index() as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/src/limits/quota/message.rs
+++ b/src/limits/quota/message.rs
@@ -1,4 +1,4 @@
-//! What instances send each other about quota.
+//! Messages of the quota protocol.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,155 +7,155 @@
     prelude::{Incarnation, Micros, Rank},
 };
 
-/// How many instances there are, those that are silent included.
+/// The number of instances, including those that do not respond.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceCount {
-    /// The number; 0 if the sender does not know it.
+    /// Number of instances; 0 if the sender does not know it.
     pub instances: u32,
-    /// How long ago somebody saw as many.
+    /// Time since an instance last had this many in its own view, in milliseconds.
     pub age_ms: u32,
 }
 
-/// A lease of the sender's share of some partitions.
+/// A lease of the sender's share of the limits in some partitions.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The quota server's start; a later start at its address does not take it.
+    /// Incarnation of the quota server; a later incarnation at its address ignores the lease.
     pub to: Incarnation,
-    /// The lessor's address, by a hash: what an earlier start at it leased is over.
+    /// Hash of the lessor's address; leases of an earlier incarnation at this address have ended.
     pub address: u32,
-    /// Rises with each lease and release of a lessor; an older one is not taken.
+    /// Sequence number, increased with each lease and release of a lessor; the server ignores older ones.
     pub seq: u64,
-    /// The newest stamp that the lessor has from this server: the lease runs from there.
+    /// Newest timestamp on this server's clock that the lessor has received from it; the lease runs from there.
     pub stamp_us: Micros,
-    /// How long it runs.
+    /// Duration of the lease.
     pub lasts_us: Micros,
-    /// Whose share is leased.
+    /// Partitions whose share is leased.
     pub partitions: PartitionSet,
-    /// Those of them that the lessor has leased to nobody since it started.
+    /// Subset of `partitions` that the lessor leases for the first time since it started.
     pub idle: PartitionSet,
-    /// For how long nobody used these, whoever held them before.
+    /// How long the shares of `idle` are known to have been unused, by the lessees of earlier incarnations too.
     pub idle_us: Micros,
-    /// By how many instances the lessor divides a limit.
+    /// Number of instances by which the lessor divides each limit.
     pub count: InstanceCount,
 }
 
-/// What a quota server says to a question for quota.
+/// A quota server's decision on a quota query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It may be used.
+    /// The units may be used.
     Granted,
-    /// There is none now.
+    /// Not enough units are left.
     Denied {
-        /// When there will be.
+        /// Time until there should be enough.
         wait_us: Micros,
-        /// Units left, debts below nothing.
+        /// Units left; negative if the account is in debt.
         level: i64,
     },
-    /// No share is leased to the server: leases are moving.
+    /// No share is leased to the server: leases are being moved between servers.
     Unleased,
-    /// The server knows no limit of this organisation.
+    /// The server's configuration has no limit for this organisation.
     Unknown,
 }
 
-/// One message.
+/// A message between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Tells whoever is there that a process has started at the sender's address.
+    /// Announces that a process has started at the sender's address; sent to an address, whichever process has it.
     Started {
-        /// The address, as in [`Lease::address`].
+        /// Hash of the sender's address, as in [`Lease::address`].
         address: u32,
     },
-    /// Answers that: leases of earlier starts at the address are over.
+    /// Acknowledges [`Message::Started`]: leases of earlier incarnations at the address have ended here.
     #[serde(rename = "Met")]
     StartAck {
-        /// For how long the sender has run.
+        /// How long the sender has been running.
         uptime_us: Micros,
-        /// It had met an earlier start at the address, and may have used its shares till now.
+        /// The sender knew an earlier incarnation at the address, and may have used its shares until now.
         #[serde(rename = "met_earlier")]
         saw_predecessor: bool,
-        /// How many instances the sender knows.
+        /// Number of instances that the sender knows of.
         count: InstanceCount,
     },
-    /// Leases shares, or asks for a stamp only.
+    /// Leases shares; without partitions it only requests a timestamp.
     Lease(Lease),
-    /// Leases shares, and asks for quota.
+    /// Leases shares and queries one account for quota.
     Ask {
-        /// The lease.
+        /// A lease to the queried server.
         lease: Lease,
-        /// Names the question in its answer.
+        /// Identifies the request in the answer.
         number: u64,
-        /// The organisation, by [`crate::prelude::short_hash`].
+        /// The organisation's name, hashed by [`crate::prelude::short_hash`].
         organisation: u32,
-        /// Which of its accounts is asked.
+        /// Index of the queried account among those of the organisation.
         copy: u8,
-        /// How much is wanted.
+        /// Units requested.
         units: u32,
-        /// How urgent the request is.
+        /// Urgency of the request; 0 is the most urgent.
         rank: Rank,
     },
-    /// Answers a question.
+    /// Answers [`Message::Ask`].
     Answer {
-        /// The question's number.
+        /// Number of the request, from [`Message::Ask`].
         number: u64,
-        /// Which account was asked.
+        /// Index of the queried account.
         copy: u8,
-        /// What it says.
+        /// The server's decision.
         verdict: Verdict,
-        /// The server's clock when it answered.
+        /// Timestamp on the server's clock when it answered.
         stamp_us: Micros,
-        /// How many instances the server knows.
+        /// Number of instances that the server knows of.
         count: InstanceCount,
     },
-    /// Answers a lease.
+    /// Acknowledges [`Message::Lease`].
     Leased {
-        /// The lease's number.
+        /// Sequence number of the lease.
         seq: u64,
-        /// The server's clock when it answered.
+        /// Timestamp on the server's clock when it answered.
         stamp_us: Micros,
-        /// How many instances the server knows.
+        /// Number of instances that the server knows of.
         count: InstanceCount,
     },
-    /// Asks for leases back before their time.
+    /// Requests the release of leases before they expire.
     Release {
         /// As in [`Lease::to`].
         to: Incarnation,
         /// As in [`Lease::seq`].
         seq: u64,
-        /// Which.
+        /// Partitions whose leases are to end.
         partitions: PartitionSet,
     },
-    /// These leases are over.
+    /// Confirms that leases have ended.
     Released {
-        /// Which.
+        /// Partitions whose leases have ended.
         partitions: PartitionSet,
         /// As in [`Message::Release`].
         seq: u64,
     },
-    /// Gives quota back that was not used.
+    /// Refunds quota that was not used.
     Unused {
-        /// The organisation.
+        /// Hash of the organisation's name.
         organisation: u32,
-        /// From which account it came.
+        /// Index of the account that granted it.
         copy: u8,
-        /// How much.
+        /// Units refunded.
         units: u32,
     },
 }
 
-/// To whom a message goes.
+/// The destination of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recipient {
-    /// That start.
+    /// A particular process.
     Incarnation(Incarnation),
-    /// Whoever is at an address, as in [`Lease::address`].
+    /// The process that runs at an address, given as in [`Lease::address`].
     Address(u32),
 }
 
 /// A message to be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outgoing {
-    /// To whom.
+    /// Where the message is to be sent.
     pub to: Recipient,
-    /// What.
+    /// The message.
     pub message: Message,
 }
--- a/src/limits/quota/mod.rs
+++ b/src/limits/quota/mod.rs
@@ -1,11 +1,12 @@
-//! Limits on what an organisation uses over all instances together, bounded whatever the delay between them.
+//! Organisation limits that hold over all instances together, whatever the network delay between them.
 //!
-//! Every instance owns an equal share of each limit. It leases its share to the quota server that serves the
-//! organisation's partition, for a stated time, and never to two at once. A quota server grants from an account that
-//! fills at the rate of the shares leased to it. So whatever instances believe of each other, the sum of
-//! all grants is within the limit; who is cut off has the share that was leased to it, and no more.
+//! Every instance owns an equal share of each limit. It leases its share, for a fixed time and to one server at once,
+//! to the quota server that serves the organisation's partition. A quota server grants from token buckets (accounts)
+//! that fill at the rate of the shares leased to it. The sum of all grants therefore stays within the limit even if
+//! instances have different membership views; a server that is cut off can grant from the shares leased to it and no
+//! more.
 //!
-//! Free of clock and socket, so that tests drive it step by step.
+//! These modules read no clock and open no socket, so that tests can drive them step by step.
 
 mod account;
 mod client;
--- a/src/limits/quota/node.rs
+++ b/src/limits/quota/node.rs
@@ -1,4 +1,4 @@
-//! One instance's part in the quota protocol: it leases its share, serves partitions, and asks for its callers.
+//! The quota protocol of one instance: it leases out its share, serves partitions and queries servers for its callers.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -16,42 +16,42 @@
     prelude::{Incarnation, Micros, Name, Rank, short_hash},
 };
 
-/// A server that is passed over is asked this often whether it answers again.
+/// Interval at which an excluded server is probed.
 const PROBE_INTERVAL_US: Micros = 800_000;
-/// A member that has not answered a process that starts is told again after this time, and then after twice as long
-/// each time.
+/// The start of this process is announced again after this time to instances that have not acknowledged it; the
+/// interval then doubles up to its maximum.
 const ANNOUNCE_INTERVAL_US: Micros = 120_000;
 const MAX_ANNOUNCE_INTERVAL_US: Micros = 960_000;
-/// A question without an answer is forgotten after this time.
+/// A query without an answer is dropped after this time.
 const QUERY_RETENTION_US: Micros = 5_000_000;
-/// How many instances somebody saw counts for this long: some may be cut off now.
+/// A reported number of instances counts for this long, since some of them may be cut off now.
 const INSTANCE_COUNT_TTL_US: Micros = 600_000_000;
-/// Leases whose sending is remembered: some seconds of renewals and questions.
+/// Number of sent leases whose sending times are kept: some seconds of renewals and queries.
 const MAX_SENT_LEASES: usize = 256;
-/// Whoever asked a server to which nothing is leased asks again after this time.
+/// Wait before a retry if nothing is leased to the queried server.
 const UNLEASED_RETRY_US: Micros = 40_000;
-/// Where nobody answered, callers come back after this time.
+/// Wait before a retry if no server answered.
 const UNANSWERED_RETRY_US: Micros = 300_000;
 
 /// How a configuration changed a limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitChange {
-    /// The organisation.
+    /// The organisation's name.
     pub organisation: Name,
-    /// The limit before; none if there was none.
+    /// The previous limit, if there was one.
     pub before: Option<UseLimit>,
-    /// The limit from now on; none if there is none any more.
+    /// The new limit; none if it was removed.
     pub after: Option<UseLimit>,
 }
 
-/// What came of beginning to ask.
+/// The result of [`Node::acquire`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Acquisition {
     /// The organisation has no limit.
     Unlimited,
-    /// It is decided.
+    /// The decision was made without waiting for another instance.
     Decided(Decision),
-    /// Servers were asked, under this number.
+    /// A quota server was queried; [`Node::take_decided`] returns the decision under this number.
     Pending(u64),
 }
 
@@ -68,29 +68,30 @@
     organisation: u32,
     units: u32,
     rank: Rank,
-    /// Accounts that have not been asked, since all were asked last.
+    /// Accounts not yet queried in this pass over all of them; the next one is last.
     untried: Vec<u8>,
-    /// Whom the newest question was sent, and when.
+    /// The server of the newest query, and when it was sent.
     last_query: Option<(Incarnation, Micros)>,
-    /// Questions without an answer.
+    /// Number of unanswered queries.
     open_queries: u8,
+    /// The denial with the shortest wait so far.
     denied: Option<Denied>,
 }
 
-/// A question.
+/// A query to one account.
 #[derive(Clone, Copy, Debug)]
 struct Query {
     organisation: u32,
     units: u32,
-    /// When it was sent first.
+    /// When it was first sent.
     sent_us: Micros,
-    /// It was sent again: its answer says nothing of the round trip.
+    /// It was sent again, so its answer does not measure the round trip.
     is_resent: bool,
-    /// Its request was granted by another account.
+    /// Another account has granted its request.
     is_redundant: bool,
 }
 
-/// The protocol of one instance.
+/// The state of the quota protocol on one instance: lessor, quota server and client.
 #[derive(Debug)]
 pub struct Node {
     me: Incarnation,
@@ -100,27 +101,30 @@
     delegation: Delegation,
     server: QuotaServer,
     client: Client,
-    /// How many instances there are by the own view.
+    /// Number of instances in this instance's own view.
     instances: u32,
-    /// The most that anybody saw, by what others or the store said, and when; none until anybody did.
+    /// The largest number of instances reported by others or the store, and when it was observed; none before the
+    /// first report.
     reported_instances: Option<(u32, Micros)>,
-    /// What the own view says counts by itself.
+    /// The own view is sufficient without a report of the number of instances.
     trusts_own_view: bool,
-    /// No process ran at this address before: there are no leases to end.
+    /// No process ran at this address before, so there are no earlier leases to end.
     has_no_predecessor: bool,
+    /// When a lease was last made out to each server.
     last_leased_us: HashMap<Incarnation, Micros>,
-    /// The newest leases that were sent, by their numbers.
+    /// Sequence numbers and sending times of the newest leases.
     sent_leases: VecDeque<(u64, Micros)>,
     started_us: Micros,
-    /// The newest time that this node was given.
+    /// The latest time passed to this node.
     now_us: Micros,
-    /// Where instances are, or were.
+    /// Hashes of the addresses where instances run or ran.
     addresses: HashSet<u32>,
-    /// Where this start was met: nobody there holds a lease of the one before it.
+    /// Addresses that acknowledged this incarnation's start: no lease of an earlier one is held there.
     acknowledged_by: HashSet<u32>,
     announced_us: Option<Micros>,
     announce_interval_us: Micros,
-    /// Since then none of them used such a lease; none if one may have till it answered.
+    /// Since when none of the instances in `acknowledged_by` has used such a lease; none if one of them may have until
+    /// its acknowledgement.
     idle_since_us: Option<Micros>,
     last_number: u64,
     pending: HashMap<u64, PendingRequest>,
@@ -130,7 +134,7 @@
 }
 
 impl Node {
-    /// Starts without limits, alone.
+    /// Creates a node without limits that is alone in its group.
     pub fn new(now_us: Micros, me: Incarnation, tolerance: Tolerance) -> Self {
         Self {
             me,
@@ -161,20 +165,20 @@
         }
     }
 
-    /// Takes a time and returns the newest one. Tasks read the clock before they take this node's lock, so an older
-    /// time may come after a newer one.
+    /// Returns the latest time passed to this node. Tasks read the clock before they lock the node, so an older time
+    /// may arrive after a newer one.
     fn advance(&mut self, now_us: Micros) -> Micros {
         self.now_us = self.now_us.max(now_us);
         self.now_us
     }
 
-    /// Replaces the tolerance; it counts from the next configuration on.
+    /// Replaces the tolerance, which takes effect with the next configuration.
     pub fn set_tolerance(&mut self, tolerance: Tolerance) {
         self.tolerance = tolerance;
         self.server.set_tolerance(tolerance);
     }
 
-    /// Takes the limits of a configuration; returns those that changed.
+    /// Applies the limits of a configuration; returns those that changed.
     pub fn configure(&mut self, now_us: Micros, config: &GatewayConfig) -> Vec<LimitChange> {
         let now_us = self.advance(now_us);
         let organisations = config.organisations.iter();
@@ -204,24 +208,24 @@
         self.delegation.address = address;
     }
 
-    /// Takes the members, in the order in which they are to serve.
+    /// Replaces the members, in the order in which they are to serve.
     pub fn set_members(&mut self, now_us: Micros, members: &[Incarnation]) {
         let now_us = self.advance(now_us);
         self.directory.set_candidates(now_us, members);
     }
 
-    /// Takes how many instances there are, those that are silent included.
+    /// Sets the number of instances in this instance's view, including those that do not respond.
     pub fn set_instances(&mut self, instances: usize) {
         self.instances = u32::try_from(instances).unwrap_or(u32::MAX).max(1);
     }
 
-    /// Notes that no instance has run before this one: its view is all there is to know, and nothing is leased.
+    /// Records that no instance has run before this one: its own view is complete and no leases exist.
     pub fn mark_first_start(&mut self) {
         self.trusts_own_view = true;
         self.has_no_predecessor = true;
     }
 
-    /// Takes how many instances there were, as the store has it; 0 if it has no number, and the own view counts.
+    /// Records the stored number of instances; 0 if the store has none and the own view is to be used.
     pub fn restore_instance_count(&mut self, now_us: Micros, instances: u32) {
         let now_us = self.advance(now_us);
         if instances == 0 {
@@ -230,22 +234,22 @@
         self.record_instances(now_us, instances, now_us);
     }
 
-    /// Returns whether it is known how many instances there are.
+    /// Returns whether the number of instances is known.
     pub fn knows_instance_count(&self) -> bool {
         self.trusts_own_view || self.reported_instances.is_some()
     }
 
-    /// Returns how many instances there are by this one's own view.
+    /// Returns the number of instances in this instance's own view.
     pub fn own_instances(&self) -> u32 {
         self.instances
     }
 
-    /// Returns whether this instance leases its share yet.
+    /// Returns whether this instance leases out its share.
     pub fn is_leasing(&self) -> bool {
         self.delegation.is_leasing()
     }
 
-    /// Takes where instances are, or were, this one included; by a hash.
+    /// Adds hashes of addresses where instances run or ran, including this one's.
     pub fn add_addresses(&mut self, addresses: impl IntoIterator<Item = u32>) {
         self.addresses.extend(addresses);
     }
@@ -255,7 +259,7 @@
         self.directory.servers().first() == Some(&self.me)
     }
 
-    /// Returns by how many instances limits are divided.
+    /// Returns the number of instances by which limits are divided: the largest recent report or the own view.
     pub fn divisor(&self, now_us: Micros) -> u32 {
         let reported = self
             .recent_report(now_us)
@@ -263,7 +267,7 @@
         reported.max(self.instances)
     }
 
-    /// Does what is due by the clock.
+    /// Runs the periodic work: expiry, announcements, lease renewals and probes.
     pub fn tick(&mut self, now_us: Micros) {
         let now_us = self.advance(now_us);
         self.directory.refresh(now_us);
@@ -294,7 +298,8 @@
         self.last_leased_us.retain(|_, us| is_recent(us));
     }
 
-    /// Tells all instances that this one started: they end what the start before it leased.
+    /// Announces this instance's start to those that have not acknowledged it, so that they end its predecessor's
+    /// leases.
     fn announce_start(&mut self, now_us: Micros) {
         let last_us = self.announced_us;
         if let Some(last_us) = last_us {
@@ -322,7 +327,7 @@
         }
     }
 
-    /// Begins to lease once all that there are have met this start, or its predecessor's leases have ended.
+    /// Starts to issue leases once all instances have acknowledged this start or its predecessor's leases have expired.
     fn start_leasing_if_due(&mut self, now_us: Micros) {
         if self.delegation.is_leasing() || !self.knows_instance_count() {
             return;
@@ -341,7 +346,7 @@
         self.renew_all(now_us);
     }
 
-    /// Asks a server that is passed over whether it answers again.
+    /// Sends a lease to an excluded server to find out whether it answers again.
     fn probe(&mut self, now_us: Micros, server: Incarnation) {
         let last_leased_us = self.last_leased_us.get(&server).copied().unwrap_or(0);
         if now_us.saturating_sub(last_leased_us) < PROBE_INTERVAL_US {
@@ -351,13 +356,13 @@
         self.send(server, Message::Lease(lease));
     }
 
-    /// Returns for how long a caller may wait for an answer: a grant that comes later is not for it.
+    /// Returns how long a caller may wait for a decision: a later grant is too old for it.
     pub fn max_wait_us(&self, organisation: &str) -> Micros {
         let organisation_limit = self.limits.get(&short_hash(organisation));
         organisation_limit.map_or(0, |l| l.max_grant_age_us)
     }
 
-    /// Begins to ask for what a request uses.
+    /// Requests quota for a request: from late grants, by a cached denial, or by a query to a quota server.
     pub fn acquire(
         &mut self,
         now_us: Micros,
@@ -400,8 +405,8 @@
         }
     }
 
-    /// Asks the next account, too, for a request whose newest question should have been answered; all of them
-    /// again once all were asked. Returns whether it asked.
+    /// Queries the next account as well for a request whose newest query is overdue, and starts over once all have been
+    /// queried. Returns whether it sent a query.
     pub fn hedge(&mut self, now_us: Micros, number: u64) -> bool {
         let now_us = self.advance(now_us);
         let Some(pending) = self.pending.get_mut(&number) else {
@@ -420,7 +425,8 @@
         true
     }
 
-    /// Notes that a caller waits no longer; what is granted later is kept for others. Returns why there was nothing.
+    /// Removes a request whose caller no longer waits; a grant that arrives later is kept for other requests. Returns
+    /// the best denial so far.
     pub fn give_up(&mut self, number: u64) -> Denied {
         let pending = self.pending.remove(&number);
         pending
@@ -428,7 +434,7 @@
             .unwrap_or(unanswered_denial())
     }
 
-    /// Gives back what a request did not use.
+    /// Returns unused units to the account that granted them.
     pub fn refund(&mut self, grant: Grant) {
         let Grant {
             organisation,
@@ -447,12 +453,12 @@
                     units,
                 },
             ),
-            // It came of several grants.
+            // It is made up of several grants, whose accounts are not known any more.
             None => {}
         }
     }
 
-    /// Takes a message that came from an address.
+    /// Handles a message from the process `from` at the address with the hash `from_address`.
     pub fn receive(
         &mut self,
         now_us: Micros,
@@ -516,7 +522,7 @@
                     self.send(from, ack);
                 }
                 self.addresses.insert(from_address);
-                // It has just started: what it was told before that is lost.
+                // The sender has just started, so announcements sent to it before were lost.
                 let has_acknowledged = self.acknowledged_by.contains(&from_address);
                 if !has_acknowledged && !self.delegation.is_leasing() {
                     self.announce_start_to(from_address);
@@ -561,17 +567,18 @@
         }
     }
 
-    /// Returns what is to be sent.
+    /// Returns the messages to be sent since the last call.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Returns what was decided since this was asked last, by number.
+    /// Returns the decisions since the last call, with the numbers of their requests.
     pub fn take_decided(&mut self) -> Vec<(u64, Decision)> {
         std::mem::take(&mut self.decided)
     }
 
-    /// Returns the state of this instance's accounts that are scarce, `max_states` at most.
+    /// Returns the state of this instance's accounts that denied requests or are less than half full, at most
+    /// `max_states`.
     pub fn take_states(&mut self, now_us: Micros, max_states: usize) -> Vec<AccountState> {
         let now_us = self.advance(now_us);
         self.server.take_states(now_us, max_states)
@@ -597,7 +604,7 @@
         })
     }
 
-    /// Takes back what is leased to a process that has ended: nobody grants from it any more.
+    /// Ends the leases to a process that has terminated and leases the shares anew, since it can no longer grant.
     fn handle_server_end(&mut self, now_us: Micros, ended: Incarnation) {
         self.directory.record_end(now_us, ended);
         if self.delegation.end_leases_to(ended) {
@@ -605,7 +612,7 @@
         }
     }
 
-    /// Notes that an instance has met this start.
+    /// Records that an instance has acknowledged this start.
     fn record_start_ack(
         &mut self,
         now_us: Micros,
@@ -616,7 +623,7 @@
         if !self.acknowledged_by.insert(address) {
             return;
         }
-        // Before its start there was another one at its address.
+        // Before its own start, a predecessor at its address may have used the leases.
         let started_us = now_us.saturating_sub(uptime_us);
         let since_us = self.idle_since_us.filter(|_| !saw_predecessor);
         self.idle_since_us = since_us.map(|since_us| since_us.max(started_us));
@@ -641,21 +648,21 @@
         }
     }
 
-    /// Notes that somebody saw as many instances at a moment.
+    /// Records that a number of instances was observed at `seen_us`.
     fn record_instances(&mut self, now_us: Micros, instances: u32, seen_us: Micros) {
         let seen = (instances, seen_us);
         let known = self.recent_report(now_us);
         self.reported_instances = known.max(Some(seen));
     }
 
-    /// Returns the most that anybody saw within the time for which it counts.
+    /// Returns the largest reported number of instances, and when it was observed, unless the report is too old.
     fn recent_report(&self, now_us: Micros) -> Option<(u32, Micros)> {
         let is_recent = |seen_us: Micros| now_us.saturating_sub(seen_us) < INSTANCE_COUNT_TTL_US;
         self.reported_instances
             .filter(|(_, at_us)| is_recent(*at_us))
     }
 
-    /// Returns how many instances others are told that there are.
+    /// Returns the number of instances that is sent to others.
     fn count(&self, now_us: Micros) -> InstanceCount {
         let own = Some((self.instances, now_us));
         let known = self
@@ -712,7 +719,7 @@
         let Some(organisation_limit) = self.limits.get(&grant.organisation) else {
             return;
         };
-        // A grant counts for its server when it was made: one that comes late is no more than that.
+        // The server accounts for a grant when it makes it, so its age counts from when the query was sent.
         let until_us = sent_us + organisation_limit.max_grant_age_us;
         match self.pending.remove(&number) {
             Some(_) if now_us <= until_us => {
@@ -728,7 +735,7 @@
         }
     }
 
-    /// Marks the open questions of a request that was granted: what they bring is not needed.
+    /// Marks the unanswered queries of a request that has been granted, so that further grants are refunded.
     fn mark_redundant(&mut self, number: u64) {
         for copy in 0..COPIES {
             if let Some(query) = self.queries.get_mut(&(number, copy)) {
@@ -781,7 +788,7 @@
         self.decided.push((number, Decision::Denied(denied)));
     }
 
-    /// Asks the next account that a request has not asked.
+    /// Queries the next account that has not been queried for a request.
     fn query_next(&mut self, now_us: Micros, number: u64) {
         let Some(pending) = self.pending.get_mut(&number) else {
             return;
@@ -800,7 +807,7 @@
             is_resent: false,
             is_redundant: false,
         };
-        // The answer to the first may come yet: a grant is as old as that.
+        // The answer to the first query may still arrive, so the age of a grant counts from that one.
         let query_entry = self.queries.entry((number, copy));
         query_entry
             .and_modify(|q| q.is_resent = true)
@@ -860,7 +867,7 @@
         lease
     }
 
-    /// Asks for leases back that are with others than those who serve their partitions now.
+    /// Requests the release of leases held by servers that do not serve their partitions any more.
     fn recall_misplaced(&mut self, now_us: Micros) {
         let directory = &self.directory;
         let misplaced = self
@@ -888,7 +895,8 @@
     }
 }
 
-/// Returns the accounts in the order in which a request asks them, the first last. Instances begin with different ones.
+/// Returns the accounts in the reverse of the order in which a request queries them. Instances start with different
+/// accounts.
 fn account_order(me: Incarnation, number: u64) -> Vec<u8> {
     let first = (me.0.wrapping_add(number) % u64::from(COPIES)) as u8;
     let accounts = (0..COPIES).rev().map(|c| (first + c) % COPIES);
--- a/src/limits/quota/partition.rs
+++ b/src/limits/quota/partition.rs
@@ -1,19 +1,20 @@
-//! The parts into which organisations are divided, so that quota servers share the work.
+//! Partitions of the organisations, by which quota servers share the work.
 
 use serde::{Deserialize, Serialize};
 
-/// Accounts of an organisation, at different quota servers: the loss of one leaves the others.
+/// Number of accounts among which each organisation's limit is divided. They are on different quota servers, so that
+/// the others remain when one server is lost. `copy` is the index of an account, below this number.
 pub const COPIES: u8 = 3;
 const PARTITIONS_PER_COPY: u8 = 40;
-/// All partitions, of all copies.
+/// Number of partitions, over all copies.
 pub(super) const PARTITIONS: usize = PARTITIONS_PER_COPY as usize * COPIES as usize;
 
-/// One copy of one part of the organisations.
+/// The accounts with one index of the organisations whose hashes fall into one part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Partition(u8);
 
 impl Partition {
-    /// Returns the partition of a copy of an organisation's account.
+    /// Returns the partition of the account `copy` of an organisation.
     pub fn of(organisation: u32, copy: u8) -> Self {
         let part = (organisation % u32::from(PARTITIONS_PER_COPY)) as u8;
         Self(copy % COPIES * PARTITIONS_PER_COPY + part)
@@ -24,12 +25,12 @@
         (0..PARTITIONS as u8).map(Self)
     }
 
-    /// Returns the same part's partition of another copy.
+    /// Returns the partition of the same organisations with another account index.
     pub(super) fn with_copy(self, copy: u8) -> Self {
         Self(copy * PARTITIONS_PER_COPY + self.0 % PARTITIONS_PER_COPY)
     }
 
-    /// Returns which copy it is of.
+    /// Returns the account index of this partition.
     pub(super) fn copy(self) -> u8 {
         self.0 / PARTITIONS_PER_COPY
     }
@@ -44,22 +45,22 @@
 pub struct PartitionSet(u128);
 
 impl PartitionSet {
-    /// Adds a partition.
+    /// Adds a partition to the set.
     pub fn insert(&mut self, partition: Partition) {
         self.0 |= 1 << partition.0;
     }
 
-    /// Returns whether a partition is in it.
+    /// Returns whether the set contains a partition.
     pub fn contains(self, partition: Partition) -> bool {
         self.0 & (1 << partition.0) != 0
     }
 
-    /// Returns whether none is in it.
+    /// Returns whether the set is empty.
     pub fn is_empty(self) -> bool {
         self.0 == 0
     }
 
-    /// Returns its partitions.
+    /// Returns the partitions of the set.
     pub fn iter(self) -> impl Iterator<Item = Partition> {
         Partition::all().filter(move |partition| self.contains(*partition))
     }
--- a/src/limits/quota/server.rs
+++ b/src/limits/quota/server.rs
@@ -1,4 +1,4 @@
-//! Grants quota from the shares that instances lease.
+//! The quota server: grants quota from the shares that instances lease to it.
 
 use std::collections::HashMap;
 
@@ -13,27 +13,27 @@
     prelude::{Incarnation, Micros, Name, Rank, short_hash},
 };
 
-/// A lessor that was silent for this long is forgotten.
+/// A lessor that has sent nothing for this long is removed.
 const LESSOR_RETENTION_US: Micros = 60_000_000;
 
 /// The state of an account, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AccountState {
-    /// The organisation.
+    /// The organisation's name.
     pub organisation: Name,
-    /// Which of its accounts.
+    /// Index of the account among those of the organisation.
     pub copy: u8,
-    /// The limit in force here.
+    /// The limit in force at this server.
     pub limit: UseLimit,
-    /// Units left; below nothing what is owed.
+    /// Units left; negative if the account is in debt.
     pub level: i64,
-    /// The share of the limit that is leased to this server: 1 is all of it.
+    /// Fraction of the limit that is leased to this server, at most 1.
     pub share: f64,
-    /// How many instances lease theirs.
+    /// Number of instances that lease their shares to it.
     pub lessors: usize,
     /// Units granted since the account was opened.
     pub granted: u64,
-    /// Requests denied since the state was shown last.
+    /// Requests denied since the state was last reported.
     pub denied: u64,
 }
 
@@ -43,22 +43,22 @@
     last_seen_us: Micros,
 }
 
-/// Who sent a message, among the starts at its address.
+/// How the sender of a message relates to the incarnations known at its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StartStatus {
-    /// A start that has a successor: the message is late.
+    /// It has been replaced by a later one: the message is late.
     Superseded,
-    /// The one that runs there.
+    /// It is the one that runs there.
     Current,
-    /// The successor of this one.
+    /// It is new and replaces this one.
     Replaces(Incarnation),
 }
 
-/// Who runs at an address, and who does no more.
+/// The current and the ended incarnations at each address.
 #[derive(Debug, Default)]
 struct Incarnations {
     current: HashMap<u32, Incarnation>,
-    /// The start before.
+    /// The incarnation before the current one, by address.
     predecessors: HashMap<u32, Incarnation>,
     ended_us: HashMap<Incarnation, Micros>,
 }
@@ -71,7 +71,7 @@
     incarnations: Incarnations,
     names: HashMap<u32, Name>,
     accounts: HashMap<(u32, u8), Account>,
-    /// The accounts of each partition.
+    /// Keys of `accounts`, by partition.
     accounts_by_partition: Vec<Vec<(u32, u8)>>,
 }
 
@@ -88,12 +88,12 @@
         }
     }
 
-    /// Replaces the tolerance; it counts from the next configuration on.
+    /// Replaces the tolerance, which takes effect with the next configuration.
     pub(super) fn set_tolerance(&mut self, tolerance: Tolerance) {
         self.tolerance = tolerance;
     }
 
-    /// Takes the limits of a configuration.
+    /// Applies the limits of a configuration.
     pub(super) fn configure(&mut self, now_us: Micros, limits: &[(Name, UseLimit)]) {
         self.names.clear();
         for (name, limit) in limits {
@@ -123,13 +123,13 @@
             .or_insert_with(|| Account::open(limit, tolerance, shares));
     }
 
-    /// Returns whether an earlier start than `lessor` was met at an address.
+    /// Returns whether an earlier incarnation than `lessor` is known at an address.
     pub(super) fn saw_predecessor(&self, address: u32, lessor: Incarnation) -> bool {
         let ended = self.incarnations.predecessors.get(&address);
         ended.is_some_and(|ended| *ended != lessor)
     }
 
-    /// Notes who runs at an address; what an earlier start at it leased ends.
+    /// Records the incarnation that runs at an address; the leases of an earlier one end.
     pub(super) fn record_start(
         &mut self,
         now_us: Micros,
@@ -154,7 +154,7 @@
         StartStatus::Replaces(ended)
     }
 
-    /// Takes a lease of `lessor`, which runs from the moment at which this server's stamp was made.
+    /// Applies a lease of `lessor`, which runs from the timestamp of this server that the lessor sent back.
     pub(super) fn lease(&mut self, now_us: Micros, lessor: Incarnation, lease: &Lease) {
         if !self.accept_seq(now_us, lessor, lease.seq) || lease.stamp_us == 0 {
             return;
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Ends leases before their time; false if a newer lease has overtaken the question.
+    /// Ends leases before they expire; false if a newer lease arrived before the request.
     pub(super) fn release(
         &mut self,
         now_us: Micros,
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Forgets lessors that are long silent.
+    /// Removes lessors and ended incarnations after the retention time.
     pub(super) fn expire(&mut self, now_us: Micros) {
         let is_kept = |l: &Lessor| now_us.saturating_sub(l.last_seen_us) < LESSOR_RETENTION_US;
         self.lessors.retain(|_, lessor| is_kept(lessor));
@@ -230,7 +230,8 @@
             .retain(|_, ended| is_known(ended));
     }
 
-    /// Returns the state of the accounts that denied requests or are half empty, `max_states` at most.
+    /// Returns the state of accounts that denied requests or are less than half full, at most `max_states`, those with
+    /// the most denials first.
     pub(super) fn take_states(&mut self, now_us: Micros, max_states: usize) -> Vec<AccountState> {
         let keys: Vec<(u32, u8)> = self.accounts.keys().copied().collect();
         let mut states: Vec<AccountState> = keys
@@ -281,7 +282,7 @@
         }
     }
 
-    /// Cuts the accounts of a partition to the shares that are left.
+    /// Fills the accounts of a partition and clips them to the shares that are left.
     fn clip_accounts(&mut self, partition: Partition) {
         let shares = &self.shares[partition.index()];
         for key in &self.accounts_by_partition[partition.index()] {
--- a/src/limits/quota/shares.rs
+++ b/src/limits/quota/shares.rs
@@ -1,4 +1,4 @@
-//! The shares of one partition that are leased to a quota server.
+//! The shares that instances have leased to a quota server in one partition.
 
 use std::collections::HashMap;
 
@@ -10,37 +10,37 @@
     until_us: Micros,
 }
 
-/// Who leases what, and how much has come of it.
+/// The leased shares by lessor, and their total accumulated over time.
 #[derive(Debug, Default)]
 pub(super) struct Shares {
     by_lessor: HashMap<Incarnation, ShareLease>,
-    /// The sum of all shares leased.
+    /// Sum of all leased shares.
     sum: f64,
-    /// The total over time, in seconds of a whole limit.
+    /// Integral of the total over time, in seconds of the full limit rate.
     accrued_s: f64,
     advanced_to_us: Micros,
-    /// No lease ends before this.
+    /// No lease expires before this time.
     earliest_expiry_us: Micros,
 }
 
 impl Shares {
-    /// Returns the share of a limit that is leased: 1 if all instances lease theirs.
+    /// Returns the fraction of a limit that is leased: 1 if all instances lease their shares.
     pub(super) fn total(&self) -> f64 {
-        // Lessors that believe in different numbers of instances may lease more than all.
+        // Lessors that count different numbers of instances may lease more than the whole in sum.
         self.sum.clamp(0.0, 1.0)
     }
 
-    /// Returns the total over time since the start, in seconds of a whole limit.
+    /// Returns the integral of the total since the start, in seconds of the full limit rate.
     pub(super) fn accrued_s(&self) -> f64 {
         self.accrued_s
     }
 
-    /// Returns how many lease their share.
+    /// Returns the number of instances that lease their shares.
     pub(super) fn lessors(&self) -> usize {
         self.by_lessor.len()
     }
 
-    /// Goes on to `now_us`; true if leases ended.
+    /// Advances to `now_us` and ends expired leases; returns whether there were any.
     pub(super) fn advance(&mut self, now_us: Micros) -> bool {
         let mut has_ended = false;
         while self.earliest_expiry_us <= now_us && !self.by_lessor.is_empty() {
@@ -56,7 +56,7 @@
         has_ended
     }
 
-    /// Takes a lease; call [`Self::advance`] before. True if the total fell.
+    /// Adds or renews a lease, after [`Self::advance`] has been called; returns whether the total fell.
     pub(super) fn lease(&mut self, lessor: Incarnation, share: f64, until_us: Micros) -> bool {
         if until_us <= self.advanced_to_us {
             return false;
@@ -64,7 +64,7 @@
         let before = self.total();
         let leased = ShareLease { share, until_us };
         let replaced = self.by_lessor.insert(lessor, leased);
-        // What a sum gains by rounding goes when leases end.
+        // Rounding errors of the running sum are removed when it is recomputed as leases end.
         self.sum += share - replaced.map_or(0.0, |old| old.share);
         self.earliest_expiry_us = match self.by_lessor.len() {
             1 => until_us,
@@ -73,12 +73,12 @@
         self.total() < before
     }
 
-    /// Adds what came of a share while nobody used it.
+    /// Credits what a share accrued while it was not used.
     pub(super) fn add_idle(&mut self, share: f64, idle_us: Micros) {
         self.accrued_s += share * idle_us as f64 / 1e6;
     }
 
-    /// Ends a lease before its time; true if there was one.
+    /// Ends a lease before it expires; returns whether there was one.
     pub(super) fn release(&mut self, lessor: Incarnation) -> bool {
         let was_leased = self.by_lessor.remove(&lessor).is_some();
         if was_leased {
