--- a/src/limits/quota/node.rs
+++ b/src/limits/quota/node.rs
@@ -186,7 +186,7 @@
             .filter_map(|o| Some((o.name.clone(), o.limit?)))
             .collect();
         self.server.configure(now_us, &limits);
-        let organisation_limit = limits.into_iter().map(|(name, limit)| {
+        let limits_by_hash = limits.into_iter().map(|(name, limit)| {
             let max_grant_age_us = Bounds::new(&limit, &self.tolerance).max_grant_age_us;
             let organisation_limit = OrganisationLimit {
                 name: name.clone(),
@@ -195,7 +195,7 @@
             };
             (short_hash(&name), organisation_limit)
         });
-        let before = std::mem::replace(&mut self.limits, organisation_limit.collect());
+        let before = std::mem::replace(&mut self.limits, limits_by_hash.collect());
         let limits = &self.limits;
         self.client.retain(|o| limits.contains_key(&o));
         limit_changes(&before, limits)
@@ -259,7 +259,8 @@
         self.directory.servers().first() == Some(&self.me)
     }
 
-    /// Returns the number of instances by which limits are divided: the largest recent report or the own view.
+    /// Returns the number of instances by which limits are divided: the larger of the recent reports and
+    /// the own view.
     pub fn divisor(&self, now_us: Micros) -> u32 {
         let reported = self
             .recent_report(now_us)
--- a/tests/gateway/quota_fleet.rs
+++ b/tests/gateway/quota_fleet.rs
@@ -1,4 +1,4 @@
-//! The instances of a modelled group.
+//! A fleet of quota nodes with simulated network and membership views.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -8,92 +8,93 @@
 };
 
 use crate::{
-    quota_model::{Case, RATE, TOLERANCE, delay_us, is_paused, part_of},
+    quota_model::{RATE, Scenario, TOLERANCE, component_of, delay_us, is_paused},
     support::{MS, SECOND, config, limited},
 };
 
 const TICK_US: u64 = 100 * MS;
-/// Views of the membership are as old as this.
-const VIEW_US: u64 = 2 * SECOND;
-/// A process that has just started knows the seeds only.
+/// Age of the membership views that instances get.
+const VIEW_DELAY_US: u64 = 2 * SECOND;
+/// Number of seed instances, the only ones that a process knows just after its start.
 const SEEDS: usize = 3;
 
-/// What a model drives.
+/// A group of instances that the simulation drives.
 pub trait Fleet {
     /// Starts all instances at 0.
-    fn start(case: &Case) -> Self;
-    /// Goes on to a moment.
-    fn advance(&mut self, case: &Case, now_us: u64);
-    /// A request comes to an instance.
+    fn start(scenario: &Scenario) -> Self;
+    /// Advances to `now_us`.
+    fn advance(&mut self, scenario: &Scenario, now_us: u64);
+    /// Sends a request to an instance.
     fn request(&mut self, now_us: u64, instance: usize, tokens: u32);
-    /// An instance is killed and starts again.
-    fn kill(&mut self, now_us: u64, instance: usize, down_us: u64);
-    /// The limit changes at all instances; 0 takes it away.
-    fn set_limit(&mut self, now_us: u64, times: f64);
-    /// Returns the tokens of the requests that were let in since this was asked last.
+    /// Kills an instance and restarts it after `downtime_us`.
+    fn kill(&mut self, now_us: u64, instance: usize, downtime_us: u64);
+    /// Changes the limit at all instances to `factor` times the initial one; 0 removes it.
+    fn set_limit(&mut self, now_us: u64, factor: f64);
+    /// Returns the tokens of the requests granted since the last call.
     fn take_granted(&mut self) -> Vec<u32>;
 }
 
 struct InFlight {
     from: usize,
     sender: Incarnation,
-    /// A datagram reaches whoever has the address when it comes.
+    /// A datagram reaches the process that has the address when it arrives.
     to: usize,
     message: Message,
 }
 
-struct Asked {
+struct PendingRequest {
     number: u64,
     tokens: u32,
-    asked_us: u64,
+    sent_us: u64,
 }
 
 struct Instance {
     node: Node,
     incarnation: Incarnation,
     started_us: u64,
-    asked: Vec<Asked>,
-    /// Those that it ever saw.
+    pending: Vec<PendingRequest>,
+    /// Instances that have ever been in its view.
     seen: HashSet<usize>,
 }
 
-/// Instances that lease their shares to quota servers among them.
-pub struct Leasing {
+/// Instances that run the quota protocol: they lease their shares to quota servers among themselves.
+pub struct LeasingFleet {
     instances: Vec<Instance>,
-    by_start: HashMap<Incarnation, usize>,
-    /// By the time at which they come, and a number.
+    by_incarnation: HashMap<Incarnation, usize>,
+    /// Keyed by arrival time and a sequence number.
     in_flight: BTreeMap<(u64, u64), InFlight>,
     sent: u64,
-    times: f64,
+    factor: f64,
     version: u64,
     granted: Vec<u32>,
     ticked_us: u64,
-    /// The parts of the group, and who runs and has met the others, when views were worked out last.
-    viewed: Vec<(usize, bool, bool)>,
+    /// When views were last computed: each instance's part of the group, whether it ran, and whether it knew more than
+    /// the seeds.
+    last_views: Vec<(usize, bool, bool)>,
 }
 
-impl Leasing {
-    fn instance(&mut self, started_us: u64, place: usize) -> Instance {
-        // Spread, as drawn starts are.
-        let start = (self.by_start.len() as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let incarnation = Incarnation(start);
-        self.by_start.insert(incarnation, place);
+impl LeasingFleet {
+    fn instance(&mut self, started_us: u64, index: usize) -> Instance {
+        // Spread over the whole range, as randomly drawn incarnations are.
+        let id = (self.by_incarnation.len() as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let incarnation = Incarnation(id);
+        self.by_incarnation.insert(incarnation, index);
         let mut node = Node::new(started_us, incarnation, TOLERANCE);
-        node.join(incarnation, place as u32);
-        configure(&mut node, started_us, self.version, self.times);
+        node.join(incarnation, index as u32);
+        configure(&mut node, started_us, self.version, self.factor);
         Instance {
             node,
             incarnation,
             started_us,
-            asked: Vec::new(),
+            pending: Vec::new(),
             seen: HashSet::new(),
         }
     }
 
-    fn tick(&mut self, case: &Case, now_us: u64) {
-        let seen_us = now_us.saturating_sub(VIEW_US);
-        let parts: Vec<usize> = (0..case.instances)
-            .map(|i| part_of(case, seen_us, i))
+    fn tick(&mut self, scenario: &Scenario, now_us: u64) {
+        let seen_us = now_us.saturating_sub(VIEW_DELAY_US);
+        let parts: Vec<usize> = (0..scenario.instances)
+            .map(|i| component_of(scenario, seen_us, i))
             .collect();
         let members: Vec<(Incarnation, u64)> = self
             .instances
@@ -101,54 +102,54 @@
             .map(|i| (i.incarnation, i.started_us))
             .collect();
         let states = parts.iter().zip(&members).map(|(part, (_, started_us))| {
-            let has_met = now_us > started_us + SECOND;
-            (*part, *started_us <= now_us, has_met)
+            let knows_all = now_us > started_us + SECOND;
+            (*part, *started_us <= now_us, knows_all)
         });
-        let viewed: Vec<(usize, bool, bool)> = states.collect();
-        if viewed == self.viewed {
+        let views: Vec<(usize, bool, bool)> = states.collect();
+        if views == self.last_views {
             let running = self.instances.iter_mut().filter(|i| i.started_us <= now_us);
             running.for_each(|instance| instance.node.tick(now_us));
             return;
         }
-        self.viewed = viewed;
-        for (place, instance) in self.instances.iter_mut().enumerate() {
+        self.last_views = views;
+        for (index, instance) in self.instances.iter_mut().enumerate() {
             if instance.started_us > now_us {
                 continue;
             }
-            let has_met = now_us > instance.started_us + SECOND;
+            let knows_all = now_us > instance.started_us + SECOND;
             let seen = members
                 .iter()
                 .enumerate()
                 .filter(|(other, (_, started_us))| {
-                    let is_near = parts[*other] == parts[place] && *started_us <= now_us;
-                    *other == place || (is_near && (has_met || *other < SEEDS))
+                    let is_reachable = parts[*other] == parts[index] && *started_us <= now_us;
+                    *other == index || (is_reachable && (knows_all || *other < SEEDS))
                 });
             let seen: Vec<(usize, Incarnation)> = seen.map(|(n, (i, _))| (n, *i)).collect();
             instance.seen.extend(seen.iter().map(|(n, _)| *n));
             let mut members: Vec<Incarnation> = seen.into_iter().map(|(_, i)| i).collect();
-            // Any order that all agree on.
+            // Any order that is the same on all instances.
             members.sort_unstable();
             instance.node.set_members(now_us, &members);
-            let met = instance.seen.iter().map(|n| *n as u32);
-            instance.node.add_addresses(met);
+            let addresses = instance.seen.iter().map(|n| *n as u32);
+            instance.node.add_addresses(addresses);
             instance.node.set_instances(instance.seen.len());
-            if has_met && !instance.node.knows_instance_count() {
-                // From the store.
+            if knows_all && !instance.node.knows_instance_count() {
+                // Stands for the number read from the store.
                 instance
                     .node
-                    .restore_instance_count(now_us, case.instances as u32);
+                    .restore_instance_count(now_us, scenario.instances as u32);
             }
             instance.node.tick(now_us);
         }
     }
 
-    /// Puts on its way what instances send, and notes what was decided.
-    fn collect(&mut self, case: &Case, now_us: u64) {
-        let at_us = now_us + delay_us(case, now_us);
+    /// Puts outgoing messages in flight and applies decisions to pending requests.
+    fn collect(&mut self, scenario: &Scenario, now_us: u64) {
+        let at_us = now_us + delay_us(scenario, now_us);
         for (from, instance) in self.instances.iter_mut().enumerate() {
             for outgoing in instance.node.take_outgoing() {
                 let to = match outgoing.to {
-                    Recipient::Incarnation(start) => self.by_start[&start],
+                    Recipient::Incarnation(incarnation) => self.by_incarnation[&incarnation],
                     Recipient::Address(address) => address as usize,
                 };
                 self.sent += 1;
@@ -164,10 +165,10 @@
                 instance.node.take_decided().into_iter().collect();
             let granted = &mut self.granted;
             instance
-                .asked
-                .retain(|asked| match decided.get(&asked.number) {
+                .pending
+                .retain(|pending| match decided.get(&pending.number) {
                     Some(Decision::Granted(_)) => {
-                        granted.push(asked.tokens);
+                        granted.push(pending.tokens);
                         false
                     }
                     Some(Decision::Denied(_)) => false,
@@ -176,16 +177,17 @@
         }
     }
 
-    fn deliver(&mut self, case: &Case, now_us: u64) {
+    fn deliver(&mut self, scenario: &Scenario, now_us: u64) {
         while let Some(first) = self.in_flight.first_entry() {
             if first.key().0 > now_us {
                 return;
             }
             let message = first.remove();
             let (from, to) = (message.from, message.to);
-            let is_cut = part_of(case, now_us, to) != part_of(case, now_us, from);
+            let is_separated =
+                component_of(scenario, now_us, to) != component_of(scenario, now_us, from);
             let instance = &mut self.instances[to];
-            if !is_cut && instance.started_us <= now_us {
+            if !is_separated && instance.started_us <= now_us {
                 let sender = message.sender;
                 instance
                     .node
@@ -194,15 +196,15 @@
         }
     }
 
-    fn wait(&mut self, now_us: u64) {
+    fn expire_requests(&mut self, now_us: u64) {
         for instance in &mut self.instances {
             let node = &mut instance.node;
-            let patience_us = node.max_wait_us("org");
-            instance.asked.retain(|asked| {
-                node.hedge(now_us, asked.number);
-                let has_time = now_us - asked.asked_us < patience_us;
+            let max_wait_us = node.max_wait_us("org");
+            instance.pending.retain(|pending| {
+                node.hedge(now_us, pending.number);
+                let has_time = now_us - pending.sent_us < max_wait_us;
                 if !has_time {
-                    node.give_up(asked.number);
+                    node.give_up(pending.number);
                 }
                 has_time
             });
@@ -210,47 +212,47 @@
     }
 }
 
-fn configure(node: &mut Node, now_us: u64, version: u64, times: f64) {
-    let rate = RATE * times;
-    let organisations = match times > 0.0 {
+fn configure(node: &mut Node, now_us: u64, version: u64, factor: f64) {
+    let rate = RATE * factor;
+    let organisations = match factor > 0.0 {
         true => vec![limited("org", rate, rate)],
         false => Vec::new(),
     };
     node.configure(now_us, &config(version, vec![], organisations));
 }
 
-impl Fleet for Leasing {
-    fn start(case: &Case) -> Self {
+impl Fleet for LeasingFleet {
+    fn start(scenario: &Scenario) -> Self {
         let mut fleet = Self {
             instances: Vec::new(),
-            by_start: HashMap::new(),
+            by_incarnation: HashMap::new(),
             in_flight: BTreeMap::new(),
             sent: 0,
-            times: 1.0,
+            factor: 1.0,
             version: 1,
             granted: Vec::new(),
             ticked_us: 0,
-            viewed: Vec::new(),
+            last_views: Vec::new(),
         };
-        for place in 0..case.instances {
-            let mut instance = fleet.instance(0, place);
+        for index in 0..scenario.instances {
+            let mut instance = fleet.instance(0, index);
             instance.node.mark_first_start();
             fleet.instances.push(instance);
         }
         fleet
     }
 
-    fn advance(&mut self, case: &Case, now_us: u64) {
-        if is_paused(case, now_us) {
+    fn advance(&mut self, scenario: &Scenario, now_us: u64) {
+        if is_paused(scenario, now_us) {
             return;
         }
-        self.deliver(case, now_us);
-        self.wait(now_us);
+        self.deliver(scenario, now_us);
+        self.expire_requests(now_us);
         if now_us >= self.ticked_us + TICK_US {
             self.ticked_us = now_us;
-            self.tick(case, now_us);
+            self.tick(scenario, now_us);
         }
-        self.collect(case, now_us);
+        self.collect(scenario, now_us);
     }
 
     fn request(&mut self, now_us: u64, instance: usize, tokens: u32) {
@@ -263,24 +265,24 @@
                 self.granted.push(tokens)
             }
             Acquisition::Decided(Decision::Denied(_)) => {}
-            Acquisition::Pending(number) => instance.asked.push(Asked {
+            Acquisition::Pending(number) => instance.pending.push(PendingRequest {
                 number,
                 tokens,
-                asked_us: now_us,
+                sent_us: now_us,
             }),
         }
     }
 
-    fn kill(&mut self, now_us: u64, instance: usize, down_us: u64) {
-        self.instances[instance] = self.instance(now_us + down_us, instance);
-        self.viewed.clear();
+    fn kill(&mut self, now_us: u64, instance: usize, downtime_us: u64) {
+        self.instances[instance] = self.instance(now_us + downtime_us, instance);
+        self.last_views.clear();
     }
 
-    fn set_limit(&mut self, now_us: u64, times: f64) {
-        self.times = times;
+    fn set_limit(&mut self, now_us: u64, factor: f64) {
+        self.factor = factor;
         self.version += 1;
         for instance in &mut self.instances {
-            configure(&mut instance.node, now_us, self.version, times);
+            configure(&mut instance.node, now_us, self.version, factor);
         }
     }
 
