--- a/src/gateway/quota.rs
+++ b/src/gateway/quota.rs
@@ -18,7 +18,7 @@
         state::Gateway,
     },
     limits::quota::{
-        AccountState, Begun, Decision, Denied, Grant, LimitChange, Message, Node, Outgoing,
+        AccountState, Acquisition, Decision, Denied, Grant, LimitChange, Message, Node, Outgoing,
         Recipient, Tolerance,
     },
     peers::view::{Member, View},
@@ -126,7 +126,7 @@
     /// Returns whether this instance still has to introduce itself to the others before it leases its share.
     pub fn is_bootstrapping(&self) -> bool {
         let mut state = self.lock();
-        let is_leasing = state.node.has_begun();
+        let is_leasing = state.node.is_leasing();
         if is_leasing {
             state.unknown_senders.clear();
         }
@@ -139,23 +139,23 @@
         let hashed: Vec<(u32, IpAddr)> = addresses.map(|ip| (address_hash(ip), ip)).collect();
         state
             .node
-            .set_addresses(hashed.iter().map(|(hash, _)| *hash));
+            .add_addresses(hashed.iter().map(|(hash, _)| *hash));
         state.addresses.extend(hashed);
     }
 
     /// Records that no instance of the deployment has run before this one.
     pub fn mark_first_start(&self) {
-        self.lock().node.first_start();
+        self.lock().node.mark_first_start();
     }
 
     /// Restores the instance count that the store holds; 0 if it holds none.
     pub fn restore_instance_count(&self, now_us: Micros, instances: u32) {
-        self.lock().node.remember_instances(now_us, instances);
+        self.lock().node.restore_instance_count(now_us, instances);
     }
 
     /// Returns whether the instance count is known.
     pub fn knows_instance_count(&self) -> bool {
-        self.lock().node.knows_instances()
+        self.lock().node.knows_instance_count()
     }
 
     /// Returns the instance count by this instance's own view.
@@ -165,7 +165,7 @@
 
     /// Returns whether this instance is the first of the quota servers.
     pub fn is_first_server(&self) -> bool {
-        self.lock().node.serves_first()
+        self.lock().node.is_first_server()
     }
 
     /// Returns the number of instances by which limits are divided.
@@ -192,7 +192,7 @@
             // A caller that has just left is cleaned up when its `Waiting` is dropped.
             let undelivered = waiting.and_then(|waiting| waiting.send(decision).err());
             if let Some(Decision::Granted(grant)) = undelivered {
-                state.node.give_back(grant);
+                state.node.refund(grant);
             }
         }
         let outgoing = state.node.take_outgoing();
@@ -202,7 +202,7 @@
         let addressed = outgoing.into_iter().filter_map(|Outgoing { to, message }| {
             let ip = match to {
                 Recipient::Address(address) => *addresses.get(&address)?,
-                Recipient::Start(incarnation) => match view.member(incarnation) {
+                Recipient::Incarnation(incarnation) => match view.member(incarnation) {
                     Some(member) => member.info.peer_addr.ip(),
                     None => *unknown_senders.get(&incarnation)?,
                 },
@@ -215,7 +215,7 @@
     /// Wakes the callers that wait until this instance leases its share, once it does.
     fn notify_if_leasing(&self, now_us: Micros) {
         let mut state = self.lock();
-        if state.is_leasing || !state.node.has_begun() {
+        if state.is_leasing || !state.node.is_leasing() {
             return;
         }
         state.is_leasing = true;
@@ -229,10 +229,10 @@
         organisation: &str,
         units: u32,
         rank: Rank,
-    ) -> Result<Begun, Waiting<'_>> {
+    ) -> Result<Acquisition, Waiting<'_>> {
         let mut state = self.lock();
-        match state.node.begin(now_us, organisation, units, rank) {
-            Begun::Asked(number) => {
+        match state.node.acquire(now_us, organisation, units, rank) {
+            Acquisition::Pending(number) => {
                 let (sender, decision) = oneshot::channel();
                 state.waiting.insert(number, sender);
                 Err(Waiting {
@@ -258,10 +258,10 @@
     rank: Rank,
     allowed_us: Micros,
 ) -> Result<Option<Grant>, Denied> {
-    let max_wait_us = gateway.quota.lock().node.patience_us(organisation);
+    let max_wait_us = gateway.quota.lock().node.max_wait_us(organisation);
     let max_wait = Duration::from_micros(max_wait_us.min(allowed_us / WAIT_DIVISOR));
     let until = time::Instant::now() + max_wait;
-    if !gateway.quota.lock().node.has_begun() {
+    if !gateway.quota.lock().node.is_leasing() {
         // When all instances have just started, no quota is leased yet, but it will be shortly.
         let leasing = gateway.quota.leasing_started.notified();
         // On a timeout the request below reports the outcome.
@@ -295,9 +295,9 @@
     let attempt = gateway.quota.try_acquire(now_us, organisation, units, rank);
     flush(gateway).await;
     match attempt {
-        Ok(Begun::Decided(Decision::Granted(grant))) => Ok(Some(grant)),
-        Ok(Begun::Decided(Decision::Denied(denied))) => Err(denied),
-        Ok(Begun::Unlimited | Begun::Asked(_)) => Ok(None),
+        Ok(Acquisition::Decided(Decision::Granted(grant))) => Ok(Some(grant)),
+        Ok(Acquisition::Decided(Decision::Denied(denied))) => Err(denied),
+        Ok(Acquisition::Unlimited | Acquisition::Pending(_)) => Ok(None),
         Err(mut waiting) => {
             gateway.metrics.quota_asked.inc();
             wait_for_decision(gateway, &mut waiting, until)
@@ -348,7 +348,7 @@
 /// Returns quota that a request acquired and did not use.
 pub(super) async fn release<P: Protocol>(gateway: &Gateway<P>, grant: Grant) {
     gateway.metrics.quota_unused.inc();
-    gateway.quota.lock().node.give_back(grant);
+    gateway.quota.lock().node.refund(grant);
     flush(gateway).await;
 }
 
--- a/src/limits/quota/account.rs
+++ b/src/limits/quota/account.rs
@@ -1,4 +1,4 @@
-//! One account of an organisation's limit: a token bucket that fills at the share of the rate that is leased.
+//! An account of an organisation's limit: a token bucket that fills at the leased share of the rate.
 
 use crate::{
     gateway::config::UseLimit,
@@ -6,72 +6,73 @@
     prelude::{Micros, Rank},
 };
 
-/// What is granted reaches an endpoint within this time, in seconds.
-const ARRIVAL_S: f64 = 0.25;
-/// The longest that a grant may be old when it is used, in seconds: round trips take as long where instances are slow.
-const MAX_CREDIT_S: f64 = 2.6;
-/// The part of what a window allows beyond the rate, and beyond what arrives late, that old grants may take.
-const CREDIT_PART: f64 = 0.5;
-/// The part that an account has at least where what arrives late takes all of it.
-const LEAST_CAPACITY_PART: f64 = 0.4;
-/// The part of an account that is debt: a request is let in while anything is left and its debt is within it, so that
-/// long requests find room beside short ones.
-const DEBT_PART: f64 = 0.4;
-/// The part of an account that is left to the more urgent, a rank.
-const RANK_RESERVE: f64 = 0.05;
-/// The least urgent rank that is told apart.
-const LEAST_URGENT: Rank = 2;
-/// Those that are denied wait longer, the more of them there are, by this part of the time that one request's
-/// units take to come.
-const QUEUE_PART: f64 = 0.25;
-/// The longest that they wait for each other.
-const MAX_QUEUE_US: f64 = 400_000.0;
-/// The least that a denied one waits.
+/// Time within which a granted request reaches its endpoint, in seconds.
+const MAX_DISPATCH_DELAY_S: f64 = 0.25;
+/// Upper bound on the age at which a grant may be used, in seconds: round trips take as long when instances are slow.
+const MAX_GRANT_AGE_S: f64 = 2.6;
+/// Fraction that old grants may use of what a window allows beyond the rate and beyond the dispatch delay.
+const GRANT_AGE_FRACTION: f64 = 0.5;
+/// Fraction of the headroom that accounts keep as capacity where the dispatch delay uses up all of it.
+const MIN_CAPACITY_FRACTION: f64 = 0.4;
+/// Fraction of an account's capacity that is for debt: a request is granted while the level is above the reserve if
+/// the debt that it leaves is within this part, so that long requests are not starved by short ones.
+const DEBT_FRACTION: f64 = 0.4;
+/// Fraction of an account's depth that each rank leaves to more urgent requests.
+const RESERVE_PER_RANK: f64 = 0.05;
+/// The highest rank (least urgent) that is distinguished.
+const MAX_RANK: Rank = 2;
+/// Denied requests wait longer the more of them there are: each one denied since the last grant adds this fraction of
+/// the time in which the units of one request accrue.
+const QUEUE_WAIT_FRACTION: f64 = 0.25;
+/// Upper bound on the wait that earlier denials add.
+const MAX_QUEUE_WAIT_US: f64 = 400_000.0;
+/// Lower bound on the wait of a denied request.
 const MIN_WAIT_US: f64 = 20_000.0;
 
-/// How far above its limit an organisation may come in a window.
+/// How far an organisation may exceed its limit in a window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
     /// Length of the window, in seconds.
     pub window_s: f64,
-    /// Share of the limit.
+    /// Allowed excess, as a fraction of the limit.
     pub overage: f64,
-    /// Units on top.
+    /// Allowed excess in units, in addition.
     pub slack: f64,
 }
 
-/// What a limit comes to, for all accounts of an organisation together.
+/// The bucket parameters of a limit, for all accounts of an organisation together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Units a second.
+    /// Refill rate, in units per second.
     pub rate_per_s: f64,
-    /// Units that may be saved.
+    /// Units that may accumulate.
     pub depth: f64,
-    /// Units that may be owed.
+    /// Units by which the level may be negative.
     pub debt: f64,
-    /// How old a grant may be when it is used.
-    pub credit_us: Micros,
+    /// Maximum age of a grant when it is used.
+    pub max_grant_age_us: Micros,
 }
 
 impl Bounds {
-    /// Works them out. What may be granted in a window, and kept from before it, and arrive late in it, is within
-    /// what the window allows.
+    /// Computes the bounds such that what is granted in a window, accumulated before it and used late in it stays
+    /// within what the window allows.
     pub fn new(limit: &UseLimit, tolerance: &Tolerance) -> Self {
         let rate_per_s = limit.rate_per_s;
         let in_window = rate_per_s * tolerance.window_s;
         let allowed = (in_window + limit.burst) * (1.0 + tolerance.overage) + tolerance.slack;
-        let room = allowed - in_window;
-        let room_in_time = (room - rate_per_s * ARRIVAL_S).max(0.0);
-        let credit_s = (room_in_time * CREDIT_PART / rate_per_s.max(1.0)).min(MAX_CREDIT_S);
-        let capacity = match room_in_time > 0.0 {
-            true => room_in_time - rate_per_s * credit_s,
-            false => room * LEAST_CAPACITY_PART,
+        let headroom = allowed - in_window;
+        let timely_headroom = (headroom - rate_per_s * MAX_DISPATCH_DELAY_S).max(0.0);
+        let max_grant_age_s =
+            (timely_headroom * GRANT_AGE_FRACTION / rate_per_s.max(1.0)).min(MAX_GRANT_AGE_S);
+        let capacity = match timely_headroom > 0.0 {
+            true => timely_headroom - rate_per_s * max_grant_age_s,
+            false => headroom * MIN_CAPACITY_FRACTION,
         };
         Self {
             rate_per_s,
-            depth: capacity * (1.0 - DEBT_PART),
-            debt: capacity * DEBT_PART,
-            credit_us: (credit_s * 1e6) as Micros,
+            depth: capacity * (1.0 - DEBT_FRACTION),
+            debt: capacity * DEBT_FRACTION,
+            max_grant_age_us: (max_grant_age_s * 1e6) as Micros,
         }
     }
 }
@@ -81,39 +82,39 @@
     pub(super) bounds: Bounds,
     pub(super) limit: UseLimit,
     pub(super) level: f64,
-    /// [`Shares::accrued_s`] up to which it is filled.
+    /// [`Shares::accrued_s`] when the account was last filled.
     filled_s: f64,
-    /// Requests denied since one was granted.
-    queue: f64,
+    /// Number of requests denied since the last grant.
+    denied_since_grant: f64,
     /// Units granted since the account was opened.
     pub(super) granted: u64,
-    /// Requests denied since the state was shown last.
+    /// Requests denied since the state was last reported.
     pub(super) denied: u64,
 }
 
 impl Account {
-    /// Opens an account with nothing in it: what was used before is not known.
+    /// Opens an empty account: earlier use is not known.
     pub(super) fn open(limit: UseLimit, tolerance: &Tolerance, shares: &Shares) -> Self {
         Self {
             bounds: Bounds::new(&limit, tolerance),
             limit,
             level: 0.0,
             filled_s: shares.accrued_s(),
-            queue: 0.0,
+            denied_since_grant: 0.0,
             granted: 0,
             denied: 0,
         }
     }
 
-    /// Takes another limit. What is left stays left, as far as the new limit lets it.
-    pub(super) fn change(&mut self, limit: UseLimit, tolerance: &Tolerance, shares: &Shares) {
+    /// Applies another limit and keeps the level, clipped to the new depth.
+    pub(super) fn update_limit(&mut self, limit: UseLimit, tolerance: &Tolerance, shares: &Shares) {
         self.fill(shares);
         self.limit = limit;
         self.bounds = Bounds::new(&limit, tolerance);
         self.clip(shares);
     }
 
-    /// Adds what came of the leased shares since it was filled last.
+    /// Adds what the leased shares accrued since the account was last filled.
     pub(super) fn fill(&mut self, shares: &Shares) {
         let gained_s = shares.accrued_s() - self.filled_s;
         self.filled_s = shares.accrued_s();
@@ -121,53 +122,54 @@
         self.clip(shares);
     }
 
-    /// Cuts off what the shares leased now do not cover.
+    /// Clips the level to the depth that the currently leased shares cover.
     pub(super) fn clip(&mut self, shares: &Shares) {
-        self.level = self.level.min(self.bounds.depth * part(shares));
+        self.level = self.level.min(self.bounds.depth * account_share(shares));
     }
 
     pub(super) fn grant(&mut self, units: u32, rank: Rank, shares: &Shares) -> Verdict {
         self.fill(shares);
-        let part = part(shares);
-        if part <= 0.0 {
+        let account_share = account_share(shares);
+        if account_share <= 0.0 {
             return Verdict::Unleased;
         }
-        let reserve = self.bounds.depth * part * RANK_RESERVE * f64::from(rank.min(LEAST_URGENT));
-        let needed = f64::from(units) - self.bounds.debt * part;
+        let reserve =
+            self.bounds.depth * account_share * RESERVE_PER_RANK * f64::from(rank.min(MAX_RANK));
+        let needed = f64::from(units) - self.bounds.debt * account_share;
         if self.level > reserve && self.level >= needed {
             self.level -= f64::from(units);
             self.granted += u64::from(units);
-            self.queue = 0.0;
+            self.denied_since_grant = 0.0;
             return Verdict::Granted;
         }
         self.denied += 1;
-        // One more than is there at the moment when it is due.
+        // One unit more, as the level has to exceed the reserve at the retry.
         let missing = reserve.max(needed) - self.level + 1.0;
         Verdict::Denied {
-            wait_us: self.wait_us(missing, units, part),
+            wait_us: self.wait_us(missing, units, account_share),
             level: self.level as i64,
         }
     }
 
-    /// Takes back what was not used.
-    pub(super) fn give_back(&mut self, units: u32, shares: &Shares) {
+    /// Returns unused units to the account.
+    pub(super) fn refund(&mut self, units: u32, shares: &Shares) {
         self.level += f64::from(units);
         self.granted = self.granted.saturating_sub(u64::from(units));
         self.clip(shares);
     }
 
-    fn wait_us(&mut self, missing: f64, units: u32, part: f64) -> Micros {
-        let rate_per_us = self.bounds.rate_per_s * part / 1e6;
-        let each_us = f64::from(units) / rate_per_us * QUEUE_PART;
-        let queue_us = (self.queue * each_us).min(MAX_QUEUE_US);
-        self.queue += 1.0;
-        let due_us = (missing / rate_per_us).max(MIN_WAIT_US);
-        // A cast keeps to the bounds of the type.
-        (due_us + queue_us) as Micros
+    fn wait_us(&mut self, missing: f64, units: u32, account_share: f64) -> Micros {
+        let rate_per_us = self.bounds.rate_per_s * account_share / 1e6;
+        let per_request_us = f64::from(units) / rate_per_us * QUEUE_WAIT_FRACTION;
+        let queue_wait_us = (self.denied_since_grant * per_request_us).min(MAX_QUEUE_WAIT_US);
+        self.denied_since_grant += 1.0;
+        let refill_us = (missing / rate_per_us).max(MIN_WAIT_US);
+        // The cast saturates.
+        (refill_us + queue_wait_us) as Micros
     }
 }
 
-/// Returns the part of an organisation's limit that one account has.
-fn part(shares: &Shares) -> f64 {
+/// Returns the fraction of an organisation's limit that is available to one account.
+fn account_share(shares: &Shares) -> f64 {
     shares.total() / f64::from(COPIES)
 }
--- a/src/limits/quota/client.rs
+++ b/src/limits/quota/client.rs
@@ -1,55 +1,55 @@
-//! What an instance was granted and denied.
+//! The client side of quota: grants, denials and their caches.
 
 use std::collections::HashMap;
 
 use crate::prelude::{Incarnation, Micros, Rank};
 
-/// The least urgent rank that is told apart.
+/// Number of ranks that are distinguished; less urgent ones count as the last.
 const RANKS: usize = 3;
 
 /// Quota for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The organisation, by its hash.
+    /// Hash of the organisation's name.
     pub organisation: u32,
-    /// How much.
+    /// Units granted.
     pub units: u32,
-    /// Where it came from, if it came whole from one account.
+    /// The server and account index that granted it; none if it is made up of several grants.
     pub from: Option<(Incarnation, u8)>,
 }
 
-/// Why there is no quota for a request.
+/// The reason why a request got no quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Denied {
-    /// When there will be some.
+    /// Time until a retry may succeed.
     pub wait_us: Micros,
-    /// Units left where it was asked, the most of them; none if nobody answered.
+    /// Units left in the account that answered with the shortest wait; none if there was no such answer.
     pub level: Option<i64>,
-    /// It was not asked for: a question shortly before was denied.
-    pub is_known: bool,
-    /// No share is leased where it was asked: leases are moving, and there may be some in a moment.
+    /// No server was queried, because a similar request was denied shortly before.
+    pub is_cached: bool,
+    /// No share is leased to the queried server: leases are being moved, and there may be quota in a moment.
     pub is_unleased: bool,
 }
 
-/// What came of asking.
+/// The outcome of a quota request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// The request may be sent.
+    /// The request may run.
     Granted(Grant),
-    /// It may not.
+    /// The request may not run now.
     Denied(Denied),
 }
 
-/// A grant that came after whoever asked had given up, and is kept for a later request.
+/// A grant that arrived after its request had been given up, kept for later requests.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Credit {
+pub(super) struct LateGrant {
     pub(super) units: u32,
     pub(super) until_us: Micros,
-    /// Who granted it, and from which account.
+    /// The server and account index that granted it.
     pub(super) from: (Incarnation, u8),
 }
 
-/// There is no quota until a time for requests of some size and above.
+/// Until a time, requests of a size and above are denied without a query.
 #[derive(Clone, Copy, Debug, Default)]
 struct Denial {
     until_us: Micros,
@@ -57,40 +57,40 @@
 }
 
 #[derive(Debug, Default)]
-struct Account {
-    credits: Vec<Credit>,
-    /// By rank.
+struct OrganisationState {
+    late_grants: Vec<LateGrant>,
+    /// Indexed by rank.
     denials: [Denial; RANKS],
 }
 
-/// Grants that came late, and denials that still hold.
+/// Late grants for reuse, and denials that are still in force.
 #[derive(Debug, Default)]
 pub(super) struct Client {
-    accounts: HashMap<u32, Account>,
+    organisations: HashMap<u32, OrganisationState>,
 }
 
 impl Client {
-    /// Takes quota that was granted before; none if there is not enough.
-    pub(super) fn use_credit(
+    /// Takes units from late grants; none if they do not cover the request.
+    pub(super) fn use_late_grants(
         &mut self,
         now_us: Micros,
         organisation: u32,
         units: u32,
     ) -> Option<Grant> {
-        let account = self.accounts.get_mut(&organisation)?;
-        let is_sound = |c: &Credit| c.until_us > now_us;
-        let sound = account.credits.iter().filter(|c| is_sound(c));
-        let left: u64 = sound.map(|c| u64::from(c.units)).sum();
+        let state = self.organisations.get_mut(&organisation)?;
+        let is_valid = |c: &LateGrant| c.until_us > now_us;
+        let valid = state.late_grants.iter().filter(|c| is_valid(c));
+        let left: u64 = valid.map(|c| u64::from(c.units)).sum();
         if left < u64::from(units) {
             return None;
         }
         let mut needed = units;
-        for credit in account.credits.iter_mut().filter(|c| is_sound(c)) {
-            let taken = credit.units.min(needed);
-            credit.units -= taken;
-            needed -= taken;
+        for late_grant in state.late_grants.iter_mut().filter(|c| is_valid(c)) {
+            let used = late_grant.units.min(needed);
+            late_grant.units -= used;
+            needed -= used;
         }
-        account.credits.retain(|c| c.units > 0);
+        state.late_grants.retain(|c| c.units > 0);
         Some(Grant {
             organisation,
             units,
@@ -98,42 +98,42 @@
         })
     }
 
-    /// Keeps quota for a later request.
-    pub(super) fn keep(&mut self, organisation: u32, credit: Credit) {
-        let account = self.accounts.entry(organisation).or_default();
-        account.credits.push(credit);
+    /// Stores a grant for later requests.
+    pub(super) fn store_late_grant(&mut self, organisation: u32, late_grant: LateGrant) {
+        let state = self.organisations.entry(organisation).or_default();
+        state.late_grants.push(late_grant);
     }
 
-    /// Returns the quota that was not used in its time.
+    /// Removes and returns the late grants that expired unused.
     pub(super) fn take_expired(&mut self, now_us: Micros) -> Vec<Grant> {
         let mut expired = Vec::new();
-        for (organisation, account) in &mut self.accounts {
-            let gone = account.credits.extract_if(.., |c| c.until_us <= now_us);
-            expired.extend(gone.map(|credit| Grant {
+        for (organisation, state) in &mut self.organisations {
+            let removed = state.late_grants.extract_if(.., |c| c.until_us <= now_us);
+            expired.extend(removed.map(|late_grant| Grant {
                 organisation: *organisation,
-                units: credit.units,
-                from: Some(credit.from),
+                units: late_grant.units,
+                from: Some(late_grant.from),
             }));
         }
         expired
     }
 
-    /// Returns for how much longer a request is denied without a question.
-    pub(super) fn denied_us(
+    /// Returns for how much longer a request is denied without a query; none if it is not.
+    pub(super) fn denied_for_us(
         &self,
         now_us: Micros,
         organisation: u32,
         units: u32,
         rank: Rank,
     ) -> Option<Micros> {
-        let account = self.accounts.get(&organisation)?;
-        let denial = account.denials[index(rank)];
+        let state = self.organisations.get(&organisation)?;
+        let denial = state.denials[rank_index(rank)];
         let holds = denial.until_us > now_us && units >= denial.units;
         holds.then(|| denial.until_us - now_us)
     }
 
-    /// Notes that requests like a denied one are denied for a while: those that are as large, and as urgent at most.
-    pub(super) fn note_denied(
+    /// Records a denial: until it expires, requests that are at least as large and no more urgent are denied as well.
+    pub(super) fn record_denial(
         &mut self,
         now_us: Micros,
         organisation: u32,
@@ -141,22 +141,22 @@
         rank: Rank,
         until_us: Micros,
     ) {
-        let account = self.accounts.entry(organisation).or_default();
-        for denial in &mut account.denials[index(rank)..] {
-            let is_over = denial.until_us <= now_us;
-            if is_over || units <= denial.units {
+        let state = self.organisations.entry(organisation).or_default();
+        for denial in &mut state.denials[rank_index(rank)..] {
+            let has_expired = denial.until_us <= now_us;
+            if has_expired || units <= denial.units {
                 *denial = Denial { until_us, units };
             }
         }
     }
 
-    /// Forgets organisations without a limit.
+    /// Removes the state of organisations that are not kept.
     pub(super) fn retain(&mut self, is_kept: impl Fn(u32) -> bool) {
-        self.accounts
+        self.organisations
             .retain(|organisation, _| is_kept(*organisation));
     }
 }
 
-fn index(rank: Rank) -> usize {
+fn rank_index(rank: Rank) -> usize {
     usize::from(rank).min(RANKS - 1)
 }
--- a/src/limits/quota/node.rs
+++ b/src/limits/quota/node.rs
@@ -1,4 +1,4 @@
-//! One instance's part in the quota protocol: it leases its share, serves partitions, and asks for its callers.
+//! The quota protocol of one instance: it leases out its share, serves partitions and queries servers for its callers.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -6,131 +6,135 @@
     gateway::config::{GatewayConfig, UseLimit},
     limits::quota::{
         account::{Bounds, Tolerance},
-        client::{Client, Credit, Decision, Denied, Grant},
-        delegation::{Delegation, renewal_us},
+        client::{Client, Decision, Denied, Grant, LateGrant},
+        delegation::{Delegation, renewal_interval_us},
         directory::Directory,
         message::{InstanceCount, Lease, Message, Outgoing, Recipient, Verdict},
         partition::{COPIES, Partition, PartitionSet},
-        server::{AccountState, Met, QuotaServer},
+        server::{AccountState, QuotaServer, StartStatus},
     },
     prelude::{Incarnation, Micros, Name, Rank, short_hash},
 };
 
-/// A server that is passed over is asked this often whether it answers again.
-const PROBE_US: Micros = 800_000;
-/// A member that has not answered a process that starts is told again after this time, and then after twice as long
-/// each time.
-const INTRODUCE_US: Micros = 120_000;
-const MAX_INTRODUCE_US: Micros = 960_000;
-/// A question without an answer is forgotten after this time.
-const FORGOTTEN_US: Micros = 5_000_000;
-/// How many instances somebody saw counts for this long: some may be cut off now.
-const TOLD_US: Micros = 600_000_000;
-/// Leases whose sending is remembered: some seconds of renewals and questions.
-const MOST_SENT_LEASES: usize = 256;
-/// Whoever asked a server to which nothing is leased asks again after this time.
-const UNLEASED_US: Micros = 40_000;
-/// Where nobody answered, callers come back after this time.
-const UNANSWERED_US: Micros = 300_000;
+/// Interval at which an excluded server is probed.
+const PROBE_INTERVAL_US: Micros = 800_000;
+/// The start of this process is announced again after this time to instances that have not acknowledged it; the
+/// interval then doubles up to its maximum.
+const ANNOUNCE_INTERVAL_US: Micros = 120_000;
+const MAX_ANNOUNCE_INTERVAL_US: Micros = 960_000;
+/// A query without an answer is dropped after this time.
+const QUERY_RETENTION_US: Micros = 5_000_000;
+/// A reported number of instances counts for this long, since some of them may be cut off now.
+const INSTANCE_COUNT_TTL_US: Micros = 600_000_000;
+/// Number of sent leases whose sending times are kept: some seconds of renewals and queries.
+const MAX_SENT_LEASES: usize = 256;
+/// Wait before a retry if nothing is leased to the queried server.
+const UNLEASED_RETRY_US: Micros = 40_000;
+/// Wait before a retry if no server answered.
+const UNANSWERED_RETRY_US: Micros = 300_000;
 
 /// How a configuration changed a limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitChange {
-    /// The organisation.
+    /// The organisation's name.
     pub organisation: Name,
-    /// The limit before; none if there was none.
+    /// The previous limit, if there was one.
     pub before: Option<UseLimit>,
-    /// The limit from now on; none if there is none any more.
+    /// The new limit; none if it was removed.
     pub after: Option<UseLimit>,
 }
 
-/// What came of beginning to ask.
+/// The result of [`Node::acquire`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begun {
+pub enum Acquisition {
     /// The organisation has no limit.
     Unlimited,
-    /// It is decided.
+    /// The decision was made without waiting for another instance.
     Decided(Decision),
-    /// Servers were asked, under this number.
-    Asked(u64),
+    /// A quota server was queried; [`Node::take_decided`] returns the decision under this number.
+    Pending(u64),
 }
 
 #[derive(Debug)]
-struct Limited {
+struct OrganisationLimit {
     name: Name,
     limit: UseLimit,
-    credit_us: Micros,
+    max_grant_age_us: Micros,
 }
 
 /// A request whose caller waits for quota.
 #[derive(Debug)]
-struct Waiting {
+struct PendingRequest {
     organisation: u32,
     units: u32,
     rank: Rank,
-    /// Accounts that have not been asked, since all were asked last.
-    unasked: Vec<u8>,
-    /// Whom the newest question was sent, and when.
-    asked: Option<(Incarnation, Micros)>,
-    /// Questions without an answer.
-    open: u8,
+    /// Accounts not yet queried in this pass over all of them; the next one is last.
+    untried: Vec<u8>,
+    /// The server of the newest query, and when it was sent.
+    last_query: Option<(Incarnation, Micros)>,
+    /// Number of unanswered queries.
+    open_queries: u8,
+    /// The denial with the shortest wait so far.
     denied: Option<Denied>,
 }
 
-/// A question.
+/// A query to one account.
 #[derive(Clone, Copy, Debug)]
-struct Question {
+struct Query {
     organisation: u32,
     units: u32,
-    /// When it was sent first.
-    asked_us: Micros,
-    /// It was sent again: its answer says nothing of the round trip.
-    is_repeated: bool,
-    /// Its request was granted by another account.
-    is_spare: bool,
+    /// When it was first sent.
+    sent_us: Micros,
+    /// It was sent again, so its answer does not measure the round trip.
+    is_resent: bool,
+    /// Another account has granted its request.
+    is_redundant: bool,
 }
 
-/// The protocol of one instance.
+/// The state of the quota protocol on one instance: lessor, quota server and client.
 #[derive(Debug)]
 pub struct Node {
     me: Incarnation,
     tolerance: Tolerance,
-    limits: HashMap<u32, Limited>,
+    limits: HashMap<u32, OrganisationLimit>,
     directory: Directory,
     delegation: Delegation,
     server: QuotaServer,
     client: Client,
-    /// How many instances there are by the own view.
+    /// Number of instances in this instance's own view.
     instances: u32,
-    /// The most that anybody saw, by what others or the store said, and when; none until anybody did.
-    told_instances: Option<(u32, Micros)>,
-    /// What the own view says counts by itself.
-    is_first_start: bool,
-    /// No process ran at this address before: there are no leases to end.
+    /// The largest number of instances reported by others or the store, and when it was observed; none before the
+    /// first report.
+    reported_instances: Option<(u32, Micros)>,
+    /// The own view is sufficient without a report of the number of instances.
+    trusts_own_view: bool,
+    /// No process ran at this address before, so there are no earlier leases to end.
     has_no_predecessor: bool,
-    leased_us: HashMap<Incarnation, Micros>,
-    /// The newest leases that were sent, by their numbers.
+    /// When a lease was last made out to each server.
+    last_leased_us: HashMap<Incarnation, Micros>,
+    /// Sequence numbers and sending times of the newest leases.
     sent_leases: VecDeque<(u64, Micros)>,
     started_us: Micros,
-    /// The newest time that this node was given.
+    /// The latest time passed to this node.
     now_us: Micros,
-    /// Where instances are, or were.
+    /// Hashes of the addresses where instances run or ran.
     addresses: HashSet<u32>,
-    /// Where this start was met: nobody there holds a lease of the one before it.
-    met_at: HashSet<u32>,
-    introduced_us: Option<Micros>,
-    introduce_after_us: Micros,
-    /// Since then none of them used such a lease; none if one may have till it answered.
+    /// Addresses that acknowledged this incarnation's start: no lease of an earlier one is held there.
+    acknowledged_by: HashSet<u32>,
+    announced_us: Option<Micros>,
+    announce_interval_us: Micros,
+    /// Since when none of the instances in `acknowledged_by` has used such a lease; none if one of them may have until
+    /// its acknowledgement.
     idle_since_us: Option<Micros>,
     last_number: u64,
-    waiting: HashMap<u64, Waiting>,
-    questions: HashMap<(u64, u8), Question>,
+    pending: HashMap<u64, PendingRequest>,
+    queries: HashMap<(u64, u8), Query>,
     outgoing: Vec<Outgoing>,
     decided: Vec<(u64, Decision)>,
 }
 
 impl Node {
-    /// Starts without limits, alone.
+    /// Creates a node without limits that is alone in its group.
     pub fn new(now_us: Micros, me: Incarnation, tolerance: Tolerance) -> Self {
         Self {
             me,
@@ -141,40 +145,40 @@
             server: QuotaServer::new(tolerance),
             client: Client::default(),
             instances: 1,
-            told_instances: None,
-            is_first_start: false,
+            reported_instances: None,
+            trusts_own_view: false,
             has_no_predecessor: false,
-            leased_us: HashMap::new(),
+            last_leased_us: HashMap::new(),
             sent_leases: VecDeque::new(),
             started_us: now_us,
             now_us,
             addresses: HashSet::new(),
-            met_at: HashSet::new(),
-            introduced_us: None,
-            introduce_after_us: INTRODUCE_US,
+            acknowledged_by: HashSet::new(),
+            announced_us: None,
+            announce_interval_us: ANNOUNCE_INTERVAL_US,
             idle_since_us: Some(now_us),
             last_number: 0,
-            waiting: HashMap::new(),
-            questions: HashMap::new(),
+            pending: HashMap::new(),
+            queries: HashMap::new(),
             outgoing: Vec::new(),
             decided: Vec::new(),
         }
     }
 
-    /// Takes a time and returns the newest one. Tasks read the clock before they take this node's lock, so an older
-    /// time may come after a newer one.
+    /// Returns the latest time passed to this node. Tasks read the clock before they lock the node, so an older time
+    /// may arrive after a newer one.
     fn advance(&mut self, now_us: Micros) -> Micros {
         self.now_us = self.now_us.max(now_us);
         self.now_us
     }
 
-    /// Replaces the tolerance; it counts from the next configuration on.
+    /// Replaces the tolerance, which takes effect with the next configuration.
     pub fn set_tolerance(&mut self, tolerance: Tolerance) {
         self.tolerance = tolerance;
         self.server.set_tolerance(tolerance);
     }
 
-    /// Takes the limits of a configuration; returns those that changed.
+    /// Applies the limits of a configuration; returns those that changed.
     pub fn configure(&mut self, now_us: Micros, config: &GatewayConfig) -> Vec<LimitChange> {
         let now_us = self.advance(now_us);
         let organisations = config.organisations.iter();
@@ -182,19 +186,19 @@
             .filter_map(|o| Some((o.name.clone(), o.limit?)))
             .collect();
         self.server.configure(now_us, &limits);
-        let limited = limits.into_iter().map(|(name, limit)| {
-            let credit_us = Bounds::new(&limit, &self.tolerance).credit_us;
-            let limited = Limited {
+        let limits_by_hash = limits.into_iter().map(|(name, limit)| {
+            let max_grant_age_us = Bounds::new(&limit, &self.tolerance).max_grant_age_us;
+            let organisation_limit = OrganisationLimit {
                 name: name.clone(),
                 limit,
-                credit_us,
+                max_grant_age_us,
             };
-            (short_hash(&name), limited)
+            (short_hash(&name), organisation_limit)
         });
-        let before = std::mem::replace(&mut self.limits, limited.collect());
+        let before = std::mem::replace(&mut self.limits, limits_by_hash.collect());
         let limits = &self.limits;
         self.client.retain(|o| limits.contains_key(&o));
-        changes(&before, limits)
+        limit_changes(&before, limits)
     }
 
     /// Joins a group as `me`, before anything is leased.
@@ -204,111 +208,117 @@
         self.delegation.address = address;
     }
 
-    /// Takes the members, in the order in which they are to serve.
+    /// Replaces the members, in the order in which they are to serve.
     pub fn set_members(&mut self, now_us: Micros, members: &[Incarnation]) {
         let now_us = self.advance(now_us);
         self.directory.set_candidates(now_us, members);
     }
 
-    /// Takes how many instances there are, those that are silent included.
+    /// Sets the number of instances in this instance's view, including those that do not respond.
     pub fn set_instances(&mut self, instances: usize) {
         self.instances = u32::try_from(instances).unwrap_or(u32::MAX).max(1);
     }
 
-    /// Notes that no instance has run before this one: its view is all there is to know, and nothing is leased.
-    pub fn first_start(&mut self) {
-        self.is_first_start = true;
+    /// Records that no instance has run before this one: its own view is complete and no leases exist.
+    pub fn mark_first_start(&mut self) {
+        self.trusts_own_view = true;
         self.has_no_predecessor = true;
     }
 
-    /// Takes how many instances there were, as the store has it; 0 if it has no number, and the own view counts.
-    pub fn remember_instances(&mut self, now_us: Micros, instances: u32) {
+    /// Records the stored number of instances; 0 if the store has none and the own view is to be used.
+    pub fn restore_instance_count(&mut self, now_us: Micros, instances: u32) {
         let now_us = self.advance(now_us);
         if instances == 0 {
-            self.is_first_start = true;
+            self.trusts_own_view = true;
         }
-        self.note_seen(now_us, instances, now_us);
+        self.record_instances(now_us, instances, now_us);
     }
 
-    /// Returns whether it is known how many instances there are.
-    pub fn knows_instances(&self) -> bool {
-        self.is_first_start || self.told_instances.is_some()
+    /// Returns whether the number of instances is known.
+    pub fn knows_instance_count(&self) -> bool {
+        self.trusts_own_view || self.reported_instances.is_some()
     }
 
-    /// Returns how many instances there are by this one's own view.
+    /// Returns the number of instances in this instance's own view.
     pub fn own_instances(&self) -> u32 {
         self.instances
     }
 
-    /// Returns whether this instance leases its share yet.
-    pub fn has_begun(&self) -> bool {
-        self.delegation.has_begun()
+    /// Returns whether this instance leases out its share.
+    pub fn is_leasing(&self) -> bool {
+        self.delegation.is_leasing()
     }
 
-    /// Takes where instances are, or were, this one included; by a hash.
-    pub fn set_addresses(&mut self, addresses: impl IntoIterator<Item = u32>) {
+    /// Adds hashes of addresses where instances run or ran, including this one's.
+    pub fn add_addresses(&mut self, addresses: impl IntoIterator<Item = u32>) {
         self.addresses.extend(addresses);
     }
 
     /// Returns whether this instance is the first of the quota servers.
-    pub fn serves_first(&self) -> bool {
+    pub fn is_first_server(&self) -> bool {
         self.directory.servers().first() == Some(&self.me)
     }
 
-    /// Returns by how many instances limits are divided.
+    /// Returns the number of instances by which limits are divided: the larger of the recent reports and
+    /// the own view.
     pub fn divisor(&self, now_us: Micros) -> u32 {
-        let told = self.told(now_us).map_or(0, |(told, _)| told);
-        told.max(self.instances)
+        let reported = self
+            .recent_report(now_us)
+            .map_or(0, |(reported, _)| reported);
+        reported.max(self.instances)
     }
 
-    /// Does what is due by the clock.
+    /// Runs the periodic work: expiry, announcements, lease renewals and probes.
     pub fn tick(&mut self, now_us: Micros) {
         let now_us = self.advance(now_us);
         self.directory.refresh(now_us);
         self.server.expire(now_us);
-        let is_kept = |q: &Question| now_us.saturating_sub(q.asked_us) < FORGOTTEN_US;
-        self.questions.retain(|_, question| is_kept(question));
+        let is_kept = |q: &Query| now_us.saturating_sub(q.sent_us) < QUERY_RETENTION_US;
+        self.queries.retain(|_, query| is_kept(query));
         for grant in self.client.take_expired(now_us) {
-            self.give_back(grant);
+            self.refund(grant);
         }
-        self.begin_if_due(now_us);
-        if !self.delegation.has_begun() {
-            self.introduce(now_us);
+        self.start_leasing_if_due(now_us);
+        if !self.delegation.is_leasing() {
+            self.announce_start(now_us);
         }
-        self.ask_back(now_us);
-        let renewal_us = renewal_us(self.divisor(now_us));
+        self.recall_misplaced(now_us);
+        let renewal_interval_us = renewal_interval_us(self.divisor(now_us));
         for server in self.directory.servers().to_vec() {
-            let leased_us = self.leased_us.get(&server).copied();
-            let is_due = leased_us.is_none_or(|us| now_us.saturating_sub(us) >= renewal_us);
+            let last_leased_us = self.last_leased_us.get(&server).copied();
+            let is_due =
+                last_leased_us.is_none_or(|us| now_us.saturating_sub(us) >= renewal_interval_us);
             if is_due {
                 self.renew(now_us, server);
             }
         }
-        for server in self.directory.passed_over() {
+        for server in self.directory.excluded() {
             self.probe(now_us, server);
         }
-        let is_recent = |us: &Micros| now_us.saturating_sub(*us) < FORGOTTEN_US;
-        self.leased_us.retain(|_, us| is_recent(us));
+        let is_recent = |us: &Micros| now_us.saturating_sub(*us) < QUERY_RETENTION_US;
+        self.last_leased_us.retain(|_, us| is_recent(us));
     }
 
-    /// Tells all instances that this one started: they end what the start before it leased.
-    fn introduce(&mut self, now_us: Micros) {
-        let told_us = self.introduced_us;
-        if let Some(told_us) = told_us {
-            if now_us.saturating_sub(told_us) < self.introduce_after_us {
+    /// Announces this instance's start to those that have not acknowledged it, so that they end its predecessor's
+    /// leases.
+    fn announce_start(&mut self, now_us: Micros) {
+        let last_us = self.announced_us;
+        if let Some(last_us) = last_us {
+            if now_us.saturating_sub(last_us) < self.announce_interval_us {
                 return;
             }
-            self.introduce_after_us = (2 * self.introduce_after_us).min(MAX_INTRODUCE_US);
+            self.announce_interval_us =
+                (2 * self.announce_interval_us).min(MAX_ANNOUNCE_INTERVAL_US);
         }
-        self.introduced_us = Some(now_us);
-        let unmet = self.addresses.difference(&self.met_at);
-        let unmet: Vec<u32> = unmet.copied().collect();
-        for address in unmet {
-            self.introduce_to(address);
+        self.announced_us = Some(now_us);
+        let unacknowledged = self.addresses.difference(&self.acknowledged_by);
+        let unacknowledged: Vec<u32> = unacknowledged.copied().collect();
+        for address in unacknowledged {
+            self.announce_start_to(address);
         }
     }
 
-    fn introduce_to(&mut self, to: u32) {
+    fn announce_start_to(&mut self, to: u32) {
         let address = self.delegation.address;
         if to != address {
             self.outgoing.push(Outgoing {
@@ -318,103 +328,115 @@
         }
     }
 
-    /// Begins to lease once all that there are have met this start, or its predecessor's leases have ended.
-    fn begin_if_due(&mut self, now_us: Micros) {
-        if self.delegation.has_begun() || !self.knows_instances() {
+    /// Starts to issue leases once all instances have acknowledged this start or its predecessor's leases have expired.
+    fn start_leasing_if_due(&mut self, now_us: Micros) {
+        if self.delegation.is_leasing() || !self.knows_instance_count() {
             return;
         }
         let instances = self.divisor(now_us);
-        if self.has_no_predecessor || self.met_at.len() + 1 >= instances as usize {
-            self.delegation.begin(self.idle_since_us);
-        } else if self.delegation.are_earlier_over(now_us, instances) {
-            self.delegation.begin(None);
+        if self.has_no_predecessor || self.acknowledged_by.len() + 1 >= instances as usize {
+            self.delegation.start_leasing(self.idle_since_us);
+        } else if self
+            .delegation
+            .have_predecessor_leases_expired(now_us, instances)
+        {
+            self.delegation.start_leasing(None);
         } else {
             return;
         }
         self.renew_all(now_us);
     }
 
-    /// Asks a server that is passed over whether it answers again.
+    /// Sends a lease to an excluded server to find out whether it answers again.
     fn probe(&mut self, now_us: Micros, server: Incarnation) {
-        let leased_us = self.leased_us.get(&server).copied().unwrap_or(0);
-        if now_us.saturating_sub(leased_us) < PROBE_US {
+        let last_leased_us = self.last_leased_us.get(&server).copied().unwrap_or(0);
+        if now_us.saturating_sub(last_leased_us) < PROBE_INTERVAL_US {
             return;
         }
         let lease = self.lease_to(now_us, server);
         self.send(server, Message::Lease(lease));
     }
 
-    /// Returns for how long a caller may wait for an answer: a grant that comes later is not for it.
-    pub fn patience_us(&self, organisation: &str) -> Micros {
-        let limited = self.limits.get(&short_hash(organisation));
-        limited.map_or(0, |l| l.credit_us)
+    /// Returns how long a caller may wait for a decision: a later grant is too old for it.
+    pub fn max_wait_us(&self, organisation: &str) -> Micros {
+        let organisation_limit = self.limits.get(&short_hash(organisation));
+        organisation_limit.map_or(0, |l| l.max_grant_age_us)
     }
 
-    /// Begins to ask for what a request uses.
-    pub fn begin(&mut self, now_us: Micros, organisation: &str, units: u32, rank: Rank) -> Begun {
+    /// Requests quota for a request: from late grants, by a cached denial, or by a query to a quota server.
+    pub fn acquire(
+        &mut self,
+        now_us: Micros,
+        organisation: &str,
+        units: u32,
+        rank: Rank,
+    ) -> Acquisition {
         let now_us = self.advance(now_us);
         let organisation = short_hash(organisation);
         if !self.limits.contains_key(&organisation) {
-            return Begun::Unlimited;
+            return Acquisition::Unlimited;
         }
-        if let Some(grant) = self.client.use_credit(now_us, organisation, units) {
-            return Begun::Decided(Decision::Granted(grant));
+        if let Some(grant) = self.client.use_late_grants(now_us, organisation, units) {
+            return Acquisition::Decided(Decision::Granted(grant));
         }
-        if let Some(wait_us) = self.client.denied_us(now_us, organisation, units, rank) {
-            return Begun::Decided(Decision::Denied(Denied {
+        if let Some(wait_us) = self.client.denied_for_us(now_us, organisation, units, rank) {
+            return Acquisition::Decided(Decision::Denied(Denied {
                 wait_us,
                 level: None,
-                is_known: true,
+                is_cached: true,
                 is_unleased: false,
             }));
         }
         self.last_number += 1;
         let number = self.last_number;
-        let waiting = Waiting {
+        let pending = PendingRequest {
             organisation,
             units,
             rank,
-            unasked: accounts_from(self.me, number),
-            asked: None,
-            open: 0,
+            untried: account_order(self.me, number),
+            last_query: None,
+            open_queries: 0,
             denied: None,
         };
-        self.waiting.insert(number, waiting);
-        self.ask_next(now_us, number);
+        self.pending.insert(number, pending);
+        self.query_next(now_us, number);
         match self.decided.iter().position(|(n, _)| *n == number) {
-            Some(place) => Begun::Decided(self.decided.swap_remove(place).1),
-            None => Begun::Asked(number),
+            Some(position) => Acquisition::Decided(self.decided.swap_remove(position).1),
+            None => Acquisition::Pending(number),
         }
     }
 
-    /// Asks the next account, too, for a request whose newest question should have been answered; all of them
-    /// again once all were asked. Returns whether it asked.
+    /// Queries the next account as well for a request whose newest query is overdue, and starts over once all have been
+    /// queried. Returns whether it sent a query.
     pub fn hedge(&mut self, now_us: Micros, number: u64) -> bool {
         let now_us = self.advance(now_us);
-        let Some(waiting) = self.waiting.get_mut(&number) else {
+        let Some(pending) = self.pending.get_mut(&number) else {
             return false;
         };
-        let is_overdue = |(server, asked_us): (Incarnation, Micros)| {
-            self.directory.is_overdue(now_us, server, asked_us)
+        let is_overdue = |(server, sent_us): (Incarnation, Micros)| {
+            self.directory.is_overdue(now_us, server, sent_us)
         };
-        if !waiting.asked.is_some_and(is_overdue) {
+        if !pending.last_query.is_some_and(is_overdue) {
             return false;
         }
-        if waiting.unasked.is_empty() {
-            waiting.unasked = accounts_from(self.me, number);
+        if pending.untried.is_empty() {
+            pending.untried = account_order(self.me, number);
         }
-        self.ask_next(now_us, number);
+        self.query_next(now_us, number);
         true
     }
 
-    /// Notes that a caller waits no longer; what is granted later is kept for others. Returns why there was nothing.
+    /// Removes a request whose caller no longer waits; a grant that arrives later is kept for other requests. Returns
+    /// the best denial so far.
     pub fn give_up(&mut self, number: u64) -> Denied {
-        let waiting = self.waiting.remove(&number);
-        waiting.and_then(|w| w.denied).unwrap_or(unanswered())
+        let pending = self.pending.remove(&number);
+        pending
+            .and_then(|w| w.denied)
+            .unwrap_or(unanswered_denial())
     }
 
-    /// Gives back what a request did not use.
-    pub fn give_back(&mut self, grant: Grant) {
+    /// Returns unused units to the account that granted them.
+    pub fn refund(&mut self, grant: Grant) {
         let Grant {
             organisation,
             units,
@@ -422,7 +444,7 @@
         } = grant;
         match from {
             Some((server, copy)) if server == self.me => {
-                self.server.give_back(organisation, copy, units);
+                self.server.refund(organisation, copy, units);
             }
             Some((to, copy)) => self.send(
                 to,
@@ -432,12 +454,12 @@
                     units,
                 },
             ),
-            // It came of several grants.
+            // It is made up of several grants, whose accounts are not known any more.
             None => {}
         }
     }
 
-    /// Takes a message that came from an address.
+    /// Handles a message from the process `from` at the address with the hash `from_address`.
     pub fn receive(
         &mut self,
         now_us: Micros,
@@ -448,7 +470,7 @@
         let now_us = self.advance(now_us);
         match message {
             Message::Lease(lease) => {
-                if let Some(answer) = self.take_lease(now_us, from, &lease) {
+                if let Some(answer) = self.handle_lease(now_us, from, &lease) {
                     self.send(from, answer);
                 }
             }
@@ -460,7 +482,7 @@
                 units,
                 rank,
             } => {
-                if self.take_lease(now_us, from, &lease).is_some() {
+                if self.handle_lease(now_us, from, &lease).is_some() {
                     let verdict = self.server.grant(now_us, organisation, copy, units, rank);
                     self.send(
                         from,
@@ -481,39 +503,39 @@
                 stamp_us,
                 count,
             } => {
-                let question = self.questions.get(&(number, copy));
-                let asked_us = question.filter(|q| !q.is_repeated).map(|q| q.asked_us);
-                self.directory.answered(now_us, from, asked_us);
-                self.take_stamp(now_us, from, stamp_us, count);
-                self.take_verdict(now_us, from, (number, copy), verdict);
+                let query = self.queries.get(&(number, copy));
+                let sent_us = query.filter(|q| !q.is_resent).map(|q| q.sent_us);
+                self.directory.record_answer(now_us, from, sent_us);
+                self.handle_stamp(now_us, from, stamp_us, count);
+                self.handle_verdict(now_us, from, (number, copy), verdict);
             }
             Message::Started { address } => {
-                let met = self.server.meet(now_us, address, from);
-                if let Met::Follows(ended) = met {
-                    self.server_ended(now_us, ended);
+                let status = self.server.record_start(now_us, address, from);
+                if let StartStatus::Replaces(ended) = status {
+                    self.handle_server_end(now_us, ended);
                 }
-                if met != Met::Late {
-                    let met = Message::Met {
+                if status != StartStatus::Superseded {
+                    let ack = Message::StartAck {
                         uptime_us: now_us.saturating_sub(self.started_us),
-                        met_earlier: self.server.met_earlier(address, from),
+                        saw_predecessor: self.server.saw_predecessor(address, from),
                         count: self.count(now_us),
                     };
-                    self.send(from, met);
+                    self.send(from, ack);
                 }
                 self.addresses.insert(from_address);
-                // It has just started: what it was told before that is lost.
-                let has_met = self.met_at.contains(&from_address);
-                if !has_met && !self.delegation.has_begun() {
-                    self.introduce_to(from_address);
+                // The sender has just started, so announcements sent to it before were lost.
+                let has_acknowledged = self.acknowledged_by.contains(&from_address);
+                if !has_acknowledged && !self.delegation.is_leasing() {
+                    self.announce_start_to(from_address);
                 }
             }
-            Message::Met {
+            Message::StartAck {
                 uptime_us,
-                met_earlier,
+                saw_predecessor,
                 count,
             } => {
-                self.note_count(now_us, count);
-                self.note_met(now_us, from_address, uptime_us, met_earlier);
+                self.record_count(now_us, count);
+                self.record_start_ack(now_us, from_address, uptime_us, saw_predecessor);
             }
             Message::Leased {
                 seq,
@@ -521,9 +543,9 @@
                 count,
             } => {
                 let sent = self.sent_leases.iter().find(|(sent, _)| *sent == seq);
-                let asked_us = sent.map(|(_, at_us)| *at_us);
-                self.directory.answered(now_us, from, asked_us);
-                self.take_stamp(now_us, from, stamp_us, count);
+                let sent_us = sent.map(|(_, at_us)| *at_us);
+                self.directory.record_answer(now_us, from, sent_us);
+                self.handle_stamp(now_us, from, stamp_us, count);
             }
             Message::Release {
                 to,
@@ -535,38 +557,46 @@
                 }
             }
             Message::Released { partitions, seq } => {
-                self.delegation.released(from, seq, partitions);
+                self.delegation.confirm_release(from, seq, partitions);
                 self.renew_all(now_us);
             }
             Message::Unused {
                 organisation,
                 copy,
                 units,
-            } => self.server.give_back(organisation, copy, units),
+            } => self.server.refund(organisation, copy, units),
         }
     }
 
-    /// Returns what is to be sent.
+    /// Returns the messages to be sent since the last call.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// Returns what was decided since this was asked last, by number.
+    /// Returns the decisions since the last call, with the numbers of their requests.
     pub fn take_decided(&mut self) -> Vec<(u64, Decision)> {
         std::mem::take(&mut self.decided)
     }
 
-    /// Returns the state of this instance's accounts that are scarce, `most` at most.
-    pub fn take_states(&mut self, now_us: Micros, most: usize) -> Vec<AccountState> {
+    /// Returns the state of this instance's accounts that denied requests or are less than half full, at most
+    /// `max_states`.
+    pub fn take_states(&mut self, now_us: Micros, max_states: usize) -> Vec<AccountState> {
         let now_us = self.advance(now_us);
-        self.server.take_states(now_us, most)
+        self.server.take_states(now_us, max_states)
     }
 
-    fn take_lease(&mut self, now_us: Micros, from: Incarnation, lease: &Lease) -> Option<Message> {
-        if lease.to != self.me || self.server.meet(now_us, lease.address, from) == Met::Late {
+    fn handle_lease(
+        &mut self,
+        now_us: Micros,
+        from: Incarnation,
+        lease: &Lease,
+    ) -> Option<Message> {
+        if lease.to != self.me
+            || self.server.record_start(now_us, lease.address, from) == StartStatus::Superseded
+        {
             return None;
         }
-        self.note_count(now_us, lease.count);
+        self.record_count(now_us, lease.count);
         self.server.lease(now_us, from, lease);
         Some(Message::Leased {
             seq: lease.seq,
@@ -575,64 +605,71 @@
         })
     }
 
-    /// Takes back what is leased to a process that has ended: nobody grants from it any more.
-    fn server_ended(&mut self, now_us: Micros, ended: Incarnation) {
-        self.directory.ended(now_us, ended);
-        if self.delegation.lessee_ended(ended) {
+    /// Ends the leases to a process that has terminated and leases the shares anew, since it can no longer grant.
+    fn handle_server_end(&mut self, now_us: Micros, ended: Incarnation) {
+        self.directory.record_end(now_us, ended);
+        if self.delegation.end_leases_to(ended) {
             self.renew_all(now_us);
         }
     }
 
-    /// Notes that an instance has met this start.
-    fn note_met(&mut self, now_us: Micros, address: u32, uptime_us: Micros, met_earlier: bool) {
-        if !self.met_at.insert(address) {
+    /// Records that an instance has acknowledged this start.
+    fn record_start_ack(
+        &mut self,
+        now_us: Micros,
+        address: u32,
+        uptime_us: Micros,
+        saw_predecessor: bool,
+    ) {
+        if !self.acknowledged_by.insert(address) {
             return;
         }
-        // Before its start there was another one at its address.
+        // Before its own start, a predecessor at its address may have used the leases.
         let started_us = now_us.saturating_sub(uptime_us);
-        let since_us = self.idle_since_us.filter(|_| !met_earlier);
+        let since_us = self.idle_since_us.filter(|_| !saw_predecessor);
         self.idle_since_us = since_us.map(|since_us| since_us.max(started_us));
-        self.begin_if_due(now_us);
+        self.start_leasing_if_due(now_us);
     }
 
-    fn take_stamp(
+    fn handle_stamp(
         &mut self,
         now_us: Micros,
         from: Incarnation,
         stamp_us: Micros,
         count: InstanceCount,
     ) {
-        self.delegation.note_stamp(from, stamp_us);
-        self.note_count(now_us, count);
+        self.delegation.record_stamp(from, stamp_us);
+        self.record_count(now_us, count);
     }
 
-    fn note_count(&mut self, now_us: Micros, count: InstanceCount) {
+    fn record_count(&mut self, now_us: Micros, count: InstanceCount) {
         let seen_us = now_us.saturating_sub(Micros::from(count.age_ms) * 1_000);
         if count.instances > 0 {
-            self.note_seen(now_us, count.instances, seen_us);
+            self.record_instances(now_us, count.instances, seen_us);
         }
     }
 
-    /// Notes that somebody saw as many instances at a moment.
-    fn note_seen(&mut self, now_us: Micros, instances: u32, seen_us: Micros) {
+    /// Records that a number of instances was observed at `seen_us`.
+    fn record_instances(&mut self, now_us: Micros, instances: u32, seen_us: Micros) {
         let seen = (instances, seen_us);
-        let known = self.told(now_us);
-        self.told_instances = known.max(Some(seen));
+        let known = self.recent_report(now_us);
+        self.reported_instances = known.max(Some(seen));
     }
 
-    /// Returns the most that anybody saw within the time for which it counts.
-    fn told(&self, now_us: Micros) -> Option<(u32, Micros)> {
-        let is_recent = |seen_us: Micros| now_us.saturating_sub(seen_us) < TOLD_US;
-        self.told_instances.filter(|(_, at_us)| is_recent(*at_us))
+    /// Returns the largest reported number of instances, and when it was observed, unless the report is too old.
+    fn recent_report(&self, now_us: Micros) -> Option<(u32, Micros)> {
+        let is_recent = |seen_us: Micros| now_us.saturating_sub(seen_us) < INSTANCE_COUNT_TTL_US;
+        self.reported_instances
+            .filter(|(_, at_us)| is_recent(*at_us))
     }
 
-    /// Returns how many instances others are told that there are.
+    /// Returns the number of instances that is sent to others.
     fn count(&self, now_us: Micros) -> InstanceCount {
         let own = Some((self.instances, now_us));
         let known = self
-            .told(now_us)
+            .recent_report(now_us)
             .max(own)
-            .filter(|_| self.knows_instances());
+            .filter(|_| self.knows_instance_count());
         let (instances, seen_us) = known.unwrap_or((0, now_us));
         InstanceCount {
             instances,
@@ -640,26 +677,26 @@
         }
     }
 
-    fn take_verdict(
+    fn handle_verdict(
         &mut self,
         now_us: Micros,
         from: Incarnation,
         key: (u64, u8),
         verdict: Verdict,
     ) {
-        let Some(question) = self.questions.remove(&key) else {
+        let Some(query) = self.queries.remove(&key) else {
             return;
         };
         let (number, copy) = key;
         if verdict == Verdict::Granted {
             let grant = Grant {
-                organisation: question.organisation,
-                units: question.units,
+                organisation: query.organisation,
+                units: query.units,
                 from: Some((from, copy)),
             };
-            match question.is_spare {
-                true => self.give_back(grant),
-                false => self.granted(now_us, number, grant, question.asked_us),
+            match query.is_redundant {
+                true => self.refund(grant),
+                false => self.complete_grant(now_us, number, grant, query.sent_us),
             }
             return;
         }
@@ -667,122 +704,123 @@
             Verdict::Denied { wait_us, level } => Denied {
                 wait_us,
                 level: Some(level),
-                ..unanswered()
+                ..unanswered_denial()
             },
             Verdict::Unleased => Denied {
-                wait_us: UNLEASED_US,
+                wait_us: UNLEASED_RETRY_US,
                 is_unleased: true,
-                ..unanswered()
+                ..unanswered_denial()
             },
-            Verdict::Granted | Verdict::Unknown => unanswered(),
+            Verdict::Granted | Verdict::Unknown => unanswered_denial(),
         };
-        self.denied(now_us, number, denied);
+        self.handle_denial(now_us, number, denied);
     }
 
-    fn granted(&mut self, now_us: Micros, number: u64, grant: Grant, asked_us: Micros) {
-        let Some(limited) = self.limits.get(&grant.organisation) else {
+    fn complete_grant(&mut self, now_us: Micros, number: u64, grant: Grant, sent_us: Micros) {
+        let Some(organisation_limit) = self.limits.get(&grant.organisation) else {
             return;
         };
-        // A grant counts for its server when it was made: one that comes late is no more than that.
-        let until_us = asked_us + limited.credit_us;
-        match self.waiting.remove(&number) {
+        // The server accounts for a grant when it makes it, so its age counts from when the query was sent.
+        let until_us = sent_us + organisation_limit.max_grant_age_us;
+        match self.pending.remove(&number) {
             Some(_) if now_us <= until_us => {
-                self.mark_spare(number);
+                self.mark_redundant(number);
                 self.decided.push((number, Decision::Granted(grant)));
             }
             Some(_) => {
-                self.decided.push((number, Decision::Denied(unanswered())));
-                self.give_back(grant);
+                self.decided
+                    .push((number, Decision::Denied(unanswered_denial())));
+                self.refund(grant);
             }
-            None => self.keep(grant, until_us),
+            None => self.keep_late_grant(grant, until_us),
         }
     }
 
-    /// Marks the open questions of a request that was granted: what they bring is not needed.
-    fn mark_spare(&mut self, number: u64) {
+    /// Marks the unanswered queries of a request that has been granted, so that further grants are refunded.
+    fn mark_redundant(&mut self, number: u64) {
         for copy in 0..COPIES {
-            if let Some(question) = self.questions.get_mut(&(number, copy)) {
-                question.is_spare = true;
+            if let Some(query) = self.queries.get_mut(&(number, copy)) {
+                query.is_redundant = true;
             }
         }
     }
 
     /// Keeps a grant for a later request of its organisation.
-    fn keep(&mut self, grant: Grant, until_us: Micros) {
+    fn keep_late_grant(&mut self, grant: Grant, until_us: Micros) {
         let Some(from) = grant.from else { return };
-        let credit = Credit {
+        let late_grant = LateGrant {
             units: grant.units,
             until_us,
             from,
         };
-        self.client.keep(grant.organisation, credit);
+        self.client.store_late_grant(grant.organisation, late_grant);
     }
 
-    fn denied(&mut self, now_us: Micros, number: u64, denied: Denied) {
-        let Some(waiting) = self.waiting.get_mut(&number) else {
+    fn handle_denial(&mut self, now_us: Micros, number: u64, denied: Denied) {
+        let Some(pending) = self.pending.get_mut(&number) else {
             return;
         };
-        waiting.open = waiting.open.saturating_sub(1);
-        let before = waiting.denied;
-        let sooner = before.is_none_or(|b| denied.wait_us < b.wait_us);
-        waiting.denied = if sooner { Some(denied) } else { before };
-        if !waiting.unasked.is_empty() {
-            self.ask_next(now_us, number);
+        pending.open_queries = pending.open_queries.saturating_sub(1);
+        let before = pending.denied;
+        let is_sooner = before.is_none_or(|b| denied.wait_us < b.wait_us);
+        pending.denied = if is_sooner { Some(denied) } else { before };
+        if !pending.untried.is_empty() {
+            self.query_next(now_us, number);
             return;
         }
-        if waiting.open > 0 {
+        if pending.open_queries > 0 {
             return;
         }
-        let Some(waiting) = self.waiting.remove(&number) else {
+        let Some(pending) = self.pending.remove(&number) else {
             return;
         };
-        let denied = waiting.denied.unwrap_or(denied);
+        let denied = pending.denied.unwrap_or(denied);
         let until_us = now_us + denied.wait_us;
-        let Waiting {
+        let PendingRequest {
             organisation,
             units,
             rank,
             ..
-        } = waiting;
+        } = pending;
         if !denied.is_unleased {
             self.client
-                .note_denied(now_us, organisation, units, rank, until_us);
+                .record_denial(now_us, organisation, units, rank, until_us);
         }
         self.decided.push((number, Decision::Denied(denied)));
     }
 
-    /// Asks the next account that a request has not asked.
-    fn ask_next(&mut self, now_us: Micros, number: u64) {
-        let Some(waiting) = self.waiting.get_mut(&number) else {
+    /// Queries the next account that has not been queried for a request.
+    fn query_next(&mut self, now_us: Micros, number: u64) {
+        let Some(pending) = self.pending.get_mut(&number) else {
             return;
         };
-        let Some(copy) = waiting.unasked.pop() else {
+        let Some(copy) = pending.untried.pop() else {
             return;
         };
-        waiting.open += 1;
-        let (organisation, units, rank) = (waiting.organisation, waiting.units, waiting.rank);
+        pending.open_queries += 1;
+        let (organisation, units, rank) = (pending.organisation, pending.units, pending.rank);
         let server = self.directory.server_of(Partition::of(organisation, copy));
-        waiting.asked = Some((server, now_us));
-        let question = Question {
+        pending.last_query = Some((server, now_us));
+        let query = Query {
             organisation,
             units,
-            asked_us: now_us,
-            is_repeated: false,
-            is_spare: false,
+            sent_us: now_us,
+            is_resent: false,
+            is_redundant: false,
         };
-        // The answer to the first may come yet: a grant is as old as that.
-        let asked = self.questions.entry((number, copy));
-        asked
-            .and_modify(|q| q.is_repeated = true)
-            .or_insert(question);
+        // The answer to the first query may still arrive, so the age of a grant counts from that one.
+        let query_entry = self.queries.entry((number, copy));
+        query_entry
+            .and_modify(|q| q.is_resent = true)
+            .or_insert(query);
         if server == self.me {
             self.renew(now_us, server);
             let verdict = self.server.grant(now_us, organisation, copy, units, rank);
-            self.take_verdict(now_us, server, (number, copy), verdict);
+            self.handle_verdict(now_us, server, (number, copy), verdict);
             return;
         }
         let lease = self.lease_to(now_us, server);
-        self.directory.asked(now_us, server);
+        self.directory.record_query(now_us, server);
         self.send(
             server,
             Message::Ask {
@@ -804,34 +842,34 @@
 
     fn renew(&mut self, now_us: Micros, server: Incarnation) {
         if server == self.me {
-            self.delegation.note_stamp(server, now_us.max(1));
+            self.delegation.record_stamp(server, now_us.max(1));
         }
         let lease = self.lease_to(now_us, server);
         if server == self.me {
             self.server.lease(now_us, server, &lease);
             return;
         }
-        self.directory.asked(now_us, server);
+        self.directory.record_query(now_us, server);
         self.send(server, Message::Lease(lease));
     }
 
     fn lease_to(&mut self, now_us: Micros, server: Incarnation) -> Lease {
-        self.leased_us.insert(server, now_us);
-        let wanted = match self.knows_instances() {
+        self.last_leased_us.insert(server, now_us);
+        let wanted = match self.knows_instance_count() {
             true => self.directory.partitions_of(server),
             false => PartitionSet::default(),
         };
         let count = self.count(now_us);
         let lease = self.delegation.lease(now_us, server, wanted, count);
         self.sent_leases.push_back((lease.seq, now_us));
-        if self.sent_leases.len() > MOST_SENT_LEASES {
+        if self.sent_leases.len() > MAX_SENT_LEASES {
             self.sent_leases.pop_front();
         }
         lease
     }
 
-    /// Asks for leases back that are with others than those who serve their partitions now.
-    fn ask_back(&mut self, now_us: Micros) {
+    /// Requests the release of leases held by servers that do not serve their partitions any more.
+    fn recall_misplaced(&mut self, now_us: Micros) {
         let directory = &self.directory;
         let misplaced = self
             .delegation
@@ -840,7 +878,7 @@
             let seq = self.delegation.next_seq();
             if to == self.me {
                 self.server.release(now_us, to, seq, partitions);
-                self.delegation.released(to, seq, partitions);
+                self.delegation.confirm_release(to, seq, partitions);
                 continue;
             }
             let release = Message::Release {
@@ -853,30 +891,34 @@
     }
 
     fn send(&mut self, to: Incarnation, message: Message) {
-        let to = Recipient::Start(to);
+        let to = Recipient::Incarnation(to);
         self.outgoing.push(Outgoing { to, message });
     }
 }
 
-/// Returns the accounts in the order in which a request asks them, the first last. Instances begin with different ones.
-fn accounts_from(me: Incarnation, number: u64) -> Vec<u8> {
+/// Returns the accounts in the reverse of the order in which a request queries them. Instances start with different
+/// accounts.
+fn account_order(me: Incarnation, number: u64) -> Vec<u8> {
     let first = (me.0.wrapping_add(number) % u64::from(COPIES)) as u8;
     let accounts = (0..COPIES).rev().map(|c| (first + c) % COPIES);
     accounts.collect()
 }
 
-fn unanswered() -> Denied {
+fn unanswered_denial() -> Denied {
     Denied {
-        wait_us: UNANSWERED_US,
+        wait_us: UNANSWERED_RETRY_US,
         level: None,
-        is_known: false,
+        is_cached: false,
         is_unleased: false,
     }
 }
 
-fn changes(before: &HashMap<u32, Limited>, after: &HashMap<u32, Limited>) -> Vec<LimitChange> {
+fn limit_changes(
+    before: &HashMap<u32, OrganisationLimit>,
+    after: &HashMap<u32, OrganisationLimit>,
+) -> Vec<LimitChange> {
     let organisations: HashSet<u32> = before.keys().chain(after.keys()).copied().collect();
-    let changes = organisations.into_iter().filter_map(|organisation| {
+    let limit_changes = organisations.into_iter().filter_map(|organisation| {
         let (before, after) = (before.get(&organisation), after.get(&organisation));
         let name = &after.or(before)?.name;
         let change = LimitChange {
@@ -886,5 +928,5 @@
         };
         (change.before != change.after).then_some(change)
     });
-    changes.collect()
+    limit_changes.collect()
 }
--- a/src/limits/quota/shares.rs
+++ b/src/limits/quota/shares.rs
@@ -1,100 +1,101 @@
-//! The shares of one partition that are leased to a quota server.
+//! The shares that instances have leased to a quota server in one partition.
 
 use std::collections::HashMap;
 
 use crate::prelude::{Incarnation, Micros};
 
 #[derive(Clone, Copy, Debug)]
-struct Leased {
+struct ShareLease {
     share: f64,
     until_us: Micros,
 }
 
-/// Who leases what, and how much has come of it.
+/// The leased shares by lessor, and their total accumulated over time.
 #[derive(Debug, Default)]
 pub(super) struct Shares {
-    by_lessor: HashMap<Incarnation, Leased>,
-    /// The sum of all shares leased.
+    by_lessor: HashMap<Incarnation, ShareLease>,
+    /// Sum of all leased shares.
     sum: f64,
-    /// The total over time, in seconds of a whole limit.
+    /// Integral of the total over time, in seconds of the full limit rate.
     accrued_s: f64,
-    at_us: Micros,
-    /// No lease ends before this.
-    ends_us: Micros,
+    advanced_to_us: Micros,
+    /// No lease expires before this time.
+    earliest_expiry_us: Micros,
 }
 
 impl Shares {
-    /// Returns the share of a limit that is leased: 1 if all instances lease theirs.
+    /// Returns the fraction of a limit that is leased: 1 if all instances lease their shares.
     pub(super) fn total(&self) -> f64 {
-        // Lessors that believe in different numbers of instances may lease more than all.
+        // Lessors that count different numbers of instances may lease more than the whole in sum.
         self.sum.clamp(0.0, 1.0)
     }
 
-    /// Returns the total over time since the start, in seconds of a whole limit.
+    /// Returns the integral of the total since the start, in seconds of the full limit rate.
     pub(super) fn accrued_s(&self) -> f64 {
         self.accrued_s
     }
 
-    /// Returns how many lease their share.
+    /// Returns the number of instances that lease their shares.
     pub(super) fn lessors(&self) -> usize {
         self.by_lessor.len()
     }
 
-    /// Goes on to `now_us`; true if leases ended.
+    /// Advances to `now_us` and ends expired leases; returns whether there were any.
     pub(super) fn advance(&mut self, now_us: Micros) -> bool {
         let mut has_ended = false;
-        while self.ends_us <= now_us && !self.by_lessor.is_empty() {
-            self.accrue(self.ends_us);
+        while self.earliest_expiry_us <= now_us && !self.by_lessor.is_empty() {
+            self.accrue(self.earliest_expiry_us);
             let before = self.by_lessor.len();
-            let at_us = self.at_us;
-            self.by_lessor.retain(|_, leased| leased.until_us > at_us);
+            let advanced_to_us = self.advanced_to_us;
+            self.by_lessor
+                .retain(|_, leased| leased.until_us > advanced_to_us);
             has_ended |= self.by_lessor.len() < before;
-            self.sum_up();
+            self.recompute();
         }
         self.accrue(now_us);
         has_ended
     }
 
-    /// Takes a lease; call [`Self::advance`] before. True if the total fell.
+    /// Adds or renews a lease, after [`Self::advance`] has been called; returns whether the total fell.
     pub(super) fn lease(&mut self, lessor: Incarnation, share: f64, until_us: Micros) -> bool {
-        if until_us <= self.at_us {
+        if until_us <= self.advanced_to_us {
             return false;
         }
         let before = self.total();
-        let leased = Leased { share, until_us };
+        let leased = ShareLease { share, until_us };
         let replaced = self.by_lessor.insert(lessor, leased);
-        // What a sum gains by rounding goes when leases end.
+        // Rounding errors of the running sum are removed when it is recomputed as leases end.
         self.sum += share - replaced.map_or(0.0, |old| old.share);
-        self.ends_us = match self.by_lessor.len() {
+        self.earliest_expiry_us = match self.by_lessor.len() {
             1 => until_us,
-            _ => self.ends_us.min(until_us),
+            _ => self.earliest_expiry_us.min(until_us),
         };
         self.total() < before
     }
 
-    /// Adds what came of a share while nobody used it.
+    /// Credits what a share accrued while it was not used.
     pub(super) fn add_idle(&mut self, share: f64, idle_us: Micros) {
         self.accrued_s += share * idle_us as f64 / 1e6;
     }
 
-    /// Ends a lease before its time; true if there was one.
+    /// Ends a lease before it expires; returns whether there was one.
     pub(super) fn release(&mut self, lessor: Incarnation) -> bool {
-        let had = self.by_lessor.remove(&lessor).is_some();
-        if had {
-            self.sum_up();
+        let was_leased = self.by_lessor.remove(&lessor).is_some();
+        if was_leased {
+            self.recompute();
         }
-        had
+        was_leased
     }
 
     fn accrue(&mut self, now_us: Micros) {
-        let since_us = now_us.saturating_sub(self.at_us);
+        let since_us = now_us.saturating_sub(self.advanced_to_us);
         self.accrued_s += self.total() * since_us as f64 / 1e6;
-        self.at_us = self.at_us.max(now_us);
+        self.advanced_to_us = self.advanced_to_us.max(now_us);
     }
 
-    fn sum_up(&mut self) {
+    fn recompute(&mut self) {
         self.sum = self.by_lessor.values().map(|l| l.share).sum();
-        let ends = self.by_lessor.values().map(|l| l.until_us);
-        self.ends_us = ends.min().unwrap_or(Micros::MAX);
+        let expiries = self.by_lessor.values().map(|l| l.until_us);
+        self.earliest_expiry_us = expiries.min().unwrap_or(Micros::MAX);
     }
 }
