--- a/src/gateway/intake.rs
+++ b/src/gateway/admission.rs
@@ -27,8 +27,8 @@
 /// What sending a request to another hall costs, as a share of its worth.
 const OTHER_HALL_COST: f64 = 0.05;
 /// The times that callers over a limit are told to come back after.
-const MIN_WAIT_MS: u32 = 50;
-const MAX_WAIT_MS: u32 = 60_000;
+const MIN_RETRY_AFTER_MS: u32 = 50;
+const MAX_RETRY_AFTER_MS: u32 = 60_000;
 /// The length of an answer in tokens of which nothing is known.
 const PRIOR_OUTPUT_TOKENS: u32 = 300;
 
@@ -98,9 +98,9 @@
         let message = format!("the body is longer than {max_bytes} bytes");
         Refusal::bad(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", message)
     };
-    let promised = headers.get(hyper::header::CONTENT_LENGTH);
-    let promised = promised.and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
-    if promised.is_some_and(|p| p > max_bytes as u64) {
+    let declared_bytes = headers.get(hyper::header::CONTENT_LENGTH);
+    let declared_bytes = declared_bytes.and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
+    if declared_bytes.is_some_and(|p| p > max_bytes as u64) {
         return Err(too_large());
     }
     match Limited::new(body, max_bytes).collect().await {
@@ -118,12 +118,12 @@
 ///
 /// # Errors
 /// The limit is used up.
-pub async fn take_from_limit<P: Protocol>(
+pub async fn acquire_quota<P: Protocol>(
     gateway: &Gateway<P>,
     organisation: Option<&Organisation>,
     tokens: Option<u32>,
     rank: Rank,
-    allowed_us: Micros,
+    time_budget_us: Micros,
     trace: &mut Trace,
 ) -> Result<Option<Grant>, Refusal> {
     let limited = organisation.and_then(|o| Some((&*o.name, o.limit?)));
@@ -133,18 +133,18 @@
     let units = limit.units(tokens);
     // One that names no tokens takes next to nothing: it does not leave the last of a limit to others.
     let rank = if tokens.is_some() { rank } else { 0 };
-    let taken = quota::acquire(gateway, name, units, rank, allowed_us).await;
-    taken.map_err(|denied| {
+    let acquired = quota::acquire(gateway, name, units, rank, time_budget_us).await;
+    acquired.map_err(|denied| {
         trace.denied = Some(denied);
-        let wait_ms = u32::try_from(denied.wait_us / 1_000).unwrap_or(u32::MAX);
-        let wait_ms = wait_ms.clamp(MIN_WAIT_MS, MAX_WAIT_MS);
+        let retry_after_ms = u32::try_from(denied.wait_us / 1_000).unwrap_or(u32::MAX);
+        let retry_after_ms = retry_after_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
         // There may be room for this one sooner, but not for all that were refused with it.
-        refuse::over_limit(wait_ms.max(come_back_ms(allowed_us)))
+        refuse::over_limit(retry_after_ms.max(come_back_ms(time_budget_us)))
     })
 }
 
 /// Returns for how long a request is held at most.
-pub fn allowed_us(route: &Route, head: &CallHead) -> Micros {
+pub fn time_budget_us(route: &Route, head: &CallHead) -> Micros {
     let route_us = route.timeout.as_micros() as Micros;
     let caller_us = head.deadline_ms.map_or(route_us, |ms| ms * 1_000);
     caller_us.min(route_us).saturating_sub(ANSWER_MARGIN_US)
@@ -162,7 +162,7 @@
 }
 
 /// Returns what the balancer is asked for a request.
-pub fn ask(
+pub fn placement_request(
     route: &Route,
     head: &CallHead,
     service: Name,
@@ -171,8 +171,11 @@
     homes: Homes,
 ) -> Ask {
     let prompt_tokens = head.tokens.map_or(0, |t| t.prompt);
-    let most = head.tokens.map_or(u32::MAX, |t| t.max_output);
-    let output_tokens = head.output_guess.unwrap_or(PRIOR_OUTPUT_TOKENS).min(most);
+    let max_output_tokens = head.tokens.map_or(u32::MAX, |t| t.max_output);
+    let output_tokens = head
+        .output_guess
+        .unwrap_or(PRIOR_OUTPUT_TOKENS)
+        .min(max_output_tokens);
     Ask {
         service,
         is_stream: route.kind.is_stream(),
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -30,9 +30,9 @@
 };
 
 /// The longest whole answer that is taken.
-const MAX_WHOLE_BYTES: usize = 16 << 20;
+const MAX_BUFFERED_BYTES: usize = 16 << 20;
 /// Longer than any request is held, for those whose endpoint is waited for until their end.
-const UNLIMITED_PATIENCE: Duration = Duration::from_secs(86_400);
+const NO_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(86_400);
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
 /// A request as it was taken from its caller.
@@ -52,7 +52,7 @@
     /// The caller's organisation.
     pub organisation: Option<Name>,
     /// What the balancer is asked.
-    pub ask: Ask,
+    pub placement_request: Ask,
     /// When the caller or the route gives up.
     pub until_us: Micros,
     /// What it is known by when it comes again, once somebody asked.
@@ -69,20 +69,20 @@
     /// never need it.
     pub fn fingerprint(&self) -> Fingerprint {
         let organisation = self.organisation.as_deref();
-        let work_out = || fingerprint(&self.method, &self.uri, organisation, &self.body);
-        *self.fingerprint.get_or_init(work_out)
+        let compute = || fingerprint(&self.method, &self.uri, organisation, &self.body);
+        *self.fingerprint.get_or_init(compute)
     }
 
     /// Returns until when an answer is waited for at most.
-    pub fn until(&self) -> Until {
-        Until {
-            end_us: self.until_us,
-            patient_until: Instant::now() + UNLIMITED_PATIENCE,
+    pub fn deadline(&self) -> AttemptDeadline {
+        AttemptDeadline {
+            request_end_us: self.until_us,
+            attempt_end: Instant::now() + NO_ATTEMPT_TIMEOUT,
         }
     }
 
     /// Returns the caller's id, for logs.
-    pub fn id(&self) -> &str {
+    pub fn request_id(&self) -> &str {
         let id = self.head.request_id.as_ref();
         id.and_then(|id| id.to_str().ok()).unwrap_or("-")
     }
@@ -100,13 +100,13 @@
 }
 
 /// An endpoint's answer of which the head has come.
-pub struct Answered<P: Protocol> {
+pub struct EndpointResponse<P: Protocol> {
     /// The answer.
     pub response: Response<Incoming>,
     /// The connection that it comes through.
     pub connection: EndpointConnection,
     /// What was sent, until this is dropped.
-    pub sent: Sent<P>,
+    pub in_flight: InFlightRequest<P>,
     /// It says that the request was not run.
     pub not_executed: bool,
     /// It carries proof that it is the endpoint's own.
@@ -115,34 +115,37 @@
 
 /// Until when an answer is waited for.
 #[derive(Clone, Copy, Debug)]
-pub struct Until {
+pub struct AttemptDeadline {
     /// The request is over, by the gateway's clock: its caller counts suspensions of this machine, too.
-    pub end_us: Micros,
+    pub request_end_us: Micros,
     /// The endpoint has had its time, by the steady clock: what it sent during a suspension comes after it.
-    pub patient_until: Instant,
+    pub attempt_end: Instant,
 }
 
-impl Until {
+impl AttemptDeadline {
     /// Waits for something; none if it has not come in time.
     pub async fn wait<F: Future>(self, clock: Clock, future: F) -> Option<F::Output> {
-        let patient = time::timeout_at(self.patient_until, future);
-        clock.timeout_at(self.end_us, patient).await?.ok()
+        let answer_in_time = time::timeout_at(self.attempt_end, future);
+        clock
+            .timeout_at(self.request_end_us, answer_in_time)
+            .await?
+            .ok()
     }
 }
 
 /// What came of an attempt that brought no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failed {
+pub enum AttemptError {
     /// No byte reached the endpoint.
     NotSent(&'static str),
     /// The connection broke: the endpoint may have run the request, and may have ended.
-    Broke(&'static str),
+    ConnectionLost(&'static str),
     /// The endpoint may have run the request.
     Unknown(&'static str),
 }
 
 /// A request that is at an endpoint; accounted for until dropped.
-pub struct Sent<P: Protocol> {
+pub struct InFlightRequest<P: Protocol> {
     gateway: Arc<Gateway<P>>,
     /// The endpoint.
     pub choice: Choice,
@@ -151,65 +154,65 @@
     /// The version of what was known then of the endpoint's limit.
     pub(super) limit_version: u32,
     /// The head of an answer came.
-    is_answered: bool,
-    first_seen: bool,
-    counts_hold: bool,
-    is_over: bool,
+    has_response_head: bool,
+    has_first_event: bool,
+    records_hold_time: bool,
+    is_finished: bool,
 }
 
-impl<P: Protocol> Sent<P> {
+impl<P: Protocol> InFlightRequest<P> {
     fn new(gateway: Arc<Gateway<P>>, choice: Choice) -> Self {
         Self {
             at_us: gateway.clock.now_us(),
             limit_version: 0,
             gateway,
             choice,
-            is_answered: false,
-            first_seen: false,
-            counts_hold: false,
-            is_over: false,
+            has_response_head: false,
+            has_first_event: false,
+            records_hold_time: false,
+            is_finished: false,
         }
     }
 
     /// Notes the first event or the whole answer.
-    pub fn first_event(&mut self) {
-        if self.first_seen {
+    pub fn note_first_event(&mut self) {
+        if self.has_first_event {
             return;
         }
-        self.first_seen = true;
+        self.has_first_event = true;
         let took_ms = self.age_ms();
         self.gateway.balancer().first_event(&self.choice, took_ms);
     }
 
     /// Notes that the answer is whole; the time it took teaches how long slots are held.
-    pub fn whole(&mut self) {
-        self.counts_hold = true;
+    pub fn note_complete(&mut self) {
+        self.records_hold_time = true;
         let now_us = self.gateway.clock.now_us();
         let mut balancer = self.gateway.balancer();
         balancer.learn(self.choice.key, |s| s.ended(now_us, false));
     }
 
     /// Notes a failure of the endpoint.
-    pub fn failed(&self) {
+    pub fn note_failure(&self) {
         let now_us = self.gateway.clock.now_us();
         let mut balancer = self.gateway.balancer();
         balancer.learn(self.choice.key, |s| s.ended(now_us, true));
     }
 
     /// Ends the account of it before it is dropped.
-    pub fn end(&mut self) {
-        if std::mem::replace(&mut self.is_over, true) {
+    pub fn finish(&mut self) {
+        if std::mem::replace(&mut self.is_finished, true) {
             return;
         }
-        let waiting_tokens = if self.first_seen {
+        let waiting_tokens = if self.has_first_event {
             0
         } else {
             self.choice.expected.uncached_tokens
         };
-        let held_ms = self.counts_hold.then(|| self.age_ms());
+        let held_ms = self.records_hold_time.then(|| self.age_ms());
         let mut balancer = self.gateway.balancer();
         balancer.end(self.choice.key, waiting_tokens, held_ms);
-        if !self.is_answered {
+        if !self.has_response_head {
             balancer.note_unanswered(self.choice.key, self.at_us);
         }
         drop(balancer);
@@ -222,9 +225,9 @@
     }
 }
 
-impl<P: Protocol> Drop for Sent<P> {
+impl<P: Protocol> Drop for InFlightRequest<P> {
     fn drop(&mut self) {
-        self.end();
+        self.finish();
     }
 }
 
@@ -237,56 +240,57 @@
     job: &Job,
     choice: Choice,
     resume_after: Option<u64>,
-    until: Until,
-) -> Result<Answered<P>, Failed> {
-    let mut sent = Sent::new(gateway.clone(), choice);
-    let mut connection = connect(gateway, job, &sent).await?;
+    until: AttemptDeadline,
+) -> Result<EndpointResponse<P>, AttemptError> {
+    let mut in_flight = InFlightRequest::new(gateway.clone(), choice);
+    let mut connection = connect(gateway, job, &in_flight).await?;
     gateway
-        .check_gate(sent.choice.key)
-        .map_err(Failed::NotSent)?;
+        .check_before_send(in_flight.choice.key)
+        .map_err(AttemptError::NotSent)?;
     if gateway.blocked_us(|| job.fingerprint()).is_some() {
         // Endpoints ended under it while it waited.
-        return Err(Failed::NotSent(refuse::ENDS_ENDPOINTS));
+        return Err(AttemptError::NotSent(refuse::ENDS_ENDPOINTS));
     }
-    sent.at_us = gateway.clock.now_us();
-    sent.limit_version = endpoint_words::note_sent(gateway, sent.choice.key, sent.at_us);
-    let request = forwarded(gateway, job, &sent.choice, resume_after);
+    in_flight.at_us = gateway.clock.now_us();
+    in_flight.limit_version =
+        endpoint_words::note_sent(gateway, in_flight.choice.key, in_flight.at_us);
+    let request = build_request(gateway, job, &in_flight.choice, resume_after);
     let answer = connection.sender.send_request(request);
     let response = match until.wait(gateway.clock, answer).await {
         Some(Ok(response)) => response,
-        Some(Err(error)) if error.is_canceled() => return Err(Failed::NotSent("closed_before")),
+        Some(Err(e)) if e.is_canceled() => return Err(AttemptError::NotSent("closed_before")),
         Some(Err(_)) => {
-            sent.failed();
-            return Err(Failed::Broke("connection_broke"));
+            in_flight.note_failure();
+            return Err(AttemptError::ConnectionLost("connection_broke"));
         }
         None => {
-            sent.failed();
-            return Err(Failed::Unknown("no_answer"));
+            in_flight.note_failure();
+            return Err(AttemptError::Unknown("no_answer"));
         }
     };
-    sent.is_answered = true;
+    in_flight.has_response_head = true;
     let status = response.status();
     let head = gateway.protocol.read_answer(status, response.headers());
-    endpoint_words::heard(gateway, &sent, &head);
+    endpoint_words::heard(gateway, &in_flight, &head);
     if head.request_id != job.head.request_id {
         // A surplus answer of an earlier request; ours may run all the same.
-        sent.failed();
-        return Err(Failed::Unknown("foreign_answer"));
+        in_flight.note_failure();
+        return Err(AttemptError::Unknown("foreign_answer"));
     }
     if status != StatusCode::MISDIRECTED_REQUEST {
-        endpoint_words::heard_limit(gateway, &sent, &head);
+        endpoint_words::heard_limit(gateway, &in_flight, &head);
     }
-    if let Some(word) = head.load {
+    if let Some(report) = head.load {
         let now_us = gateway.clock.now_us();
         gateway
             .balancer()
             .picture_mut()
-            .report(now_us, sent.choice.key, word);
+            .report(now_us, in_flight.choice.key, report);
     }
-    Ok(Answered {
+    Ok(EndpointResponse {
         response,
         connection,
-        sent,
+        in_flight,
         not_executed: head.not_executed,
         is_signed: head.is_signed,
     })
@@ -296,9 +300,9 @@
 async fn connect<P: Protocol>(
     gateway: &Gateway<P>,
     job: &Job,
-    sent: &Sent<P>,
-) -> Result<EndpointConnection, Failed> {
-    let addr = sent.choice.addr;
+    in_flight: &InFlightRequest<P>,
+) -> Result<EndpointConnection, AttemptError> {
+    let addr = in_flight.choice.addr;
     if job.is_repeatable()
         && let Some(kept) = gateway.connections.take(gateway.clock.now_us(), addr)
     {
@@ -308,12 +312,12 @@
     EndpointConnection::open(addr).await.map_err(|_| {
         let now_us = gateway.clock.now_us();
         let mut balancer = gateway.balancer();
-        balancer.learn(sent.choice.key, |s| s.unreachable(now_us));
-        Failed::NotSent("unreachable")
+        balancer.learn(in_flight.choice.key, |s| s.unreachable(now_us));
+        AttemptError::NotSent("unreachable")
     })
 }
 
-fn forwarded<P: Protocol>(
+fn build_request<P: Protocol>(
     gateway: &Gateway<P>,
     job: &Job,
     choice: &Choice,
@@ -337,7 +341,7 @@
 }
 
 /// A whole answer.
-pub struct Whole {
+pub struct BufferedResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers, without those of one connection.
@@ -350,41 +354,41 @@
 ///
 /// # Errors
 /// The answer broke off, or did not come in time: the request may have run.
-pub async fn collect<P: Protocol>(
+pub async fn buffer_response<P: Protocol>(
     gateway: &Gateway<P>,
-    answered: Answered<P>,
-    until: Until,
-) -> Result<Whole, Failed> {
-    let Answered {
+    answered: EndpointResponse<P>,
+    until: AttemptDeadline,
+) -> Result<BufferedResponse, AttemptError> {
+    let EndpointResponse {
         response,
         connection,
-        mut sent,
+        mut in_flight,
         ..
     } = answered;
     let (parts, body) = response.into_parts();
-    let rests = may_rest(&parts.headers, parts.status);
-    let body = Limited::new(body, MAX_WHOLE_BYTES).collect();
+    let reuse = connection_reuse(&parts.headers, parts.status);
+    let body = Limited::new(body, MAX_BUFFERED_BYTES).collect();
     let collected = match until.wait(gateway.clock, body).await {
         Some(Ok(collected)) => collected,
         Some(Err(_)) => {
-            sent.failed();
-            return Err(Failed::Broke("answer_broke_off"));
+            in_flight.note_failure();
+            return Err(AttemptError::ConnectionLost("answer_broke_off"));
         }
         None => {
-            sent.failed();
-            return Err(Failed::Unknown("answer_broke_off"));
+            in_flight.note_failure();
+            return Err(AttemptError::Unknown("answer_broke_off"));
         }
     };
     if parts.status.is_success() {
-        sent.first_event();
-        sent.whole();
+        in_flight.note_first_event();
+        in_flight.note_complete();
     }
-    if let Some(closes_after) = rests {
-        keep(gateway, &sent, connection, closes_after);
+    if let Some(idle_timeout) = reuse {
+        keep_connection(gateway, &in_flight, connection, idle_timeout);
     }
     let mut headers = parts.headers;
     strip_connection_headers(&mut headers);
-    Ok(Whole {
+    Ok(BufferedResponse {
         status: parts.status,
         headers,
         body: collected.to_bytes(),
@@ -392,42 +396,42 @@
 }
 
 /// Keeps a connection whose answer was read whole.
-pub fn keep<P: Protocol>(
+pub fn keep_connection<P: Protocol>(
     gateway: &Gateway<P>,
-    sent: &Sent<P>,
+    in_flight: &InFlightRequest<P>,
     connection: EndpointConnection,
-    closes_after: Option<Duration>,
+    idle_timeout: Option<Duration>,
 ) {
     let now_us = gateway.clock.now_us();
-    let addr = sent.choice.addr;
+    let addr = in_flight.choice.addr;
     if connection.is_open() {
         gateway
             .connections
-            .keep(now_us, addr, connection, closes_after);
+            .keep(now_us, addr, connection, idle_timeout);
     }
 }
 
 /// Returns whether a connection may be kept after an answer, and for how long if that is said.
-pub fn may_rest(headers: &HeaderMap, status: StatusCode) -> Option<Option<Duration>> {
+pub fn connection_reuse(headers: &HeaderMap, status: StatusCode) -> Option<Option<Duration>> {
     // After a failure the endpoint may not have read the whole request.
-    if !status.is_success() || has_close(headers) {
+    if !status.is_success() || has_close_option(headers) {
         return None;
     }
-    Some(closes_after(headers))
+    Some(idle_timeout(headers))
 }
 
-fn has_close(headers: &HeaderMap) -> bool {
+fn has_close_option(headers: &HeaderMap) -> bool {
     let values = headers.get_all(hyper::header::CONNECTION).iter();
-    let mut words = values
+    let mut options = values
         .filter_map(|v| v.to_str().ok())
         .flat_map(|v| v.split(','));
-    words.any(|w| w.trim().eq_ignore_ascii_case("close"))
+    options.any(|o| o.trim().eq_ignore_ascii_case("close"))
 }
 
-fn closes_after(headers: &HeaderMap) -> Option<Duration> {
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
-    let mut words = value.split(',').map(str::trim);
-    let seconds = words.find_map(|w| w.strip_prefix("timeout="))?;
+    let mut parameters = value.split(',').map(str::trim);
+    let seconds = parameters.find_map(|p| p.strip_prefix("timeout="))?;
     Some(Duration::from_secs(seconds.parse().ok()?))
 }
 
@@ -461,6 +465,6 @@
 }
 
 /// Returns a header's text for logs.
-pub fn shown(value: Option<&HeaderValue>) -> &str {
+pub fn header_for_log(value: Option<&HeaderValue>) -> &str {
     value.and_then(|v| v.to_str().ok()).unwrap_or("-")
 }
--- a/src/gateway/front.rs
+++ b/src/gateway/caller_listener.rs
@@ -21,7 +21,7 @@
 
 /// How a listener ends.
 #[derive(Clone, Default)]
-pub struct FrontStop {
+pub struct ListenerStop {
     /// No connection is accepted any more.
     pub accept: CancellationToken,
     /// Connections close once they rest.
@@ -33,9 +33,9 @@
     gateway: Arc<Gateway<P>>,
     listener: TcpListener,
     max_connections: usize,
-    stop: FrontStop,
+    stop: ListenerStop,
 ) {
-    let FrontStop {
+    let ListenerStop {
         accept,
         connections,
     } = stop;
--- a/src/gateway/patience.rs
+++ b/src/gateway/caller_timeouts.rs
@@ -19,116 +19,125 @@
 /// The least share of a route's callers that must say the same for it to be the usual: where
 /// everybody waits for another time, nothing follows from one that is short. In a surge up to a half
 /// of the callers are back for the second time.
-const MIN_USUAL_SHARE: f64 = 0.3;
+const MIN_TYPICAL_SHARE: f64 = 0.3;
 /// The usual is what differs by less than this share from the longest.
-const USUAL_TOLERANCE: f64 = 0.02;
+const TYPICAL_TOLERANCE: f64 = 0.02;
 /// Gain of one caller in the share, which stands for the latest fifty or so.
 const GAIN: f64 = 0.02;
 /// Routes that are known at most; with more, all are learned anew.
-const MOST_ROUTES: usize = 4_096;
+const MAX_ROUTES: usize = 4_096;
 
 /// First tries of a route that are remembered, the latest.
-const FIRST_TRIES: usize = 64;
+const MAX_FIRST_ATTEMPTS: usize = 64;
 /// Fewer than this say little of where their times end.
-const MIN_FIRST_TRIES: usize = 4;
+const MIN_FIRST_ATTEMPTS: usize = 4;
 /// At most this share of first tries may say so little that one of them would be taken for one that is
 /// back; else callers differ too much for anything to follow. Some that others refused are among them.
-const MAX_MISTAKEN_SHARE: f64 = 0.1;
+const MAX_MISCLASSIFIED_SHARE: f64 = 0.1;
 
 /// What callers of one route say at their first try.
 #[derive(Debug, Default)]
-struct FirstTries {
+struct FirstAttempts {
     latest_us: VecDeque<Micros>,
     /// Whoever says less is back; 0 if that cannot be told.
-    least_us: Micros,
+    min_first_us: Micros,
     /// What the one in the middle says.
     median_us: Micros,
 }
 
-impl FirstTries {
-    fn learn(&mut self, patience_us: Micros) {
-        if self.latest_us.len() >= FIRST_TRIES {
+impl FirstAttempts {
+    fn learn(&mut self, timeout_us: Micros) {
+        if self.latest_us.len() >= MAX_FIRST_ATTEMPTS {
             self.latest_us.pop_front();
         }
-        self.latest_us.push_back(patience_us);
+        self.latest_us.push_back(timeout_us);
         let mut sorted: Vec<Micros> = self.latest_us.iter().copied().collect();
         sorted.sort_unstable();
         // The longest may be one that nobody else is like.
         let Some(longest_us) = sorted.len().checked_sub(2).map(|at| sorted[at]) else {
             return;
         };
-        let away_us = u64::from(come_back_ms(longest_us)) * 1_000;
-        let least_us = longest_us.saturating_sub(away_us);
-        let mistaken = sorted.iter().take_while(|us| **us < least_us).count();
-        let is_known = sorted.len() >= MIN_FIRST_TRIES
-            && mistaken as f64 <= sorted.len() as f64 * MAX_MISTAKEN_SHARE;
-        self.least_us = if is_known { least_us } else { 0 };
+        let retry_after_us = u64::from(come_back_ms(longest_us)) * 1_000;
+        let min_first_us = longest_us.saturating_sub(retry_after_us);
+        let misclassified = sorted.iter().take_while(|us| **us < min_first_us).count();
+        let is_separable = sorted.len() >= MIN_FIRST_ATTEMPTS
+            && misclassified as f64 <= sorted.len() as f64 * MAX_MISCLASSIFIED_SHARE;
+        self.min_first_us = if is_separable { min_first_us } else { 0 };
         self.median_us = sorted[sorted.len() / 2];
     }
 
-    fn waited_us(&self, patience_us: Micros) -> Micros {
-        if patience_us >= self.least_us {
+    fn waited_us(&self, timeout_us: Micros) -> Micros {
+        if timeout_us >= self.min_first_us {
             return 0;
         }
-        self.median_us.saturating_sub(patience_us)
+        self.median_us.saturating_sub(timeout_us)
     }
 }
 
 /// What the callers of one route say.
 #[derive(Debug)]
-struct Usual {
-    patience_us: Micros,
+struct RouteTimeouts {
+    timeout_us: Micros,
     /// The share of callers that say so.
     share: f64,
-    first_tries: FirstTries,
+    first_attempts: FirstAttempts,
 }
 
-impl Usual {
-    fn is_like(&self, patience_us: Micros) -> bool {
-        patience_us as f64 >= self.patience_us as f64 * (1.0 - USUAL_TOLERANCE)
+impl RouteTimeouts {
+    fn is_typical(&self, timeout_us: Micros) -> bool {
+        timeout_us as f64 >= self.timeout_us as f64 * (1.0 - TYPICAL_TOLERANCE)
     }
 
-    fn learn(&mut self, patience_us: Micros) {
-        let seen = if self.is_like(patience_us) { 1.0 } else { 0.0 };
-        self.share += (seen - self.share) * GAIN;
+    fn learn(&mut self, timeout_us: Micros) {
+        let hit = if self.is_typical(timeout_us) {
+            1.0
+        } else {
+            0.0
+        };
+        self.share += (hit - self.share) * GAIN;
         // A longer one replaces it, and has to be said by others too before anything follows from it;
         // one that nobody else says gives way.
-        if patience_us > self.patience_us || self.share < GAIN {
-            self.patience_us = patience_us;
-            self.share = MIN_USUAL_SHARE;
+        if timeout_us > self.timeout_us || self.share < GAIN {
+            self.timeout_us = timeout_us;
+            self.share = MIN_TYPICAL_SHARE;
         }
     }
 }
 
 /// How long the callers of each route usually wait.
 #[derive(Debug, Default)]
-pub struct UsualPatience {
-    routes: HashMap<Name, Usual>,
+pub struct TypicalTimeouts {
+    routes: HashMap<Name, RouteTimeouts>,
 }
 
-impl UsualPatience {
-    /// Learns that a caller of a route waits for `patience_us` from now; returns for how long it has
-    /// waited already, 0 if that cannot be told. `is_calm` says that nobody was refused within that time,
+impl TypicalTimeouts {
+    /// Learns that a caller of a route waits for `timeout_us` from now; returns for how long it has
+    /// waited already, 0 if that cannot be told. `no_recent_refusals` says that nobody was refused within that time,
     /// so that it comes for the first time.
-    pub fn waited_us(&mut self, route: &Name, patience_us: Micros, is_calm: bool) -> Micros {
-        if self.routes.len() >= MOST_ROUTES && !self.routes.contains_key(route) {
+    pub fn waited_us(
+        &mut self,
+        route: &Name,
+        timeout_us: Micros,
+        no_recent_refusals: bool,
+    ) -> Micros {
+        if self.routes.len() >= MAX_ROUTES && !self.routes.contains_key(route) {
             self.routes.clear();
         }
-        let usual = self.routes.entry(route.clone()).or_insert(Usual {
-            patience_us,
-            share: MIN_USUAL_SHARE,
-            first_tries: FirstTries::default(),
+        let timeouts = self.routes.entry(route.clone()).or_insert(RouteTimeouts {
+            timeout_us,
+            share: MIN_TYPICAL_SHARE,
+            first_attempts: FirstAttempts::default(),
         });
-        usual.learn(patience_us);
-        if is_calm {
-            usual.first_tries.learn(patience_us);
+        timeouts.learn(timeout_us);
+        if no_recent_refusals {
+            timeouts.first_attempts.learn(timeout_us);
         }
-        if usual.is_like(patience_us) {
+        if timeouts.is_typical(timeout_us) {
             return 0;
         }
-        if usual.share < MIN_USUAL_SHARE {
-            return usual.first_tries.waited_us(patience_us);
+        if timeouts.share < MIN_TYPICAL_SHARE {
+            return timeouts.first_attempts.waited_us(timeout_us);
         }
-        usual.patience_us.saturating_sub(patience_us)
+        timeouts.timeout_us.saturating_sub(timeout_us)
     }
 }
--- a/src/gateway/endings.rs
+++ b/src/gateway/crash_check.rs
@@ -21,135 +21,135 @@
     prelude::Micros,
 };
 
-/// The pauses before each look. All connections to an endpoint that ends break within some milliseconds;
+/// The pauses before each check. All connections to an endpoint that ends break within some milliseconds;
 /// where requests of this instance seem to go on, the later looks tell whether they do.
-const LOOKS: [Duration; 3] = [
+const PROBE_DELAYS: [Duration; 3] = [
     Duration::from_millis(40),
     Duration::from_millis(100),
     Duration::from_millis(200),
 ];
 /// A port where nothing listens refuses within the round trip; links between halls take some
 /// milliseconds.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// For how long it is remembered that an endpoint has ended: requests that were sent there just before
 /// break later.
-const REMEMBERED_US: Micros = 5_000_000;
+const VERDICT_TTL_US: Micros = 5_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Verdict {
-    Looking,
-    Lives,
-    Ended,
+    Pending,
+    Alive,
+    Crashed,
 }
 
-struct Look {
-    at_us: Micros,
+struct Check {
+    started_us: Micros,
     verdict: watch::Receiver<Verdict>,
 }
 
 /// The endpoints that are looked at, and those that have ended of late.
 #[derive(Default)]
-pub struct Endings {
-    looks: Mutex<HashMap<EndpointKey, Look>>,
+pub struct CrashChecks {
+    checks: Mutex<HashMap<EndpointKey, Check>>,
 }
 
-impl Endings {
+impl CrashChecks {
     /// Returns the verdict on an endpoint, and where to put it if nobody looks yet.
     fn join(
         &self,
         now_us: Micros,
         key: EndpointKey,
     ) -> (watch::Receiver<Verdict>, Option<watch::Sender<Verdict>>) {
-        let mut looks = self.looks.lock().unwrap_or_else(PoisonError::into_inner);
-        looks.retain(|_, look| {
-            let is_recent = now_us.saturating_sub(look.at_us) < REMEMBERED_US;
+        let mut checks = self.checks.lock().unwrap_or_else(PoisonError::into_inner);
+        checks.retain(|_, check| {
+            let is_recent = now_us.saturating_sub(check.started_us) < VERDICT_TTL_US;
             // A link may be reset twice in a second: that it was not the end once says nothing of now.
-            is_recent && *look.verdict.borrow() != Verdict::Lives
+            is_recent && *check.verdict.borrow() != Verdict::Alive
         });
-        if let Some(look) = looks.get(&key) {
-            return (look.verdict.clone(), None);
+        if let Some(check) = checks.get(&key) {
+            return (check.verdict.clone(), None);
         }
-        let (sender, verdict) = watch::channel(Verdict::Looking);
-        let look = Look {
-            at_us: now_us,
+        let (sender, verdict) = watch::channel(Verdict::Pending);
+        let check = Check {
+            started_us: now_us,
             verdict: verdict.clone(),
         };
-        looks.insert(key, look);
+        checks.insert(key, check);
         (verdict, Some(sender))
     }
 }
 
 /// Finds out whether the endpoint at which a request's connection has just broken has ended, and notes it. A
 /// request under which none ended before need not wait for that: it goes on elsewhere at once.
-pub async fn connection_broke<P: Protocol>(
+pub async fn on_connection_lost<P: Protocol>(
     gateway: &Arc<Gateway<P>>,
     job: &Arc<Job>,
     choice: Choice,
-    broke_before: bool,
+    lost_before: bool,
 ) {
-    let is_suspected = broke_before || gateway.suspects().is_suspected(job.fingerprint());
+    let is_suspected = lost_before || gateway.suspects().is_suspected(job.fingerprint());
     // On its own, since the caller may leave meanwhile.
-    let noting = tokio::spawn(note_ending(gateway.clone(), job.clone(), choice));
+    let recording = tokio::spawn(record_crash(gateway.clone(), job.clone(), choice));
     if is_suspected {
         // It fails only where the process is about to end.
-        let _ = noting.await;
+        let _ = recording.await;
     }
 }
 
-async fn note_ending<P: Protocol>(gateway: Arc<Gateway<P>>, job: Arc<Job>, choice: Choice) {
-    if !has_ended(&gateway, choice.key, choice.addr).await {
+async fn record_crash<P: Protocol>(gateway: Arc<Gateway<P>>, job: Arc<Job>, choice: Choice) {
+    if !has_crashed(&gateway, choice.key, choice.addr).await {
         return;
     }
     let now_us = gateway.clock.now_us();
     let fingerprint = job.fingerprint();
-    let endings = {
+    let crashes = {
         let mut suspects = gateway.suspects();
         suspects.note_ending(now_us, fingerprint, choice.key);
         suspects.endings(fingerprint)
     };
-    log_ending(&gateway, &job, &choice.id, endings);
+    log_ending(&gateway, &job, &choice.id, crashes);
 }
 
 /// Returns whether the endpoint at which a connection has just broken has ended. Looking takes 40 ms, and
 /// 1.1 s at most: three pauses, and three connects that nobody answers.
-pub async fn has_ended<P: Protocol>(
+pub async fn has_crashed<P: Protocol>(
     gateway: &Arc<Gateway<P>>,
     key: EndpointKey,
     addr: SocketAddr,
 ) -> bool {
     let (mut verdict, sender) = gateway.endings.join(gateway.clock.now_us(), key);
     if let Some(sender) = sender {
-        let looking = gateway.clone();
+        let prober = gateway.clone();
         tokio::spawn(async move {
-            let found = look(&looking, key, addr).await;
+            let found = probe(&prober, key, addr).await;
             sender.send_replace(found);
         });
     }
-    let verdict = verdict.wait_for(|v| *v != Verdict::Looking).await;
+    let verdict = verdict.wait_for(|v| *v != Verdict::Pending).await;
     // Without a verdict the process is about to end.
-    verdict.is_ok_and(|v| *v == Verdict::Ended)
+    verdict.is_ok_and(|v| *v == Verdict::Crashed)
 }
 
-async fn look<P: Protocol>(gateway: &Gateway<P>, key: EndpointKey, addr: SocketAddr) -> Verdict {
+async fn probe<P: Protocol>(gateway: &Gateway<P>, key: EndpointKey, addr: SocketAddr) -> Verdict {
     // One that has said that it leaves, or has left the set, ends as planned.
     let now_us = gateway.clock.now_us();
     if gateway.balancer().standing(now_us, key) == Standing::Leaves {
-        return Verdict::Lives;
+        return Verdict::Alive;
     }
     let mut refusals = 0;
-    for pause in LOOKS {
-        time::sleep(pause).await;
-        match time::timeout(LOOK_TIMEOUT, TcpStream::connect(addr)).await {
-            Ok(Ok(_)) => return Verdict::Lives,
+    for delay in PROBE_DELAYS {
+        time::sleep(delay).await;
+        match time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
+            Ok(Ok(_)) => return Verdict::Alive,
             Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => refusals += 1,
             // No word from there: the link may be cut.
             Ok(Err(_)) | Err(_) => continue,
         }
         // What a caller does not read seems to go on; each look tells the same by then.
-        let goes_on = gateway.balancer().picture().own_requests(key) > 0;
-        if !goes_on || refusals == LOOKS.len() {
-            return Verdict::Ended;
+        let has_own_requests = gateway.balancer().picture().own_requests(key) > 0;
+        if !has_own_requests || refusals == PROBE_DELAYS.len() {
+            return Verdict::Crashed;
         }
     }
-    Verdict::Lives
+    Verdict::Alive
 }
--- a/src/gateway/endpoint_words.rs
+++ b/src/gateway/endpoint_words.rs
@@ -11,7 +11,7 @@
 use crate::{
     balance::{balancer::Choice, load::EndpointKey},
     gateway::{
-        attempt::Sent,
+        attempt::InFlightRequest,
         protocol::{AnswerHead, Protocol},
         state::Gateway,
     },
@@ -53,7 +53,11 @@
 }
 
 /// Takes what an endpoint says of itself in any answer, one to an earlier request included.
-pub(super) fn heard<P: Protocol>(gateway: &Gateway<P>, sent: &Sent<P>, head: &AnswerHead) {
+pub(super) fn heard<P: Protocol>(
+    gateway: &Gateway<P>,
+    sent: &InFlightRequest<P>,
+    head: &AnswerHead,
+) {
     for name in &head.unread {
         gateway.metrics.answer_headers_unread.inc();
         if gateway.unread_headers.note(name) {
@@ -104,7 +108,11 @@
 
 /// Takes an endpoint's word on its limit from an answer to a request that was sent when `sent.limit_version` was
 /// the version of what was known.
-pub(super) fn heard_limit<P: Protocol>(gateway: &Gateway<P>, sent: &Sent<P>, head: &AnswerHead) {
+pub(super) fn heard_limit<P: Protocol>(
+    gateway: &Gateway<P>,
+    sent: &InFlightRequest<P>,
+    head: &AnswerHead,
+) {
     let choice = &sent.choice;
     let now_us = gateway.clock.now_us();
     let mut balancer = gateway.balancer();
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,38 +1,37 @@
 //! The request path over routes, discovered endpoints and organisations' limits: callers come in by
-//! [`front`], a request is run by [`run`], and [`crate::balance`] decides where it goes.
+//! [`caller_listener`], a request is run by [`run`], and [`crate::balance`] decides where it goes.
 //!
 //! In whose words callers and endpoints speak is a [`protocol::Protocol`]'s matter.
 
 mod acting;
+pub mod admission;
 pub mod aggregators;
 mod asking;
 pub mod attempt;
 pub mod block_list;
+pub mod caller_listener;
+pub mod caller_timeouts;
 pub mod config;
 pub mod copies;
-pub mod endings;
+pub mod crash_check;
 pub mod endpoint_words;
 pub mod evacuations;
 pub mod exchange;
 pub mod far_book;
 mod fetching;
 pub mod freshness;
-pub mod front;
-pub mod gate;
 pub mod hall_book;
 pub mod halls;
 pub mod heard;
 mod hearing;
 pub mod instance_count;
-pub mod intake;
 pub mod limit_log;
 pub mod line_budget;
 pub mod metrics;
 pub mod pace;
 pub mod packed;
-pub mod patience;
 pub mod permits;
-mod placing;
+mod placement;
 pub mod probes;
 pub mod protocol;
 pub mod quota;
@@ -43,6 +42,7 @@
 mod rounds;
 pub mod routes;
 pub mod run;
+pub mod send_check;
 pub mod staleness;
 pub mod state;
 pub mod stop;
--- a/src/gateway/placing.rs
+++ b/src/gateway/placement.rs
@@ -21,12 +21,12 @@
 
 /// So many endpoints that take only so many requests a second are asked permits for, one after the other, for one
 /// request: two milliseconds each, and after that whoever refuses is not asked for a while.
-const MOST_PERMITS_ASKED: usize = 3;
+const MAX_PERMIT_REQUESTS: usize = 3;
 /// When a caller may come back whose request endpoints turned away, where others have not.
-const TURNED_AWAY_BACK_MS: u32 = 500;
+const REJECTED_RETRY_AFTER_MS: u32 = 500;
 /// Endpoints at rest that are named when a place is asked for, at most, at 5 bytes each. A place at another of them is not
 /// taken.
-const MOST_CLOSED_TOLD: usize = 128;
+const MAX_RESTING_EXCLUDED: usize = 128;
 
 impl<P: Protocol> Gateway<P> {
     /// Decides on a request, waiting for a slot if it must. Those in `tried` are not chosen.
@@ -38,24 +38,24 @@
         if let Some(refusal) = refusal {
             return refusal;
         }
-        if let Some(placement) = self.reserve(ask, tried).await {
+        if let Some(placement) = self.reserve_place(ask, tried).await {
             return placement;
         }
-        self.place_here(ask, tried).await
+        self.place_locally(ask, tried).await
     }
 
     /// Asks the instance that gives places at the hall's endpoints for one; none if there is none, it does
     /// not answer in time, or knows an endpoint that this instance does not.
-    async fn reserve(&self, ask: &Ask, tried: &[EndpointKey]) -> Option<Placement> {
+    async fn reserve_place(&self, ask: &Ask, tried: &[EndpointKey]) -> Option<Placement> {
         // Whoever gives places does not know the regions in which a request may be served.
         if !ask.is_stream || ask.homes.are_named() {
             return None;
         }
         let ledger = self.reserver.ledger(self.clock.now_us())?;
         self.metrics.places_asked.inc();
-        let closed = self.closed_to_me(tried);
-        let answer = self.reserver.ask(self.clock, ledger, ask, &closed).await;
-        let placement = answer.and_then(|answer| self.take_answer(ask, answer));
+        let excluded = self.excluded_endpoints(tried);
+        let answer = self.reserver.ask(self.clock, ledger, ask, &excluded).await;
+        let placement = answer.and_then(|answer| self.apply_place_answer(ask, answer));
         if placement.is_none() {
             self.metrics.places_unanswered.inc();
         }
@@ -63,23 +63,25 @@
     }
 
     /// Returns the endpoints that a place is not to be given at: those tried, and those that rest from this instance.
-    fn closed_to_me(&self, tried: &[EndpointKey]) -> Vec<EndpointKey> {
+    fn excluded_endpoints(&self, tried: &[EndpointKey]) -> Vec<EndpointKey> {
         let now_us = self.clock.now_us();
         let at_rest = self.balancer().rests().at_rest(now_us);
-        let mut closed = tried.to_vec();
-        closed.extend(at_rest.into_iter().take(MOST_CLOSED_TOLD));
-        closed
+        let mut excluded = tried.to_vec();
+        excluded.extend(at_rest.into_iter().take(MAX_RESTING_EXCLUDED));
+        excluded
     }
 
     /// Returns when a caller may come back whose request endpoints turned away.
-    pub fn turned_away_back_ms(&self, service: &Name) -> u32 {
+    pub fn retry_after_rejections_ms(&self, service: &Name) -> u32 {
         let now_us = self.clock.now_us();
-        let back_us = self.balancer().first_back_us(now_us, service);
-        back_us.map_or(TURNED_AWAY_BACK_MS, |back_us| back_ms(now_us, back_us))
+        let retry_at_us = self.balancer().first_back_us(now_us, service);
+        retry_at_us.map_or(REJECTED_RETRY_AFTER_MS, |retry_at_us| {
+            back_ms(now_us, retry_at_us)
+        })
     }
 
     /// Does what another instance decided on a request; none if it knows an endpoint that is not known here.
-    fn take_answer(&self, ask: &Ask, answer: PlaceAnswer) -> Option<Placement> {
+    fn apply_place_answer(&self, ask: &Ask, answer: PlaceAnswer) -> Option<Placement> {
         let now_us = self.clock.now_us();
         match answer {
             PlaceAnswer::Granted {
@@ -101,8 +103,8 @@
 
     /// Asks for a permit, if a request had best go to an endpoint that takes only so many a second; one after the
     /// other for some such endpoints.
-    async fn permit_for(&self, ask: &Ask, tried: &[EndpointKey]) -> Option<EndpointKey> {
-        for _ in 0..MOST_PERMITS_ASKED {
+    async fn acquire_permit(&self, ask: &Ask, tried: &[EndpointKey]) -> Option<EndpointKey> {
+        for _ in 0..MAX_PERMIT_REQUESTS {
             let now_us = self.clock.now_us();
             let wanted = self.balancer().wanted_permit(now_us, ask, tried)?;
             if permits::ask(self, wanted, ask.rank).await {
@@ -113,8 +115,8 @@
     }
 
     /// Decides on a request by what this instance knows, waiting for a slot if it must.
-    pub async fn place_here(&self, ask: &Ask, tried: &[EndpointKey]) -> Placement {
-        let permit = self.permit_for(ask, tried).await;
+    pub async fn place_locally(&self, ask: &Ask, tried: &[EndpointKey]) -> Placement {
+        let permit = self.acquire_permit(ask, tried).await;
         let now_us = self.clock.now_us();
         let placement = self.balancer().place_with(now_us, ask, tried, permit);
         if let Some(permit) = permit.filter(|permit| !is_sent_to(&placement, *permit)) {
@@ -131,9 +133,9 @@
         let (sender, receiver) = oneshot::channel();
         let key = self.balancer().enqueue(ask.clone());
         lock(&self.waiters).insert(key, sender);
-        let waiting = Waiting { gateway: self, key };
+        let queue_guard = QueueGuard { gateway: self, key };
         let placement = receiver.await;
-        drop(waiting);
+        drop(queue_guard);
         placement.unwrap_or(Placement::Refuse {
             reason: BUSY,
             retry_after_ms: 500,
@@ -143,14 +145,14 @@
     /// Decides anew on the requests that wait.
     pub fn reconsider(&self) {
         let now_us = self.clock.now_us();
-        let decided = {
+        let decisions = {
             let mut balancer = self.balancer();
             if balancer.waiting_count() == 0 {
                 return;
             }
             balancer.reconsider(now_us)
         };
-        for (key, placement) in decided {
+        for (key, placement) in decisions {
             let sender = lock(&self.waiters).remove(&key);
             let undelivered = match sender {
                 Some(sender) => sender.send(placement).err(),
@@ -170,12 +172,12 @@
 }
 
 /// A request in the queue; leaves it when its caller does.
-struct Waiting<'g, P: Protocol> {
+struct QueueGuard<'g, P: Protocol> {
     gateway: &'g Gateway<P>,
     key: WaitKey,
 }
 
-impl<P: Protocol> Drop for Waiting<'_, P> {
+impl<P: Protocol> Drop for QueueGuard<'_, P> {
     fn drop(&mut self) {
         self.gateway.balancer().dequeue(self.key);
         lock(&self.gateway.waiters).remove(&self.key);
--- a/src/gateway/refuse.rs
+++ b/src/gateway/refuse.rs
@@ -50,8 +50,8 @@
 /// Endpoints ended under the request wherever it ran; it did not run this time.
 pub fn blocked(blocked_us: Micros) -> Refusal {
     let message = "endpoints that ran this request ended; it is not sent to another";
-    let left_ms = u32::try_from(blocked_us / 1_000).unwrap_or(u32::MAX);
-    Refusal::not_run(ENDS_ENDPOINTS, message, left_ms)
+    let blocked_ms = u32::try_from(blocked_us / 1_000).unwrap_or(u32::MAX);
+    Refusal::not_run(ENDS_ENDPOINTS, message, blocked_ms)
 }
 
 /// The request did not run, and is given up.
--- a/src/gateway/report.rs
+++ b/src/gateway/report.rs
@@ -58,7 +58,7 @@
     let fingerprint = job.fingerprint().to_string();
     log::info!(
         target: "ryevalve::request",
-        request_id = job.id(),
+        request_id = job.request_id(),
         route = &*job.route.name,
         organisation = job.organisation.as_deref().unwrap_or("-"),
         endpoint, fingerprint, endings,
@@ -86,7 +86,7 @@
     let sharers = gateway.sharers();
     log::info!(
         target: "ryevalve::request",
-        request_id = attempt::shown(request_id),
+        request_id = attempt::header_for_log(request_id),
         route,
         outcome = Outcome::of(refusal).as_str(),
         status = refusal.status.as_u16(),
@@ -126,20 +126,21 @@
 ) {
     let attempts = trace.attempts;
     let target_gap_us = job.route.target_gap.as_micros() as Micros;
-    let in_time = first_us <= job.ask.target_us && trace.longest_gap_us <= target_gap_us;
+    let in_time =
+        first_us <= job.placement_request.target_us && trace.longest_gap_us <= target_gap_us;
     let is_plain = outcome == Outcome::Served && in_time && attempts <= 1;
     if is_plain && rand::rng().random_range(0..SAMPLE) > 0 {
         return;
     }
     log::info!(
         target: "ryevalve::request",
-        request_id = job.id(),
+        request_id = job.request_id(),
         route = &*job.route.name,
         organisation = job.organisation.as_deref().unwrap_or("-"),
         outcome = outcome.as_str(),
         status = status.as_u16(),
         first_ms = first_us / 1_000,
-        target_ms = job.ask.target_us / 1_000,
+        target_ms = job.placement_request.target_us / 1_000,
         longest_gap_ms = trace.longest_gap_us / 1_000,
         target_gap_ms = target_gap_us / 1_000,
         attempts,
@@ -153,7 +154,7 @@
         endpoint_event_ms = trace.expected.map_or(0.0, |e| e.event_ms.round()),
         same_hall = trace.expected.is_some_and(|e| e.same_hall),
         uncached_tokens = trace.expected.map_or(0, |e| e.uncached_tokens),
-        prompt_tokens = job.ask.prompt_tokens,
+        prompt_tokens = job.placement_request.prompt_tokens,
         config_version = gateway.config.version(),
         config_age_ms:serde = gateway.config_age_ms(),
         endpoints_age_ms:serde = gateway.endpoints_age_ms();
--- a/src/gateway/reservations.rs
+++ b/src/gateway/reservations.rs
@@ -114,7 +114,7 @@
     let gateway = gateway.clone();
     tokio::spawn(async move {
         let placement = match needs_permit {
-            true => gateway.place_here(&ask, &tried).await,
+            true => gateway.place_locally(&ask, &tried).await,
             false => gateway.wait_for_place(&ask).await,
         };
         let word = settle(&gateway, taker, number, placement);
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -25,17 +25,17 @@
         refusal::Refusal,
     },
     gateway::{
-        attempt::{self, Answered, Failed, Job, Until, Whole},
-        endings,
-        gate::{ENDPOINT_EVACUATED, ENDPOINT_LEFT, ENDPOINT_RESTS},
-        intake::{
-            ANSWER_MARGIN_US, RequestTimes, allowed_us, ask, find_organisation, find_route,
-            read_body, take_from_limit,
+        admission::{
+            ANSWER_MARGIN_US, RequestTimes, acquire_quota, find_organisation, find_route,
+            placement_request, read_body, time_budget_us,
         },
+        attempt::{self, AttemptDeadline, AttemptError, BufferedResponse, EndpointResponse, Job},
+        crash_check,
         metrics::Outcome,
         protocol::{CallHead, Protocol},
         quota, refuse,
         report::{Trace, log_answer, note_refusal},
+        send_check::{ENDPOINT_EVACUATED, ENDPOINT_LEFT, ENDPOINT_RESTS},
         state::Gateway,
         stream::Relay,
     },
@@ -115,7 +115,7 @@
     let body = read_body(&parts.headers, body, limits.max_body_bytes).await?;
     let tokens = head.tokens.map(|t| t.total());
     let name = organisation.as_ref().map(|o| o.name.clone());
-    let allowed_us = allowed_us(&route, &head);
+    let time_budget_us = time_budget_us(&route, &head);
     trace.organisation.clone_from(&name);
     let fingerprint = OnceLock::new();
     refuse_blocked(gateway, trace, || {
@@ -124,8 +124,15 @@
         *fingerprint.get_or_init(work_out)
     })?;
     let limited = organisation.as_deref();
-    let grant =
-        take_from_limit(gateway, limited, tokens, route.priority, allowed_us, trace).await?;
+    let grant = acquire_quota(
+        gateway,
+        limited,
+        tokens,
+        route.priority,
+        time_budget_us,
+        trace,
+    )
+    .await?;
     let draw = rand::rng().random_range(0.0..1.0);
     let Some(service) = route.pick_target(draw).cloned() else {
         return Err(refuse::not_run("no_service", 1_000));
@@ -133,7 +140,7 @@
     gateway.count_request(&service);
     let engine = table.service(&service).and_then(|s| s.engine);
     let tokens_per_event = engine.map_or(1, |e| e.tokens_per_event);
-    let until_us = arrived_us + allowed_us;
+    let until_us = arrived_us + time_budget_us;
     let patience_us = head.deadline_ms.map(|ms| ms.saturating_mul(1_000));
     let waited_us = patience_us.map_or(0, |us| gateway.waited_us(&route.name, us));
     trace.waited_ms = waited_us / 1_000;
@@ -144,7 +151,7 @@
     let mut headers = parts.headers;
     attempt::strip_connection_headers(&mut headers);
     let job = Job {
-        ask: ask(
+        placement_request: placement_request(
             &route,
             &head,
             service,
@@ -200,7 +207,7 @@
     /// The endpoint may have run it, or failed to.
     Failed { refusal: Box<Refusal> },
     /// The endpoint ran it and answered with a failure.
-    Error(Whole),
+    Error(BufferedResponse),
 }
 
 /// A request under way.
@@ -218,7 +225,7 @@
     fn new(gateway: Arc<Gateway<P>>, job: Job) -> Self {
         Self {
             gateway,
-            ask: job.ask.clone(),
+            ask: job.placement_request.clone(),
             job: Arc::new(job),
             tried: Vec::new(),
             runs: 0,
@@ -243,7 +250,7 @@
     async fn try_endpoints(
         &mut self,
         trace: &mut Trace,
-        made: &mut Option<Whole>,
+        made: &mut Option<BufferedResponse>,
     ) -> Result<Response<Body>, Refusal> {
         loop {
             if trace.attempts > 0 {
@@ -307,14 +314,16 @@
         let may = self.not_run <= MAX_NOT_RUN
             && self.has_time()
             && reason != refuse::ENDS_ENDPOINTS
-            && (!arrived || self.gateway.take_retry(&self.job.ask.service));
+            && (!arrived || self.gateway.take_retry(&self.job.placement_request.service));
         match may {
             true => Ok(()),
             false if self.runs == 0 && reason == refuse::ENDS_ENDPOINTS => {
                 Err(refuse::blocked(self.blocked_us().unwrap_or(0)))
             }
             false if self.runs == 0 => {
-                let back_ms = self.gateway.turned_away_back_ms(&self.job.ask.service);
+                let back_ms = self
+                    .gateway
+                    .retry_after_rejections_ms(&self.job.placement_request.service);
                 Err(refuse::not_run(reason, back_ms))
             }
             false => Err(refuse::unknown(reason)),
@@ -326,7 +335,7 @@
             && self.runs < self.job.route.max_attempts
             && self.has_time()
             && self.blocked_us().is_none()
-            && self.gateway.take_retry(&self.job.ask.service)
+            && self.gateway.take_retry(&self.job.placement_request.service)
     }
 
     /// Returns for how much longer the request is to reach no endpoint, since those that ran it ended.
@@ -351,13 +360,15 @@
         }
         let status = answered.response.status();
         if status.is_success() && !answered.is_signed {
-            answered.sent.failed();
-            return self.failed(Failed::Unknown("unsigned_answer"), asked).await;
+            answered.in_flight.note_failure();
+            return self
+                .failed(AttemptError::Unknown("unsigned_answer"), asked)
+                .await;
         }
         if status.is_success() && self.job.route.kind.is_stream() {
             return self.start_stream(answered, trace).await;
         }
-        match attempt::collect(&self.gateway, answered, until).await {
+        match attempt::buffer_response(&self.gateway, answered, until).await {
             Ok(whole) if whole.status.is_server_error() => Tried::Error(whole),
             Ok(whole) => {
                 if whole.status.is_success() {
@@ -370,13 +381,18 @@
     }
 
     /// An attempt that may be repeated is given up earlier than the request.
-    fn attempt_until(&self, choice: &Choice) -> Until {
-        let mut until = self.job.until();
+    fn attempt_until(&self, choice: &Choice) -> AttemptDeadline {
+        let mut until = self.job.deadline();
         let again = self.job.is_repeatable() && self.runs + 1 < self.job.route.max_attempts;
-        if !again || self.gateway.retries_left(&self.job.ask.service) < 1.0 {
+        if !again
+            || self
+                .gateway
+                .retries_left(&self.job.placement_request.service)
+                < 1.0
+        {
             return until;
         }
-        let target_ms = self.job.ask.target_us as f64 / 1e3;
+        let target_ms = self.job.placement_request.target_us as f64 / 1e3;
         let targets = if self.job.route.kind.is_stream() {
             STREAM_PATIENCE_TARGETS
         } else {
@@ -386,21 +402,21 @@
             .max(choice.expected.first_ms * PATIENCE_EXPECTED)
             .max(PATIENCE_MIN_MS);
         let patience = Instant::now() + Duration::from_secs_f64(patience_ms / 1e3);
-        until.patient_until = until.patient_until.min(patience);
+        until.attempt_end = until.attempt_end.min(patience);
         until
     }
 
-    async fn failed(&self, failed: Failed, asked: Choice) -> Tried {
-        if matches!(failed, Failed::Broke(_)) {
+    async fn failed(&self, failed: AttemptError, asked: Choice) -> Tried {
+        if matches!(failed, AttemptError::ConnectionLost(_)) {
             let broke_before = self.runs > 0;
-            endings::connection_broke(&self.gateway, &self.job, asked, broke_before).await;
+            crash_check::on_connection_lost(&self.gateway, &self.job, asked, broke_before).await;
         }
         match failed {
-            Failed::NotSent(reason) => Tried::NotRun {
+            AttemptError::NotSent(reason) => Tried::NotRun {
                 arrived: false,
                 reason,
             },
-            Failed::Broke(reason) | Failed::Unknown(reason) => {
+            AttemptError::ConnectionLost(reason) | AttemptError::Unknown(reason) => {
                 let over = self.gateway.clock.now_us() >= self.job.until_us;
                 let refusal = if over {
                     refuse::timed_out()
@@ -414,10 +430,10 @@
         }
     }
 
-    fn refused_there(&self, answered: Answered<P>) -> Tried {
+    fn refused_there(&self, answered: EndpointResponse<P>) -> Tried {
         let reason = match answered.response.status() {
             StatusCode::MISDIRECTED_REQUEST => {
-                let key = answered.sent.choice.key;
+                let key = answered.in_flight.choice.key;
                 self.gateway.balancer().endpoint_replaced(key);
                 "another_endpoint_there"
             }
@@ -430,8 +446,8 @@
         }
     }
 
-    async fn start_stream(&self, answered: Answered<P>, trace: &Trace) -> Tried {
-        let asked = answered.sent.choice.clone();
+    async fn start_stream(&self, answered: EndpointResponse<P>, trace: &Trace) -> Tried {
+        let asked = answered.in_flight.choice.clone();
         let mut relay = Relay::new(
             self.gateway.clone(),
             self.job.clone(),
@@ -440,7 +456,7 @@
             self.runs,
             trace.clone(),
         );
-        match relay.first(self.first_event_until(&relay)).await {
+        match relay.wait_first_event(self.first_event_until(&relay)).await {
             Ok(head) => Tried::Answer(relay.into_response(head)),
             Err(failed) => {
                 // It is not at the endpoint any more.
@@ -450,11 +466,11 @@
         }
     }
 
-    fn first_event_until(&self, relay: &Relay<P>) -> Until {
+    fn first_event_until(&self, relay: &Relay<P>) -> AttemptDeadline {
         self.attempt_until(relay.choice())
     }
 
-    fn pass_on(&self, whole: Whole, trace: &Trace) -> Response<Body> {
+    fn pass_on(&self, whole: BufferedResponse, trace: &Trace) -> Response<Body> {
         let outcome = if whole.status.is_success() {
             Outcome::Served
         } else {
@@ -462,7 +478,7 @@
         };
         let gateway = &self.gateway;
         gateway.metrics.ended(&self.job.route.name, outcome);
-        let took_us = gateway.clock.now_us() - self.job.ask.arrived_us;
+        let took_us = gateway.clock.now_us() - self.job.placement_request.arrived_us;
         gateway.metrics.first_seconds.observe(took_us as f64 / 1e6);
         log_answer(gateway, &self.job, outcome, whole.status, took_us, trace);
         let mut response = Response::new(full(whole.body));
--- a/src/gateway/gate.rs
+++ b/src/gateway/send_check.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     balance::{load::EndpointKey, standing::Standing},
-    gateway::{protocol::Protocol, staleness::Standing as Known, state::Gateway},
+    gateway::{protocol::Protocol, staleness::Standing as Staleness, state::Gateway},
 };
 
 /// Why a request was not sent: its endpoint leaves or has left.
@@ -20,12 +20,12 @@
     ///
     /// # Errors
     /// Why not, as a fixed word; it goes elsewhere.
-    pub fn check_gate(&self, key: EndpointKey) -> Result<(), &'static str> {
-        if self.endpoints_standing() == Known::Asking {
+    pub fn check_before_send(&self, key: EndpointKey) -> Result<(), &'static str> {
+        if self.endpoints_standing() == Staleness::Asking {
             // This process stood still: the endpoint may have left since.
             return Err(ENDPOINT_LEFT);
         }
-        if self.evacuations_standing() == Known::Asking {
+        if self.evacuations_standing() == Staleness::Asking {
             return Err(ENDPOINT_EVACUATED);
         }
         let now_us = self.clock.now_us();
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -20,15 +20,15 @@
     clock::Clock,
     endpoint::kept::KeptConnections,
     gateway::{
+        caller_timeouts::TypicalTimeouts,
         config::GatewayConfig,
-        endings::Endings,
+        crash_check::CrashChecks,
         endpoint_words::UnreadHeaders,
         evacuations::{EvacuationSet, Evacuations},
         freshness::{CurrentConfig, Offered},
         limit_log,
         line_budget::LineBudget,
         metrics::GatewayMetrics,
-        patience::UsualPatience,
         permits::Permits,
         protocol::Protocol,
         quota::Quota,
@@ -106,7 +106,7 @@
     balancer: Mutex<Balancer>,
     pub(super) waiters: Mutex<HashMap<WaitKey, oneshot::Sender<Placement>>>,
     retries: Mutex<RetryBudget>,
-    patience: Mutex<UsualPatience>,
+    patience: Mutex<TypicalTimeouts>,
     suspects: Mutex<SuspectBook>,
     /// When a caller that may come back was refused last; 0 if none was.
     refused_us: AtomicU64,
@@ -136,7 +136,7 @@
     /// Organisations' limits.
     pub quota: Quota,
     /// Finds out which endpoints have ended.
-    pub endings: Endings,
+    pub endings: CrashChecks,
     /// Headers of endpoints that nothing reads.
     pub unread_headers: UnreadHeaders,
     endpoint_lines: Mutex<LineBudget>,
@@ -188,7 +188,7 @@
             reserver: Reserver::default(),
             permits: Permits::default(),
             quota,
-            endings: Endings::default(),
+            endings: CrashChecks::default(),
             unread_headers: UnreadHeaders::default(),
             endpoints: Staleness::default(),
             evacuations: Evacuations::default(),
--- a/src/gateway/stop.rs
+++ b/src/gateway/stop.rs
@@ -5,7 +5,7 @@
 use tokio::task::JoinHandle;
 
 use crate::{
-    gateway::{front::FrontStop, protocol::Protocol, state::Gateway},
+    gateway::{caller_listener::ListenerStop, protocol::Protocol, state::Gateway},
     prelude::Micros,
 };
 
@@ -18,7 +18,7 @@
 /// Stops as planned within `grace`; returns whether all requests came to their end.
 pub async fn stop<P: Protocol>(
     gateway: &Gateway<P>,
-    front: FrontStop,
+    front: ListenerStop,
     serving: JoinHandle<()>,
     grace: Duration,
 ) -> bool {
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -24,8 +24,8 @@
     endpoint::{events::EventCutter, kept::EndpointConnection},
     entry::answer::Body,
     gateway::{
-        attempt::{self, Answered, Failed, Job, Sent, Until},
-        endings,
+        attempt::{self, AttemptDeadline, AttemptError, EndpointResponse, InFlightRequest, Job},
+        crash_check,
         metrics::Outcome,
         protocol::Protocol,
         report::{Trace, log_answer},
@@ -37,13 +37,13 @@
 /// A stream that says nothing for this many times its useful pause is taken up elsewhere, if another
 /// endpoint has room. Else it is waited for on: in a surge over 295 instances streams that had only
 /// slowed down were cut 160 ms later, when no room had been found.
-const SILENCE_GAPS: f64 = 2.0;
+const STALL_TIMEOUT_GAPS: f64 = 2.0;
 /// And not before this time: an endpoint that reads long prompts pauses its streams.
-const SILENCE_MIN: Duration = Duration::from_millis(800);
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Why a stream was taken up elsewhere that said nothing.
-const SILENT: &str = "stream_silent";
+const STALLED: &str = "stream_silent";
 /// The last events reach the caller before its connection is cut.
-const BEFORE_CUT: Duration = Duration::from_millis(30);
+const FLUSH_DELAY: Duration = Duration::from_millis(30);
 
 /// The head of the first endpoint's answer, and the events that came with it.
 pub struct StreamHead {
@@ -52,13 +52,13 @@
     events: Bytes,
 }
 
-struct Source<P: Protocol> {
+struct Upstream<P: Protocol> {
     body: Incoming,
     /// Given back when the stream ends; dropping it ends the run at the endpoint.
     connection: Option<EndpointConnection>,
-    sent: Sent<P>,
+    in_flight: InFlightRequest<P>,
     status: StatusCode,
-    rests: Option<Option<Duration>>,
+    reuse: Option<Option<Duration>>,
     cutter: EventCutter,
     events_seen: u32,
     last_event_us: Micros,
@@ -68,7 +68,7 @@
 pub struct Relay<P: Protocol> {
     gateway: Arc<Gateway<P>>,
     job: Arc<Job>,
-    source: Source<P>,
+    upstream: Upstream<P>,
     headers: HeaderMap,
     last_id: Option<u64>,
     tried: Vec<EndpointKey>,
@@ -79,32 +79,32 @@
 }
 
 /// Why a stream brings no more.
-enum End {
+enum StreamEnd {
     /// It is whole.
-    Whole,
+    Complete,
     /// It broke.
     Broken(&'static str),
     /// Nothing has come for so long that another endpoint had better go on.
-    Silent,
+    Stalled,
 }
 
-impl<P: Protocol> Source<P> {
-    fn new(answered: Answered<P>, now_us: Micros) -> (Self, HeaderMap) {
+impl<P: Protocol> Upstream<P> {
+    fn new(answered: EndpointResponse<P>, now_us: Micros) -> (Self, HeaderMap) {
         let (parts, body) = answered.response.into_parts();
         let mut headers = parts.headers;
-        let rests = attempt::may_rest(&headers, parts.status);
+        let reuse = attempt::connection_reuse(&headers, parts.status);
         attempt::strip_connection_headers(&mut headers);
-        let source = Self {
+        let upstream = Self {
             body,
             connection: Some(answered.connection),
-            sent: answered.sent,
+            in_flight: answered.in_flight,
             status: parts.status,
-            rests,
+            reuse,
             cutter: EventCutter::default(),
             events_seen: 0,
             last_event_us: now_us,
         };
-        (source, headers)
+        (upstream, headers)
     }
 }
 
@@ -113,17 +113,17 @@
     pub fn new(
         gateway: Arc<Gateway<P>>,
         job: Arc<Job>,
-        answered: Answered<P>,
+        answered: EndpointResponse<P>,
         tried: Vec<EndpointKey>,
         runs: u32,
         trace: Trace,
     ) -> Self {
-        let (source, headers) = Source::new(answered, gateway.clock.now_us());
+        let (upstream, headers) = Upstream::new(answered, gateway.clock.now_us());
         Self {
             last_id: job.head.resume_after,
             gateway,
             job,
-            source,
+            upstream,
             headers,
             tried,
             runs: runs + 1,
@@ -135,34 +135,37 @@
 
     /// Returns the endpoint that the stream comes from.
     pub fn choice(&self) -> &Choice {
-        &self.source.sent.choice
+        &self.upstream.in_flight.choice
     }
 
     /// Waits until `until` for the first event; before it nothing has been passed on.
     ///
     /// # Errors
     /// None came: the request may have run.
-    pub async fn first(&mut self, until: Until) -> Result<StreamHead, Failed> {
+    pub async fn wait_first_event(
+        &mut self,
+        until: AttemptDeadline,
+    ) -> Result<StreamHead, AttemptError> {
         let clock = self.gateway.clock;
         let events = match until.wait(clock, self.next_events()).await {
             Some(Ok(events)) => events,
             // An answer without any event is whole, too.
-            Some(Err(End::Whole)) => Bytes::new(),
-            Some(Err(End::Broken(reason))) => {
-                self.source.sent.failed();
-                return Err(Failed::Broke(reason));
+            Some(Err(StreamEnd::Complete)) => Bytes::new(),
+            Some(Err(StreamEnd::Broken(reason))) => {
+                self.upstream.in_flight.note_failure();
+                return Err(AttemptError::ConnectionLost(reason));
             }
-            Some(Err(End::Silent)) | None => {
-                self.source.sent.failed();
-                return Err(Failed::Unknown("no_first_event"));
+            Some(Err(StreamEnd::Stalled)) | None => {
+                self.upstream.in_flight.note_failure();
+                return Err(AttemptError::Unknown("no_first_event"));
             }
         };
         let now_us = self.gateway.clock.now_us();
-        self.first_us = now_us.saturating_sub(self.job.ask.arrived_us);
+        self.first_us = now_us.saturating_sub(self.job.placement_request.arrived_us);
         let seconds = self.first_us as f64 / 1e6;
         self.gateway.metrics.first_seconds.observe(seconds);
         Ok(StreamHead {
-            status: self.source.status,
+            status: self.upstream.status,
             headers: std::mem::take(&mut self.headers),
             events,
         })
@@ -194,46 +197,46 @@
             if self.is_over {
                 return None;
             }
-            let (reason, other) = match self.next_events().await {
+            let (reason, alternative) = match self.next_events().await {
                 Ok(events) => return Some(Ok(events)),
-                Err(End::Whole) => {
-                    self.ended(Outcome::Served);
+                Err(StreamEnd::Complete) => {
+                    self.record_outcome(Outcome::Served);
                     return None;
                 }
-                Err(End::Broken(reason)) => (reason, None),
-                Err(End::Silent) => match self.other_endpoint().await {
-                    Some(other) => (SILENT, Some(other)),
+                Err(StreamEnd::Broken(reason)) => (reason, None),
+                Err(StreamEnd::Stalled) => match self.choose_other_endpoint().await {
+                    Some(other) => (STALLED, Some(other)),
                     None => continue,
                 },
             };
-            self.source.sent.failed();
+            self.upstream.in_flight.note_failure();
             // Ends the run there before another one begins.
-            drop(self.source.connection.take());
-            self.source.sent.end();
-            if reason != SILENT {
-                self.connection_broke(self.choice().clone()).await;
+            drop(self.upstream.connection.take());
+            self.upstream.in_flight.finish();
+            if reason != STALLED {
+                self.on_connection_lost(self.choice().clone()).await;
             }
             self.trace.reason = Some(reason);
-            if !self.resume(reason, other).await {
-                self.ended(Outcome::Broken);
+            if !self.resume(reason, alternative).await {
+                self.record_outcome(Outcome::Broken);
                 // hyper drops what it has not written when a body fails: let it write first.
-                time::sleep(BEFORE_CUT).await;
+                time::sleep(FLUSH_DELAY).await;
                 return Some(Err(io::Error::other(reason)));
             }
         }
     }
 
     /// Finds out whether the endpoint has ended.
-    async fn connection_broke(&mut self, choice: Choice) {
+    async fn on_connection_lost(&mut self, choice: Choice) {
         self.trace.fingerprint = Some(self.job.fingerprint());
-        let broke_before = self.runs > 1;
-        endings::connection_broke(&self.gateway, &self.job, choice, broke_before).await;
+        let lost_before = self.runs > 1;
+        crash_check::on_connection_lost(&self.gateway, &self.job, choice, lost_before).await;
     }
 
-    fn ended(&mut self, outcome: Outcome) {
+    fn record_outcome(&mut self, outcome: Outcome) {
         self.is_over = true;
         self.gateway.metrics.ended(&self.job.route.name, outcome);
-        let (gateway, status) = (&self.gateway, self.source.status);
+        let (gateway, status) = (&self.gateway, self.upstream.status);
         log_answer(
             gateway,
             &self.job,
@@ -244,71 +247,76 @@
         );
     }
 
-    async fn next_events(&mut self) -> Result<Bytes, End> {
+    async fn next_events(&mut self) -> Result<Bytes, StreamEnd> {
         loop {
-            let taken = self.source.cutter.take(self.last_id);
-            match taken {
+            let complete_events = self.upstream.cutter.take(self.last_id);
+            match complete_events {
                 Ok(Some(events)) => {
                     self.last_id = events.last_id.or(self.last_id);
                     self.note_events(events.count);
                     return Ok(events.bytes);
                 }
                 Ok(None) => {}
-                Err(_) => return Err(End::Broken("event_too_long")),
+                Err(_) => return Err(StreamEnd::Broken("event_too_long")),
             }
-            let until = self.silence_until();
+            let until = self.next_event_deadline();
             let clock = self.gateway.clock;
-            match until.wait(clock, self.source.body.frame()).await {
+            match until.wait(clock, self.upstream.body.frame()).await {
                 Some(Some(Ok(frame))) => {
                     if let Some(bytes) = frame.data_ref() {
-                        self.source.cutter.push(bytes);
+                        self.upstream.cutter.push(bytes);
                     }
                 }
-                Some(Some(Err(_))) => return Err(End::Broken("stream_broke")),
-                Some(None) if self.source.cutter.has_rest() => {
-                    return Err(End::Broken("ended_inside_event"));
+                Some(Some(Err(_))) => return Err(StreamEnd::Broken("stream_broke")),
+                Some(None) if self.upstream.cutter.has_rest() => {
+                    return Err(StreamEnd::Broken("ended_inside_event"));
                 }
-                Some(None) => return Err(self.whole()),
-                None if self.is_in_time() => return Err(End::Silent),
-                None => return Err(End::Broken(SILENT)),
+                Some(None) => return Err(self.complete()),
+                None if self.is_in_time() => return Err(StreamEnd::Stalled),
+                None => return Err(StreamEnd::Broken(STALLED)),
             }
         }
     }
 
-    fn whole(&mut self) -> End {
-        self.source.sent.whole();
+    fn complete(&mut self) -> StreamEnd {
+        self.upstream.in_flight.note_complete();
         self.gateway.note_whole(|| self.job.fingerprint());
-        if let (Some(closes_after), Some(connection)) =
-            (self.source.rests, self.source.connection.take())
+        if let (Some(idle_timeout), Some(connection)) =
+            (self.upstream.reuse, self.upstream.connection.take())
         {
-            attempt::keep(&self.gateway, &self.source.sent, connection, closes_after);
+            attempt::keep_connection(
+                &self.gateway,
+                &self.upstream.in_flight,
+                connection,
+                idle_timeout,
+            );
         }
-        End::Whole
+        StreamEnd::Complete
     }
 
     fn note_events(&mut self, count: u32) {
         let now_us = self.gateway.clock.now_us();
-        let source = &mut self.source;
-        if source.events_seen == 0 {
-            source.sent.first_event();
+        let upstream = &mut self.upstream;
+        if upstream.events_seen == 0 {
+            upstream.in_flight.note_first_event();
         } else {
-            let gap_us = now_us.saturating_sub(source.last_event_us);
+            let gap_us = now_us.saturating_sub(upstream.last_event_us);
             self.trace.longest_gap_us = self.trace.longest_gap_us.max(gap_us);
             let gap_ms = gap_us as f64 / 1e3;
             let per_event = gap_ms / f64::from(count.max(1));
             let mut balancer = self.gateway.balancer();
-            balancer.event(source.sent.choice.key, per_event);
+            balancer.event(upstream.in_flight.choice.key, per_event);
         }
-        source.events_seen += count;
-        source.last_event_us = now_us;
+        upstream.events_seen += count;
+        upstream.last_event_us = now_us;
     }
 
     /// Returns until when the next event is waited for.
-    fn silence_until(&self) -> Until {
-        let mut until = self.job.until();
-        if self.source.events_seen > 0 && self.may_resume() {
-            let gap = self.job.route.target_gap.mul_f64(SILENCE_GAPS);
-            until.patient_until = Instant::now() + gap.max(SILENCE_MIN);
+    fn next_event_deadline(&self) -> AttemptDeadline {
+        let mut until = self.job.deadline();
+        if self.upstream.events_seen > 0 && self.may_resume() {
+            let gap = self.job.route.target_gap.mul_f64(STALL_TIMEOUT_GAPS);
+            until.attempt_end = Instant::now() + gap.max(MIN_STALL_TIMEOUT);
         }
         until
     }
@@ -322,13 +330,16 @@
             && self.gateway.blocked_us(|| self.job.fingerprint()).is_none()
             && self.runs < self.job.route.max_attempts
             && self.last_id.is_some()
-            && self.gateway.retries_left(&self.job.ask.service) >= 1.0
+            && self
+                .gateway
+                .retries_left(&self.job.placement_request.service)
+                >= 1.0
     }
 
     /// Chooses another endpoint to go on at, if one has room soon.
-    async fn other_endpoint(&self) -> Option<Choice> {
+    async fn choose_other_endpoint(&self) -> Option<Choice> {
         // Going on has its own time to wait: the first event came long ago.
-        let mut ask = self.job.ask.clone();
+        let mut ask = self.job.placement_request.clone();
         ask.arrived_us = self.gateway.clock.now_us();
         match self.gateway.place(&ask, &self.tried).await {
             Placement::Send(choice) => Some(choice),
@@ -341,7 +352,7 @@
         while self.may_resume() && self.is_in_time() {
             let choice = match chosen.take() {
                 Some(choice) => choice,
-                None => match self.other_endpoint().await {
+                None => match self.choose_other_endpoint().await {
                     Some(choice) => choice,
                     None => return false,
                 },
@@ -350,37 +361,37 @@
             self.trace.attempts += 1;
             self.trace.endpoint = Some(choice.id.clone());
             self.trace.reason = Some(reason);
-            if !self.gateway.take_retry(&self.job.ask.service) {
+            if !self.gateway.take_retry(&self.job.placement_request.service) {
                 let tokens = choice.expected.uncached_tokens;
                 self.gateway.balancer().end(choice.key, tokens, None);
                 return false;
             }
             log::info!(
                 target: "ryevalve::request",
-                request_id = self.job.id(),
+                request_id = self.job.request_id(),
                 reason,
                 after_event = self.last_id.unwrap_or(0),
                 endpoint = &*choice.id,
-                retries_left = self.gateway.retries_left(&self.job.ask.service);
+                retries_left = self.gateway.retries_left(&self.job.placement_request.service);
                 "stream_resumed"
             );
-            let tried = choice.clone();
-            let until = self.job.until();
-            let sent = attempt::send(&self.gateway, &self.job, choice, self.last_id, until).await;
-            match sent {
+            let attempted = choice.clone();
+            let until = self.job.deadline();
+            let result = attempt::send(&self.gateway, &self.job, choice, self.last_id, until).await;
+            match result {
                 Ok(answered) if answered.response.status().is_success() && answered.is_signed => {
                     self.runs += 1;
-                    (self.source, _) = Source::new(answered, self.gateway.clock.now_us());
+                    (self.upstream, _) = Upstream::new(answered, self.gateway.clock.now_us());
                     return true;
                 }
                 Ok(answered) if answered.not_executed => {}
                 Ok(_) => self.runs += 1,
-                Err(Failed::NotSent(_)) => {}
-                Err(Failed::Broke(_)) => {
+                Err(AttemptError::NotSent(_)) => {}
+                Err(AttemptError::ConnectionLost(_)) => {
                     self.runs += 1;
-                    self.connection_broke(tried).await;
+                    self.on_connection_lost(attempted).await;
                 }
-                Err(Failed::Unknown(_)) => self.runs += 1,
+                Err(AttemptError::Unknown(_)) => self.runs += 1,
             }
         }
         if let Some(unused) = chosen {
--- a/src/platform/edge.rs
+++ b/src/platform/edge.rs
@@ -14,9 +14,10 @@
 use crate::{
     balance::discovery::Change,
     gateway::{
-        block_list, copies,
+        block_list,
+        caller_listener::{self, ListenerStop},
+        copies,
         exchange::{Exchange, ExchangePlace},
-        front::{self, FrontStop},
         instance_count, limit_log, probes, reservations,
         staleness::StalenessBound,
         state::{Gateway, GatewayBounds},
@@ -109,12 +110,12 @@
         instance = settings.name.as_str(), hall = settings.hall.as_str();
         "started"
     );
-    let stop = FrontStop::default();
+    let stop = ListenerStop::default();
     let most = settings
         .machine
         .max_descriptors
         .saturating_sub(OWN_DESCRIPTORS);
-    let serving = tokio::spawn(front::serve(
+    let serving = tokio::spawn(caller_listener::serve(
         gateway.clone(),
         callers,
         most.max(1),
--- a/tests/edge/endpoint_limits.rs
+++ b/tests/edge/endpoint_limits.rs
@@ -24,7 +24,7 @@
 
 use crate::{
     group::{DRAIN, Instance, Place, address, endpoint, free_port, key, until},
-    pressing::{Demand, press},
+    load_generator::{Demand, send_load},
     site::Site,
     support::Edge,
 };
@@ -46,7 +46,7 @@
     path: "/again/w",
     every: Duration::from_millis(200),
     lasts: Duration::from_secs(9),
-    spared: 0,
+    skipped_instances: 0,
 };
 
 /// Returns when requests reached an endpoint from a moment on.
@@ -97,7 +97,7 @@
     let site = Arc::new(Site::start(40, 7, 4).await);
     site.runners[0].name_limit(Some("1.9"));
     let named = Instant::now();
-    let ended = press(&site, PLAIN).await;
+    let ended = send_load(&site, PLAIN).await;
     for instance in &site.instances {
         let limited = instance.gateway.balancer().standings().limited();
         assert_eq!(limited, 1, "it knows of the limit");
@@ -119,7 +119,7 @@
         every: Duration::from_millis(70),
         ..PLAIN
     };
-    let ended = press(&site, demand).await;
+    let ended = send_load(&site, demand).await;
     for (endpoint, limit_per_s) in [(0, 4.0), (1, 0.5)] {
         check_kept(&site, endpoint, limit_per_s, named + CONTACT);
         check_used(&site, endpoint, limit_per_s, named + CONTACT);
@@ -149,7 +149,7 @@
         every: Duration::from_millis(800),
         ..PLAIN
     };
-    let (of_streams, of_plain) = tokio::join!(press(&site, streams), press(&site, plain));
+    let (of_streams, of_plain) = tokio::join!(send_load(&site, streams), send_load(&site, plain));
     for (endpoint, limit_per_s) in [(0, 2.5), (1, 0.4)] {
         check_kept(&site, endpoint, limit_per_s, named + CONTACT);
         check_used(&site, endpoint, limit_per_s, named + CONTACT);
@@ -173,7 +173,7 @@
         path: "/resume/w/stream",
         ..PLAIN
     };
-    press(&site, streams).await;
+    send_load(&site, streams).await;
     check_kept(&site, 0, 2.0, named + CONTACT);
 }
 
@@ -188,31 +188,31 @@
     };
     site.runners[0].name_limit(Some("8"));
     let named = Instant::now();
-    press(&site, for_s(5)).await;
+    send_load(&site, for_s(5)).await;
     check_kept(&site, 0, 8.0, named + SOON);
     site.runners[0].name_limit(Some("1"));
     let lowered = Instant::now();
-    press(&site, for_s(6)).await;
+    send_load(&site, for_s(6)).await;
     check_kept(&site, 0, 1.0, lowered + SOON);
     site.runners[0].name_limit(Some("5.5"));
     let raised = Instant::now();
-    press(&site, for_s(5)).await;
+    send_load(&site, for_s(5)).await;
     check_kept(&site, 0, 5.5, raised);
     check_used(&site, 0, 5.5, raised + SOON);
     site.runners[0].name_limit(None);
     let over = Instant::now();
-    press(&site, for_s(4)).await;
+    send_load(&site, for_s(4)).await;
     // Fifty a second at two endpoints alike.
     let got = arrivals(&site, 0, over + SOON).len();
     assert!(got >= 35, "{got} in 2.5 s after the limit was over");
     for spoiled in ["1,5", "-3", "NaN", "1e9", "", "9.9.9"] {
         site.runners[0].name_limit(Some(spoiled));
-        press(&site, for_s(1)).await;
+        send_load(&site, for_s(1)).await;
         assert_eq!(limited(&site, 0), 0, "{spoiled} is no limit");
     }
     site.runners[0].name_limit(Some("1.5"));
     let again = Instant::now();
-    press(&site, for_s(6)).await;
+    send_load(&site, for_s(6)).await;
     check_kept(&site, 0, 1.5, again + SOON);
 }
 
@@ -225,7 +225,7 @@
     site.runners[0].name_limit(Some("3"));
     let named = Instant::now();
     let site_before = Arc::new(site);
-    press(&site_before, PLAIN).await;
+    send_load(&site_before, PLAIN).await;
     check_used(&site_before, 0, 3.0, named + CONTACT);
     site = Arc::into_inner(site_before).expect("no call is under way");
     let key = EndpointKey::of("e0-0");
@@ -239,9 +239,12 @@
     site.callers.swap(0, keeper);
     site.instances[0].stop();
     let site = Arc::new(site);
-    let others = Demand { spared: 1, ..PLAIN };
+    let others = Demand {
+        skipped_instances: 1,
+        ..PLAIN
+    };
     let lost = Instant::now();
-    press(&site, others).await;
+    send_load(&site, others).await;
     check_kept(&site, 0, 3.0, named + CONTACT);
     check_used(&site, 0, 3.0, lost + Duration::from_secs(5));
 
@@ -253,7 +256,7 @@
     site.start_instances(3).await;
     let started = Instant::now();
     let site = Arc::new(site);
-    press(&site, PLAIN).await;
+    send_load(&site, PLAIN).await;
     check_kept(&site, 0, 3.0, started + CONTACT);
     check_used(&site, 0, 3.0, started + CONTACT);
 }
--- a/tests/edge/evacuations.rs
+++ b/tests/edge/evacuations.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     group::until,
-    pressing::{Demand, press},
+    load_generator::{Demand, send_load},
     site::{EVACUATE, Site, entry},
     support::{Edge, config},
 };
@@ -21,7 +21,7 @@
     path: "/again/w",
     every: Duration::from_millis(150),
     lasts: Duration::from_secs(2),
-    spared: 0,
+    skipped_instances: 0,
 };
 
 /// Moves an endpoint's entry to another data centre, and waits until all instances know.
@@ -83,7 +83,7 @@
         site.platform.set(KIND, "b", json!({}));
         site.platform.set(KIND, "nowhere", json!({}));
         let acknowledged = Instant::now();
-        let during = press(
+        let during = send_load(
             &site,
             Demand {
                 lasts: Duration::from_secs(4),
@@ -96,7 +96,7 @@
         site.platform.remove(KIND, "b");
         until_evacuated(&site, false).await;
         let taken_back = Instant::now();
-        press(&site, PLAIN).await;
+        send_load(&site, PLAIN).await;
         let back = arrivals(&site, 0, taken_back);
         assert!(back > 0, "{instances} instances: it serves again");
     }
@@ -114,7 +114,7 @@
     until_evacuated(&site, true).await;
     let site = Arc::new(site);
     let from = Instant::now();
-    press(
+    send_load(
         &site,
         Demand {
             path: "/open/w",
@@ -152,7 +152,7 @@
             lasts: Duration::from_millis(2_500),
             ..PLAIN
         };
-        let ended = press(&site, demand).await;
+        let ended = send_load(&site, demand).await;
         let seen = site.runners[0].seen();
         let at: Vec<Instant> = seen.iter().map(|s| s.at).filter(|at| *at > known).collect();
         let in_a_second = |from: &Instant| {
--- a/tests/edge/group.rs
+++ b/tests/edge/group.rs
@@ -12,9 +12,10 @@
     },
     clock::Clock,
     gateway::{
-        block_list, copies,
+        block_list,
+        caller_listener::{self, ListenerStop},
+        copies,
         exchange::{Exchange, ExchangePlace},
-        front::{self, FrontStop},
         reservations,
         staleness::StalenessBound,
         state::{Gateway, GatewayBounds},
@@ -165,11 +166,11 @@
 
     /// Serves callers through `listener`.
     pub fn serve(&mut self, listener: TcpListener) {
-        let serving = front::serve(
+        let serving = caller_listener::serve(
             self.gateway.clone(),
             listener,
             MAX_CALLERS,
-            FrontStop::default(),
+            ListenerStop::default(),
         );
         self.tasks.push(tokio::spawn(serving));
     }
--- a/tests/edge/leaving_endpoints.rs
+++ b/tests/edge/leaving_endpoints.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     group::until,
-    pressing::{Demand, press},
+    load_generator::{Demand, send_load},
     site::{DOWN, Site},
 };
 
@@ -28,7 +28,7 @@
     path: "/again/w",
     every: Duration::from_millis(150),
     lasts: Duration::from_secs(4),
-    spared: 0,
+    skipped_instances: 0,
 };
 
 /// Served by the last configuration known, while the store is away.
@@ -47,17 +47,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_endpoint_that_says_that_it_leaves_is_sent_nothing_more_while_the_store_is_away() {
     let site = Arc::new(Site::start(50, 7, 3).await);
-    press(&site, KEYLESS).await;
+    send_load(&site, KEYLESS).await;
     site.platform.fault(|f| f.down = true);
     site.runners[0].say_leaving(Some("1"));
     let said = Instant::now();
-    let ended = press(&site, KEYLESS).await;
+    let ended = send_load(&site, KEYLESS).await;
     let late = arrivals(&site, 0, said + TOLD);
     assert_eq!(late, 0, "requests after {TOLD:?}");
     assert_eq!(ended.served, ended.all(), "{ended:?}");
     site.platform.fault(|f| f.down = false);
     time::sleep(Duration::from_secs(1)).await;
-    press(&site, KEYLESS).await;
+    send_load(&site, KEYLESS).await;
     let late = arrivals(&site, 0, said + TOLD);
     assert_eq!(
         late, 0,
@@ -98,11 +98,11 @@
             lasts: Duration::from_millis(900),
             ..PLAIN
         };
-        let ended = press(&site, demand).await;
+        let ended = send_load(&site, demand).await;
         until_told(&site, 0, 0).await;
         let (told, before) = (Instant::now(), site.runners[0].seen().len());
         assert!(before > 0, "{fault:?}: it was asked");
-        press(&site, demand).await;
+        send_load(&site, demand).await;
         assert_eq!(arrivals(&site, 0, told), 0, "{fault:?}");
         assert_eq!(ended.served, ended.all(), "{fault:?}: {ended:?}");
     }
@@ -137,7 +137,7 @@
         ..PLAIN
     };
     let site_shared = Arc::new(site);
-    press(&site_shared, streams).await;
+    send_load(&site_shared, streams).await;
     assert_eq!(arrivals(&site_shared, 0, said + TOLD), 0);
     site = Arc::into_inner(site_shared).expect("no call goes on");
     site.platform.fault(|f| f.down = false);
@@ -149,7 +149,7 @@
     site.runners[0].end();
     time::sleep(DOWN + Duration::from_secs(2)).await;
     let (site, started) = (Arc::new(site), Instant::now());
-    press(&site, streams).await;
+    send_load(&site, streams).await;
     let got = arrivals(&site, 0, started);
     assert!(got > 20, "{got} requests reach the next start");
 }
@@ -161,7 +161,7 @@
     for runner in site.runners.iter() {
         runner.say_leaving(Some("1"));
     }
-    press(
+    send_load(
         &site,
         Demand {
             lasts: Duration::from_millis(500),
--- a/tests/edge/pressing.rs
+++ b/tests/edge/load_generator.rs
@@ -17,18 +17,18 @@
     pub every: Duration,
     pub lasts: Duration,
     /// Instances that get none, from the first on.
-    pub spared: usize,
+    pub skipped_instances: usize,
 }
 
 /// How requests ended.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ended {
+pub struct Outcomes {
     pub served: usize,
     pub refused: usize,
     pub other: usize,
 }
 
-impl Ended {
+impl Outcomes {
     fn note(&mut self, got: &Got) {
         match got.status {
             StatusCode::OK if got.is_whole => self.served += 1,
@@ -43,13 +43,13 @@
 }
 
 /// Sends requests to all instances, each at its own moments, and waits for their answers.
-pub async fn press(site: &Arc<Site>, demand: Demand) -> Ended {
+pub async fn send_load(site: &Arc<Site>, demand: Demand) -> Outcomes {
     let mut calls = JoinSet::new();
     let instances = site.callers.len();
     let started = Instant::now();
     let mut number = 0;
     while started.elapsed() < demand.lasts {
-        for instance in demand.spared..instances {
+        for instance in demand.skipped_instances..instances {
             let site = site.clone();
             let (id, body) = (format!("r-{instance}-{number}"), format!("work {number}"));
             number += 1;
@@ -61,7 +61,7 @@
         }
         time::sleep(demand.every).await;
     }
-    let mut ended = Ended::default();
+    let mut ended = Outcomes::default();
     while let Some(got) = calls.join_next().await {
         ended.note(&got.expect("no call panics"));
     }
@@ -69,6 +69,6 @@
 }
 
 /// Returns the instance to which a request was sent, by its id.
-pub fn instance_of(request_id: &str) -> Option<usize> {
+pub fn target_instance(request_id: &str) -> Option<usize> {
     request_id.split('-').nth(1)?.parse().ok()
 }
--- a/tests/edge/main.rs
+++ b/tests/edge/main.rs
@@ -2,7 +2,6 @@
 
 mod answers;
 mod control;
-mod ending_requests;
 mod endpoint_limits;
 mod evacuations;
 mod group;
@@ -11,9 +10,10 @@
 mod large_group;
 mod late_news;
 mod leaving_endpoints;
+mod load_generator;
 mod other_writers;
 mod places;
-mod pressing;
+mod poison_requests;
 mod resting_endpoints;
 mod site;
 mod store_lists;
--- a/tests/edge/ending_requests.rs
+++ b/tests/edge/poison_requests.rs
@@ -12,7 +12,7 @@
 };
 
 use hyper::StatusCode;
-use ryevalve::{explain::explain, gateway::endings};
+use ryevalve::{explain::explain, gateway::crash_check};
 use serde_json::Value;
 use tokio::{task::JoinSet, time};
 
@@ -299,7 +299,7 @@
         let key = balancer.key_of(id).expect("it is known");
         (key, balancer.entry(key).expect("it is known").addr)
     };
-    endings::has_ended(gateway, key, addr).await
+    crash_check::has_crashed(gateway, key, addr).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/edge/resting_endpoints.rs
+++ b/tests/edge/resting_endpoints.rs
@@ -17,7 +17,7 @@
 use tokio::time;
 
 use crate::{
-    pressing::{Demand, Ended, instance_of, press},
+    load_generator::{Demand, Outcomes, send_load, target_instance},
     site::{DOWN, Site},
     support::Edge,
 };
@@ -34,13 +34,13 @@
     path: "/again/w",
     every: Duration::from_millis(40),
     lasts: Duration::from_secs(6),
-    spared: 0,
+    skipped_instances: 0,
 };
 
 /// Returns the most requests that reached an endpoint from one instance in a rest of `rest` that it asked for.
 fn most_in_rest(site: &Site, endpoint: usize, rest: Duration) -> usize {
     let seen = site.runners[endpoint].seen();
-    let from = |id: Option<&String>| id.and_then(|id| instance_of(id));
+    let from = |id: Option<&String>| id.and_then(|id| target_instance(id));
     let seen = seen.iter().map(|s| (from(s.headers.get("request-id")), s));
     let seen: Vec<_> = seen.collect();
     let asked = seen.iter().filter(|(_, s)| !s.has_run);
@@ -53,11 +53,11 @@
 }
 
 /// Lets the endpoints ask for rest while requests come, and checks that each gets it.
-async fn check_rest(site: &Arc<Site>, resting: usize, seconds: &str, demand: Demand) -> Ended {
+async fn check_rest(site: &Arc<Site>, resting: usize, seconds: &str, demand: Demand) -> Outcomes {
     for runner in &site.runners[..resting] {
         runner.ask_for_rest(Some(seconds));
     }
-    let ended = press(site, demand).await;
+    let ended = send_load(site, demand).await;
     let rest = Duration::from_secs_f64(seconds.parse().expect("seconds"));
     for endpoint in 0..resting {
         let most = most_in_rest(site, endpoint, rest);
@@ -137,7 +137,7 @@
         ..PLAIN
     };
     // Each that is turned away takes a retry, of which a process has few before it has served some requests.
-    tokio::join!(press(&site, streams), press(&site, plain));
+    tokio::join!(send_load(&site, streams), send_load(&site, plain));
     let (of_streams, of_plain) = tokio::join!(
         check_rest(&site, 3, "3", streams),
         check_rest(&site, 3, "3", plain)
@@ -160,7 +160,7 @@
     let well = Instant::now();
     site.runners[0].ask_for_rest(None);
     let lasts = Duration::from_secs(4);
-    let ended = press(&site, Demand { lasts, ..short }).await;
+    let ended = send_load(&site, Demand { lasts, ..short }).await;
     let seen = site.runners[0].seen();
     let served = seen.iter().find(|s| s.at > well && s.has_run);
     let first = served.expect("it serves").at.duration_since(well);
@@ -226,7 +226,7 @@
     site.runners[0].end();
     time::sleep(DOWN + Duration::from_secs(1)).await;
     let before = site.runners[0].seen().len();
-    press(
+    send_load(
         &site,
         Demand {
             lasts: Duration::from_secs(2),
--- a/tests/gateway/patience.rs
+++ b/tests/gateway/caller_timeouts.rs
@@ -1,14 +1,14 @@
 //! A caller that says it will wait for less than is usual has waited before.
 
 use proptest::prelude::*;
-use ryevalve::{gateway::patience::UsualPatience, prelude::Name};
+use ryevalve::{gateway::caller_timeouts::TypicalTimeouts, prelude::Name};
 
 use crate::support::{MS, SECOND};
 
-fn taught(patience_us: &[u64]) -> (UsualPatience, Name) {
-    let mut usual = UsualPatience::default();
+fn taught(timeout_us: &[u64]) -> (TypicalTimeouts, Name) {
+    let mut usual = TypicalTimeouts::default();
     let route: Name = "r".into();
-    for us in patience_us.iter().cycle().take(400) {
+    for us in timeout_us.iter().cycle().take(400) {
         usual.waited_us(&route, *us, false);
     }
     (usual, route)
@@ -60,7 +60,7 @@
 /// day of two surges 225 were believed to be of callers that were back, and by their times about half were.
 #[test]
 fn where_callers_differ_one_that_is_back_says_less_than_any_first_try() {
-    let mut usual = UsualPatience::default();
+    let mut usual = TypicalTimeouts::default();
     let route: Name = "r".into();
     for n in 0..20 {
         let first = 10_400 * MS + n * 80 * MS;
@@ -73,7 +73,7 @@
 
 #[test]
 fn nothing_follows_where_first_tries_differ_by_more_than_those_that_are_back() {
-    let mut usual = UsualPatience::default();
+    let mut usual = TypicalTimeouts::default();
     let route: Name = "r".into();
     for n in 0..60 {
         usual.waited_us(&route, (3 + n % 10) * SECOND, true);
@@ -86,10 +86,10 @@
     fn nobody_has_waited_longer_than_the_longest_says(
         seen in prop::collection::vec((1_u64..1_000_000, any::<bool>()), 1..200),
     ) {
-        let mut usual = UsualPatience::default();
+        let mut usual = TypicalTimeouts::default();
         let longest = seen.iter().map(|(us, _)| *us).max().unwrap_or(0);
-        for (us, is_calm) in seen {
-            prop_assert!(usual.waited_us(&"r".into(), us, is_calm) <= longest - us);
+        for (us, no_recent_refusals) in seen {
+            prop_assert!(usual.waited_us(&"r".into(), us, no_recent_refusals) <= longest - us);
         }
     }
 }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -2,6 +2,7 @@
 
 mod aggregators;
 mod balancer;
+mod caller_timeouts;
 mod clock;
 mod cold;
 mod copies;
@@ -25,7 +26,6 @@
 mod limits;
 mod logs;
 mod packed;
-mod patience;
 mod prefixes;
 mod quota;
 mod quota_fleet;
--- a/tests/gateway/staleness.rs
+++ b/tests/gateway/staleness.rs
@@ -8,7 +8,7 @@
     balance::{balancer::Placement, load::EndpointKey},
     clock::{Clock, TimeSource},
     gateway::{
-        gate::ENDPOINT_LEFT,
+        send_check::ENDPOINT_LEFT,
         staleness::{Staleness, StalenessBound, Standing},
         state::Gateway,
     },
@@ -147,14 +147,14 @@
 async fn a_chosen_endpoint_is_not_sent_to_once_it_has_left_or_may_have() {
     let gateway = gateway();
     let key = EndpointKey::of("leaving");
-    assert_eq!(gateway.check_gate(key), Ok(()));
+    assert_eq!(gateway.check_before_send(key), Ok(()));
     leave(&gateway);
-    assert_eq!(gateway.check_gate(key), Err(ENDPOINT_LEFT));
+    assert_eq!(gateway.check_before_send(key), Err(ENDPOINT_LEFT));
     let key = EndpointKey::of("staying");
-    assert_eq!(gateway.check_gate(key), Ok(()));
+    assert_eq!(gateway.check_before_send(key), Ok(()));
     // A process that stood still since it chose.
     time::sleep(Duration::from_secs(5)).await;
-    assert_eq!(gateway.check_gate(key), Err(ENDPOINT_LEFT));
+    assert_eq!(gateway.check_before_send(key), Err(ENDPOINT_LEFT));
 }
 
 proptest! {
