--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -1,4 +1,5 @@
-//! What is checked and worked out of a request before it is placed.
+//! Admission of a request: finds its route and organisation, reads its body, acquires quota and describes it to the
+//! balancer.
 
 use std::sync::Arc;
 
@@ -22,20 +23,20 @@
     prelude::{Micros, Name, Rank},
 };
 
-/// A final answer leaves this long before the caller gives up.
+/// The final response is sent at least this long before the caller times out.
 pub const ANSWER_MARGIN_US: Micros = 30_000;
-/// What sending a request to another hall costs, as a share of its worth.
+/// Cost of sending a request to another hall, as a share of its value.
 const OTHER_HALL_COST: f64 = 0.05;
-/// The times that callers over a limit are told to come back after.
+/// Bounds of the Retry-After that callers over a limit get.
 const MIN_RETRY_AFTER_MS: u32 = 50;
 const MAX_RETRY_AFTER_MS: u32 = 60_000;
-/// The length of an answer in tokens of which nothing is known.
+/// Assumed length of a response in tokens, where nothing is known about it.
 const PRIOR_OUTPUT_TOKENS: u32 = 300;
 
 /// Finds the route of a request.
 ///
 /// # Errors
-/// There is none, or the configuration is too old to say so.
+/// No route matches, or the configuration is too old to be sure of that.
 pub fn find_route<P: Protocol>(
     gateway: &Gateway<P>,
     table: &RouteTable,
@@ -44,7 +45,7 @@
 ) -> Result<Arc<Route>, Refusal> {
     match table.route(host.unwrap_or_default(), path) {
         Some(route) => Ok(route.clone()),
-        // A route may have been added that is not known here yet.
+        // A matching route may have been added that is not known here yet.
         None if !gateway.may_deny() => Err(refuse::not_ready("configuration_too_old")),
         None => Err(Refusal::bad(
             StatusCode::NOT_FOUND,
@@ -54,10 +55,10 @@
     }
 }
 
-/// Finds the organisation whose key a caller showed; none where no key is needed.
+/// Finds the organisation that owns the API key of the request; none where the route needs no key.
 ///
 /// # Errors
-/// The key is not known, or the configuration is too old to judge it by.
+/// The key is not known, or the configuration is too old to decide on it.
 pub fn find_organisation<P: Protocol>(
     gateway: &Gateway<P>,
     table: &RouteTable,
@@ -70,9 +71,9 @@
     let known = head.key.as_deref().and_then(|k| table.organisation(k));
     match known {
         Some(organisation) if gateway.may_use_keys() => Ok(Some(organisation.clone())),
-        // The key may have been taken away.
+        // The key may have been revoked since.
         Some(_) => Err(refuse::not_ready("configuration_too_old")),
-        // Or it may have been added.
+        // The key may have been added since.
         None if !gateway.may_deny() => Err(refuse::not_ready("configuration_too_old")),
         None => {
             let message = "the key is not known";
@@ -88,7 +89,7 @@
 /// Reads a request's body.
 ///
 /// # Errors
-/// It is too long, or broke off.
+/// The body is longer than `max_bytes`, or the caller broke it off.
 pub async fn read_body(
     headers: &HeaderMap,
     body: Incoming,
@@ -113,8 +114,8 @@
     }
 }
 
-/// Takes what a request uses from its organisation's limit; none if there is no limit. What decided against
-/// it is noted in `trace`.
+/// Acquires quota for a request from its organisation's limit; none if the organisation has no limit. The details of a
+/// denial are recorded in `trace`.
 ///
 /// # Errors
 /// The limit is used up.
@@ -131,37 +132,38 @@
         return Ok(None);
     };
     let units = limit.units(tokens);
-    // One that names no tokens takes next to nothing: it does not leave the last of a limit to others.
+    // A request without token counts uses next to nothing, so it gets the most urgent rank and need not leave the rest of
+    // a nearly used limit to others.
     let rank = if tokens.is_some() { rank } else { 0 };
     let acquired = quota::acquire(gateway, name, units, rank, time_budget_us).await;
     acquired.map_err(|denied| {
         trace.denied = Some(denied);
         let retry_after_ms = u32::try_from(denied.wait_us / 1_000).unwrap_or(u32::MAX);
         let retry_after_ms = retry_after_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
-        // There may be room for this one sooner, but not for all that were refused with it.
+        // There may be quota for this request sooner, but not for all that were refused at the same time.
         refuse::over_limit(retry_after_ms.max(come_back_ms(time_budget_us)))
     })
 }
 
-/// Returns for how long a request is held at most.
+/// Returns the longest time a request may be held, in microseconds: the shorter of the timeouts of route and caller.
 pub fn time_budget_us(route: &Route, head: &CallHead) -> Micros {
     let route_us = route.timeout.as_micros() as Micros;
     let caller_us = head.deadline_ms.map_or(route_us, |ms| ms * 1_000);
     caller_us.min(route_us).saturating_sub(ANSWER_MARGIN_US)
 }
 
-/// The times of a request, in microseconds of this process's clock.
+/// Times of a request, in microseconds of this process's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestTimes {
-    /// When it came.
+    /// When it arrived.
     pub arrived_us: Micros,
-    /// When its caller or its route gives up.
+    /// When its time budget ends.
     pub deadline_us: Micros,
-    /// For how long its caller had waited before it came.
+    /// How long its caller had waited in earlier attempts, as estimated.
     pub waited_us: Micros,
 }
 
-/// Returns what the balancer is asked for a request.
+/// Describes a request to the balancer.
 pub fn placement_request(
     route: &Route,
     head: &CallHead,
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one endpoint, up to the head of its answer.
+//! One attempt: sends a request to one endpoint and reads its response.
 
 use std::{
     sync::{Arc, OnceLock},
@@ -29,51 +29,51 @@
     prelude::{Micros, Name},
 };
 
-/// The longest whole answer that is taken.
+/// The longest response body that is buffered, in bytes. A longer one counts as a lost connection.
 const MAX_BUFFERED_BYTES: usize = 16 << 20;
-/// Longer than any request is held, for those whose endpoint is waited for until their end.
+/// Longer than any request is held: the attempt may then last until the deadline of the request.
 const NO_ATTEMPT_TIMEOUT: Duration = Duration::from_secs(86_400);
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// A request as it was taken from its caller.
+/// An admitted request with all that is needed to forward it.
 pub struct Job {
     /// Its route.
     pub route: Arc<Route>,
-    /// What the caller said of it.
+    /// What the protocol read from its headers.
     pub head: CallHead,
     /// Its method.
     pub method: Method,
-    /// Its path and query, as they came.
+    /// Its path and query, unchanged.
     pub uri: Uri,
-    /// Its headers, without those of one connection.
+    /// Its headers, without hop-by-hop headers.
     pub headers: HeaderMap,
     /// Its body.
     pub body: Bytes,
     /// The caller's organisation.
     pub organisation: Option<Name>,
-    /// What the balancer is asked.
+    /// The request as the balancer places it.
     pub placement_request: Ask,
-    /// When the caller or the route gives up.
+    /// When the time budget of the request ends, shortly before its caller or route times out.
     pub until_us: Micros,
-    /// What it is known by when it comes again, once somebody asked.
+    /// Identifies retries of the same request; computed on first use.
     pub fingerprint: OnceLock<Fingerprint>,
 }
 
 impl Job {
-    /// Returns whether it may run more than once.
+    /// Returns whether it may run more than once: its route allows retries or resumption.
     pub fn is_repeatable(&self) -> bool {
         self.route.kind.is_repeatable()
     }
 
-    /// Returns what it is known by when it comes again. Worked out when first asked for: most requests
-    /// never need it.
+    /// Returns the fingerprint by which retries of this request are recognised. It is computed on first use, as most
+    /// requests never need it.
     pub fn fingerprint(&self) -> Fingerprint {
         let organisation = self.organisation.as_deref();
         let compute = || fingerprint(&self.method, &self.uri, organisation, &self.body);
         *self.fingerprint.get_or_init(compute)
     }
 
-    /// Returns until when an answer is waited for at most.
+    /// Returns the deadline of an attempt that may last as long as the request.
     pub fn deadline(&self) -> AttemptDeadline {
         AttemptDeadline {
             request_end_us: self.until_us,
@@ -81,14 +81,14 @@
         }
     }
 
-    /// Returns the caller's id, for logs.
+    /// Returns the request id that the caller sent, or `-`, for logs.
     pub fn request_id(&self) -> &str {
         let id = self.head.request_id.as_ref();
         id.and_then(|id| id.to_str().ok()).unwrap_or("-")
     }
 }
 
-/// Returns what a request is known by when it comes again.
+/// Returns the fingerprint of a request, which is the same for every retry of it.
 pub fn fingerprint(
     method: &Method,
     uri: &Uri,
@@ -99,31 +99,32 @@
     Fingerprint::of(method.as_str(), path, organisation, body)
 }
 
-/// An endpoint's answer of which the head has come.
+/// A response whose head has been received and whose body has not been read.
 pub struct EndpointResponse<P: Protocol> {
-    /// The answer.
+    /// The response.
     pub response: Response<Incoming>,
-    /// The connection that it comes through.
+    /// The connection that carries it.
     pub connection: EndpointConnection,
-    /// What was sent, until this is dropped.
+    /// The account of the request at its endpoint, closed on drop.
     pub in_flight: InFlightRequest<P>,
-    /// It says that the request was not run.
+    /// The endpoint states that it did not run the request.
     pub not_executed: bool,
-    /// It carries proof that it is the endpoint's own.
+    /// The response carries the endpoint's signature header.
     pub is_signed: bool,
 }
 
-/// Until when an answer is waited for.
+/// How long an attempt waits for its endpoint: until the earlier of two instants on different clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptDeadline {
-    /// The request is over, by the gateway's clock: its caller counts suspensions of this machine, too.
+    /// End of the request on the gateway's clock, which runs on while this machine is suspended, as the caller's does.
     pub request_end_us: Micros,
-    /// The endpoint has had its time, by the steady clock: what it sent during a suspension comes after it.
+    /// End of this attempt on the monotonic clock, which stops in a suspension: data that arrived meanwhile is still
+    /// read afterwards.
     pub attempt_end: Instant,
 }
 
 impl AttemptDeadline {
-    /// Waits for something; none if it has not come in time.
+    /// Awaits `future`; returns `None` if it is not ready by the deadline.
     pub async fn wait<F: Future>(self, clock: Clock, future: F) -> Option<F::Output> {
         let answer_in_time = time::timeout_at(self.attempt_end, future);
         clock
@@ -133,27 +134,26 @@
     }
 }
 
-/// What came of an attempt that brought no answer.
+/// Why an attempt brought no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptError {
-    /// No byte reached the endpoint.
+    /// Nothing was sent to the endpoint; the request may be sent elsewhere.
     NotSent(&'static str),
-    /// The connection broke: the endpoint may have run the request, and may have ended.
+    /// The connection was lost: the endpoint may have run the request, and may have crashed.
     ConnectionLost(&'static str),
     /// The endpoint may have run the request.
     Unknown(&'static str),
 }
 
-/// A request that is at an endpoint; accounted for until dropped.
+/// A request in flight at an endpoint. It counts in the load of the endpoint until it is finished or dropped.
 pub struct InFlightRequest<P: Protocol> {
     gateway: Arc<Gateway<P>>,
     /// The endpoint.
     pub choice: Choice,
-    /// When it was sent.
+    /// When it was sent, in microseconds of the gateway's clock.
     pub at_us: Micros,
-    /// The version of what was known then of the endpoint's limit.
+    /// Version of the endpoint's limit when the request was sent; an answer cannot replace a newer limit.
     pub(super) limit_version: u32,
-    /// The head of an answer came.
     has_response_head: bool,
     has_first_event: bool,
     records_hold_time: bool,
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Notes the first event or the whole answer.
+    /// Records the time to the first event, or to the whole response where it is not a stream.
     pub fn note_first_event(&mut self) {
         if self.has_first_event {
             return;
@@ -184,7 +184,7 @@
         self.gateway.balancer().first_event(&self.choice, took_ms);
     }
 
-    /// Notes that the answer is whole; the time it took teaches how long slots are held.
+    /// Records that the response is complete; its duration enters the estimate of how long slots are held.
     pub fn note_complete(&mut self) {
         self.records_hold_time = true;
         let now_us = self.gateway.clock.now_us();
@@ -192,14 +192,14 @@
         balancer.learn(self.choice.key, |s| s.ended(now_us, false));
     }
 
-    /// Notes a failure of the endpoint.
+    /// Records that the endpoint failed the request.
     pub fn note_failure(&self) {
         let now_us = self.gateway.clock.now_us();
         let mut balancer = self.gateway.balancer();
         balancer.learn(self.choice.key, |s| s.ended(now_us, true));
     }
 
-    /// Ends the account of it before it is dropped.
+    /// Removes it from the load of the endpoint and gives waiting requests a chance; later calls do nothing.
     pub fn finish(&mut self) {
         if std::mem::replace(&mut self.is_finished, true) {
             return;
@@ -219,7 +219,7 @@
         self.gateway.reconsider();
     }
 
-    /// Returns the time since it was sent, in milliseconds.
+    /// Returns the milliseconds since it was sent.
     pub fn age_ms(&self) -> f64 {
         self.gateway.clock.now_us().saturating_sub(self.at_us) as f64 / 1e3
     }
@@ -231,10 +231,11 @@
     }
 }
 
-/// Sends a job to an endpoint and waits until `until` for the head of its answer.
+/// Sends a request to an endpoint and waits until `until` for the head of its response. A stream goes on after the
+/// event with id `resume_after`.
 ///
 /// # Errors
-/// Says whether the request may have run.
+/// There is no response; the error says whether the endpoint may have run the request.
 pub async fn send<P: Protocol>(
     gateway: &Arc<Gateway<P>>,
     job: &Job,
@@ -248,7 +249,7 @@
         .check_before_send(in_flight.choice.key)
         .map_err(AttemptError::NotSent)?;
     if gateway.blocked_us(|| job.fingerprint()).is_some() {
-        // Endpoints ended under it while it waited.
+        // Endpoints crashed while running this request since it was checked on arrival.
         return Err(AttemptError::NotSent(refuse::ENDS_ENDPOINTS));
     }
     in_flight.at_us = gateway.clock.now_us();
@@ -273,19 +274,19 @@
     let head = gateway.protocol.read_answer(status, response.headers());
     endpoint_words::heard(gateway, &in_flight, &head);
     if head.request_id != job.head.request_id {
-        // A surplus answer of an earlier request; ours may run all the same.
+        // A surplus response to an earlier request on this connection; this request may be running nevertheless.
         in_flight.note_failure();
         return Err(AttemptError::Unknown("foreign_answer"));
     }
     if status != StatusCode::MISDIRECTED_REQUEST {
         endpoint_words::heard_limit(gateway, &in_flight, &head);
     }
-    if let Some(report) = head.load {
+    if let Some(load) = head.load {
         let now_us = gateway.clock.now_us();
         gateway
             .balancer()
             .picture_mut()
-            .report(now_us, in_flight.choice.key, report);
+            .report(now_us, in_flight.choice.key, load);
     }
     Ok(EndpointResponse {
         response,
@@ -296,7 +297,8 @@
     })
 }
 
-/// Gets a connection: a kept one only for a request that may run again.
+/// Returns a connection to the endpoint. Only a request that may be retried gets a pooled one, which the endpoint may
+/// be closing.
 async fn connect<P: Protocol>(
     gateway: &Gateway<P>,
     job: &Job,
@@ -340,20 +342,20 @@
     request
 }
 
-/// A whole answer.
+/// A response read to its end.
 pub struct BufferedResponse {
     /// Its status.
     pub status: StatusCode,
-    /// Its headers, without those of one connection.
+    /// Its headers, without hop-by-hop headers.
     pub headers: HeaderMap,
     /// Its body.
     pub body: Bytes,
 }
 
-/// Reads the rest of an answer until `until`; its connection is kept if it can be.
+/// Reads the body of a response until `until`, then returns the connection to the pool if it can be reused.
 ///
 /// # Errors
-/// The answer broke off, or did not come in time: the request may have run.
+/// The body broke off, is too long or was not complete in time; the endpoint may have run the request.
 pub async fn buffer_response<P: Protocol>(
     gateway: &Gateway<P>,
     answered: EndpointResponse<P>,
@@ -395,7 +397,7 @@
     })
 }
 
-/// Keeps a connection whose answer was read whole.
+/// Returns a connection to the pool after its response was read to the end.
 pub fn keep_connection<P: Protocol>(
     gateway: &Gateway<P>,
     in_flight: &InFlightRequest<P>,
@@ -411,9 +413,10 @@
     }
 }
 
-/// Returns whether a connection may be kept after an answer, and for how long if that is said.
+/// Returns whether a connection can be reused after a response (`Some`), and the idle timeout that the endpoint states,
+/// if any.
 pub fn connection_reuse(headers: &HeaderMap, status: StatusCode) -> Option<Option<Duration>> {
-    // After a failure the endpoint may not have read the whole request.
+    // After an error response the endpoint may not have read the whole request.
     if !status.is_success() || has_close_option(headers) {
         return None;
     }
@@ -435,7 +438,7 @@
     Some(Duration::from_secs(seconds.parse().ok()?))
 }
 
-/// Removes the headers that concern one connection only.
+/// Removes hop-by-hop headers, including those that `Connection` names.
 pub fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(hyper::header::CONNECTION)
@@ -464,7 +467,7 @@
     }
 }
 
-/// Returns a header's text for logs.
+/// Returns the text of a header, or `-`, for logs.
 pub fn header_for_log(value: Option<&HeaderValue>) -> &str {
     value.and_then(|v| v.to_str().ok()).unwrap_or("-")
 }
--- a/src/gateway/caller_listener.rs
+++ b/src/gateway/caller_listener.rs
@@ -1,4 +1,4 @@
-//! The callers' listener.
+//! The HTTP listener for callers.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -13,18 +13,18 @@
 };
 
 const MAX_HEADERS: usize = 100;
-/// hyper's least buffer.
+/// The smallest read buffer that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
-/// A caller's connection rests for as long as operators say and this much longer, so that the
-/// caller is the one who closes it.
+/// Idle connections stay open this much longer than the configured idle timeout, so that the caller is the side that
+/// closes them.
 const IDLE_MARGIN: Duration = Duration::from_secs(3);
 
-/// How a listener ends.
+/// Shuts the listener down in two steps.
 #[derive(Clone, Default)]
 pub struct ListenerStop {
-    /// No connection is accepted any more.
+    /// Stops accepting connections.
     pub accept: CancellationToken,
-    /// Connections close once they rest.
+    /// Closes each connection as soon as it is idle.
     pub connections: CancellationToken,
 }
 
@@ -48,7 +48,7 @@
     stream: TcpStream,
     stop: CancellationToken,
 ) {
-    // Without this small events wait for acknowledgements; with it failing they are late.
+    // Nagle's algorithm would hold back small events until earlier ones are acknowledged; a failure only delays them.
     let _ = stream.set_nodelay(true);
     let limits = gateway
         .config
@@ -60,7 +60,7 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        // hyper counts the rest before a request as part of the time for its head.
+        // hyper counts the idle time before a request towards the timeout for its head.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout) + IDLE_MARGIN)
         .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES))
         .max_headers(MAX_HEADERS)
@@ -70,6 +70,6 @@
         _ = connection.as_mut() => return,
         () = stop.cancelled() => connection.as_mut().graceful_shutdown(),
     }
-    // An error here is the caller's leaving or a body that was cut on purpose.
+    // An error means that the caller disconnected or that a body was cut on purpose.
     let _ = connection.await;
 }
--- a/src/gateway/caller_timeouts.rs
+++ b/src/gateway/caller_timeouts.rs
@@ -1,13 +1,12 @@
-//! For how long a caller has waited before this try.
+//! Estimates how long a caller has already waited in earlier attempts at the same request.
 //!
-//! A try bears an id of its own and does not say that it is a second one. But callers say how long
-//! they will still wait: one that was refused and comes back says less than is usual on its route.
-//! In a surge, some 390 of 564 late answers of one kind went to such callers (6 instances, from logs).
-//! Whom they give way to is decided in [`crate::balance::balancer`].
+//! Every attempt has its own request id and is not marked as a retry. But callers state their remaining timeout, and a
+//! retry after a refusal states less than is typical for its route. In a surge over 6 instances, some 390 of 564 late
+//! responses of one kind went to such retries. [`crate::balance::balancer`] decides on their priority.
 //!
-//! Where all say the same, whoever says less is back. Where callers differ, what they say while nobody is
-//! refused is that of first tries; one that is back says less than any of these, since it was told to stay
-//! away for a part of its time.
+//! Where all callers of a route use the same timeout, a shorter one marks a retry. Where timeouts differ, those seen
+//! while nobody is refused are taken as first attempts; a retry states less than any of them, as its caller backed
+//! off for a part of its timeout.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -16,32 +15,30 @@
     prelude::{Micros, Name},
 };
 
-/// The least share of a route's callers that must say the same for it to be the usual: where
-/// everybody waits for another time, nothing follows from one that is short. In a surge up to a half
-/// of the callers are back for the second time.
+/// The smallest share of a route's callers that must state the same timeout for it to be typical. Where every caller
+/// has another timeout, a short one means nothing. In a surge up to half of the callers are on their second attempt.
 const MIN_TYPICAL_SHARE: f64 = 0.3;
-/// The usual is what differs by less than this share from the longest.
+/// A timeout is typical if it is below the typical one by no more than this share.
 const TYPICAL_TOLERANCE: f64 = 0.02;
-/// Gain of one caller in the share, which stands for the latest fifty or so.
+/// Weight of one caller in the moving average of the share, which covers about the latest fifty.
 const GAIN: f64 = 0.02;
-/// Routes that are known at most; with more, all are learned anew.
+/// Most routes that are tracked; one more discards them all, and learning starts again.
 const MAX_ROUTES: usize = 4_096;
 
-/// First tries of a route that are remembered, the latest.
+/// How many of the latest first attempts of a route are kept.
 const MAX_FIRST_ATTEMPTS: usize = 64;
-/// Fewer than this say little of where their times end.
+/// With fewer first attempts than this, the range of their timeouts is not known well enough.
 const MIN_FIRST_ATTEMPTS: usize = 4;
-/// At most this share of first tries may say so little that one of them would be taken for one that is
-/// back; else callers differ too much for anything to follow. Some that others refused are among them.
+/// At most this share of first attempts may have timeouts so short that they would pass for retries. With more, the
+/// timeouts differ too much to recognise retries. Some of them are retries of requests that other instances refused.
 const MAX_MISCLASSIFIED_SHARE: f64 = 0.1;
 
-/// What callers of one route say at their first try.
+/// Timeouts that callers of one route state in first attempts.
 #[derive(Debug, Default)]
 struct FirstAttempts {
     latest_us: VecDeque<Micros>,
-    /// Whoever says less is back; 0 if that cannot be told.
+    /// A shorter timeout marks a retry; 0 if retries cannot be recognised.
     min_first_us: Micros,
-    /// What the one in the middle says.
     median_us: Micros,
 }
 
@@ -53,7 +50,7 @@
         self.latest_us.push_back(timeout_us);
         let mut sorted: Vec<Micros> = self.latest_us.iter().copied().collect();
         sorted.sort_unstable();
-        // The longest may be one that nobody else is like.
+        // The longest may be an outlier, so the second longest is used.
         let Some(longest_us) = sorted.len().checked_sub(2).map(|at| sorted[at]) else {
             return;
         };
@@ -74,11 +71,12 @@
     }
 }
 
-/// What the callers of one route say.
+/// Timeouts that callers of one route state.
 #[derive(Debug)]
 struct RouteTimeouts {
+    /// The typical timeout, the longest that enough callers state.
     timeout_us: Micros,
-    /// The share of callers that say so.
+    /// Moving average of the share of callers that state it.
     share: f64,
     first_attempts: FirstAttempts,
 }
@@ -95,8 +93,8 @@
             0.0
         };
         self.share += (hit - self.share) * GAIN;
-        // A longer one replaces it, and has to be said by others too before anything follows from it;
-        // one that nobody else says gives way.
+        // A longer timeout replaces the typical one. Unless other callers state it as well, its share falls below the
+        // minimum, so that it marks no retries, and in the end it is replaced itself.
         if timeout_us > self.timeout_us || self.share < GAIN {
             self.timeout_us = timeout_us;
             self.share = MIN_TYPICAL_SHARE;
@@ -104,16 +102,16 @@
     }
 }
 
-/// How long the callers of each route usually wait.
+/// The timeouts that callers of each route typically state.
 #[derive(Debug, Default)]
 pub struct TypicalTimeouts {
     routes: HashMap<Name, RouteTimeouts>,
 }
 
 impl TypicalTimeouts {
-    /// Learns that a caller of a route waits for `timeout_us` from now; returns for how long it has
-    /// waited already, 0 if that cannot be told. `no_recent_refusals` says that nobody was refused within that time,
-    /// so that it comes for the first time.
+    /// Records the remaining timeout of a caller of a route, and returns the estimate of how long it has already
+    /// waited, in microseconds; 0 if unknown. `no_recent_refusals` means that nobody was refused within the last
+    /// `timeout_us`, so that this is a first attempt.
     pub fn waited_us(
         &mut self,
         route: &Name,
--- a/src/gateway/crash_check.rs
+++ b/src/gateway/crash_check.rs
@@ -1,9 +1,9 @@
-//! Finds out whether an endpoint has ended when a connection to it breaks.
+//! Finds out whether an endpoint has crashed when a connection to it is lost.
 //!
-//! Connections break for many reasons: a reset on the way, a link that was cut, an endpoint that fails a
-//! part of its requests. An endpoint has ended if its address refuses connections, and nothing that this
-//! instance sent there goes on or it refuses them for a third of a second. An address that does not answer at
-//! all says nothing: the link to it may be cut.
+//! Connections are lost for many reasons: a reset on the way, a broken link, an endpoint that fails some of its
+//! requests. An endpoint has crashed if its address refuses connections, and either no request of this instance is in
+//! flight there any more or the refusals last for a third of a second. An address that does not answer at all proves
+//! nothing, as the link to it may be broken.
 
 use std::{
     collections::HashMap,
@@ -21,18 +21,16 @@
     prelude::Micros,
 };
 
-/// The pauses before each check. All connections to an endpoint that ends break within some milliseconds;
-/// where requests of this instance seem to go on, the later looks tell whether they do.
+/// Delays before the probes of one check. All connections to a crashed endpoint are lost within some milliseconds;
+/// where requests of this instance still seem to be in flight, the later probes decide.
 const PROBE_DELAYS: [Duration; 3] = [
     Duration::from_millis(40),
     Duration::from_millis(100),
     Duration::from_millis(200),
 ];
-/// A port where nothing listens refuses within the round trip; links between halls take some
-/// milliseconds.
+/// A closed port refuses within one round trip, which takes some milliseconds between halls.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// For how long it is remembered that an endpoint has ended: requests that were sent there just before
-/// break later.
+/// How long the verdict on an endpoint is kept: requests that were sent just before a crash may fail later.
 const VERDICT_TTL_US: Micros = 5_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,19 +40,20 @@
     Crashed,
 }
 
+/// A check of one endpoint, running or finished.
 struct Check {
     started_us: Micros,
     verdict: watch::Receiver<Verdict>,
 }
 
-/// The endpoints that are looked at, and those that have ended of late.
+/// The endpoints that are being checked, and those that crashed recently.
 #[derive(Default)]
 pub struct CrashChecks {
     checks: Mutex<HashMap<EndpointKey, Check>>,
 }
 
 impl CrashChecks {
-    /// Returns the verdict on an endpoint, and where to put it if nobody looks yet.
+    /// Returns the verdict on an endpoint, and its sender if the caller is to run the check.
     fn join(
         &self,
         now_us: Micros,
@@ -63,7 +62,7 @@
         let mut checks = self.checks.lock().unwrap_or_else(PoisonError::into_inner);
         checks.retain(|_, check| {
             let is_recent = now_us.saturating_sub(check.started_us) < VERDICT_TTL_US;
-            // A link may be reset twice in a second: that it was not the end once says nothing of now.
+            // A connection may be reset twice in a second: an endpoint found alive is checked again on the next loss.
             is_recent && *check.verdict.borrow() != Verdict::Alive
         });
         if let Some(check) = checks.get(&key) {
@@ -79,8 +78,9 @@
     }
 }
 
-/// Finds out whether the endpoint at which a request's connection has just broken has ended, and notes it. A
-/// request under which none ended before need not wait for that: it goes on elsewhere at once.
+/// Checks whether the endpoint to which a request has just lost its connection has crashed, and records the crash
+/// against the request. Only a request that is suspected of crashing endpoints waits for the result; any other may be
+/// retried at once.
 pub async fn on_connection_lost<P: Protocol>(
     gateway: &Arc<Gateway<P>>,
     job: &Arc<Job>,
@@ -88,10 +88,10 @@
     lost_before: bool,
 ) {
     let is_suspected = lost_before || gateway.suspects().is_suspected(job.fingerprint());
-    // On its own, since the caller may leave meanwhile.
+    // A task of its own, since the caller may disconnect meanwhile.
     let recording = tokio::spawn(record_crash(gateway.clone(), job.clone(), choice));
     if is_suspected {
-        // It fails only where the process is about to end.
+        // This fails only while the process shuts down.
         let _ = recording.await;
     }
 }
@@ -110,8 +110,8 @@
     log_ending(&gateway, &job, &choice.id, crashes);
 }
 
-/// Returns whether the endpoint at which a connection has just broken has ended. Looking takes 40 ms, and
-/// 1.1 s at most: three pauses, and three connects that nobody answers.
+/// Returns whether the endpoint to which a connection has just been lost has crashed. This takes 40 ms or more, and at
+/// most 1.1 s for three delays and three connects that time out.
 pub async fn has_crashed<P: Protocol>(
     gateway: &Arc<Gateway<P>>,
     key: EndpointKey,
@@ -126,12 +126,12 @@
         });
     }
     let verdict = verdict.wait_for(|v| *v != Verdict::Pending).await;
-    // Without a verdict the process is about to end.
+    // Without a verdict the process is shutting down.
     verdict.is_ok_and(|v| *v == Verdict::Crashed)
 }
 
 async fn probe<P: Protocol>(gateway: &Gateway<P>, key: EndpointKey, addr: SocketAddr) -> Verdict {
-    // One that has said that it leaves, or has left the set, ends as planned.
+    // An endpoint that has announced its leave, or is no longer listed, stops as planned.
     let now_us = gateway.clock.now_us();
     if gateway.balancer().standing(now_us, key) == Standing::Leaves {
         return Verdict::Alive;
@@ -142,10 +142,10 @@
         match time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await {
             Ok(Ok(_)) => return Verdict::Alive,
             Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => refusals += 1,
-            // No word from there: the link may be cut.
+            // No answer: the link may be broken.
             Ok(Err(_)) | Err(_) => continue,
         }
-        // What a caller does not read seems to go on; each look tells the same by then.
+        // A request whose caller does not read still counts as in flight, so refusals of all probes decide as well.
         let has_own_requests = gateway.balancer().picture().own_requests(key) > 0;
         if !has_own_requests || refusals == PROBE_DELAYS.len() {
             return Verdict::Crashed;
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -1,5 +1,5 @@
-//! Decides where a request goes: by the instance that gives places at the hall's endpoints, or by what this instance knows,
-//! with a permit where one is needed.
+//! Decides where a request runs: by a reservation from the instance that assigns slots at the hall's endpoints, or
+//! else from this instance's own view of the endpoints, with a permit for those that limit their request rate.
 
 use tokio::sync::oneshot;
 
@@ -19,17 +19,17 @@
     prelude::Name,
 };
 
-/// So many endpoints that take only so many requests a second are asked permits for, one after the other, for one
-/// request: two milliseconds each, and after that whoever refuses is not asked for a while.
+/// Permits of rate-limited endpoints that are requested for one request, one after the other. Each takes about two
+/// milliseconds, and an endpoint whose permit was denied is skipped for a while.
 const MAX_PERMIT_REQUESTS: usize = 3;
-/// When a caller may come back whose request endpoints turned away, where others have not.
+/// Retry-After of a request that endpoints rejected, unless all endpoints of its service are in back-off.
 const REJECTED_RETRY_AFTER_MS: u32 = 500;
-/// Endpoints at rest that are named when a place is asked for, at most, at 5 bytes each. A place at another of them is not
-/// taken.
+/// Most endpoints in back-off that a reservation request lists, at 5 bytes each. A reservation at one that is not
+/// listed is not used.
 const MAX_RESTING_EXCLUDED: usize = 128;
 
 impl<P: Protocol> Gateway<P> {
-    /// Decides on a request, waiting for a slot if it must. Those in `tried` are not chosen.
+    /// Chooses an endpoint for a request that is not in `tried`, waiting for a free slot if needed.
     pub async fn place(&self, ask: &Ask, tried: &[EndpointKey]) -> Placement {
         self.endpoints_settled().await;
         self.evacuations_settled().await;
@@ -44,10 +44,10 @@
         self.place_locally(ask, tried).await
     }
 
-    /// Asks the instance that gives places at the hall's endpoints for one; none if there is none, it does
-    /// not answer in time, or knows an endpoint that this instance does not.
+    /// Requests a reservation from the instance that assigns slots at the hall's endpoints. Returns `None` if there is
+    /// no such instance, it does not answer in time, or its choice cannot be used here.
     async fn reserve_place(&self, ask: &Ask, tried: &[EndpointKey]) -> Option<Placement> {
-        // Whoever gives places does not know the regions in which a request may be served.
+        // A reservation request does not carry the regions in which the request may be served.
         if !ask.is_stream || ask.homes.are_named() {
             return None;
         }
@@ -62,7 +62,7 @@
         placement
     }
 
-    /// Returns the endpoints that a place is not to be given at: those tried, and those that rest from this instance.
+    /// Returns the endpoints to exclude from a reservation: those tried, and those this instance must back off from.
     fn excluded_endpoints(&self, tried: &[EndpointKey]) -> Vec<EndpointKey> {
         let now_us = self.clock.now_us();
         let at_rest = self.balancer().rests().at_rest(now_us);
@@ -71,7 +71,7 @@
         excluded
     }
 
-    /// Returns when a caller may come back whose request endpoints turned away.
+    /// Returns the Retry-After, in milliseconds, of a request that endpoints of `service` rejected.
     pub fn retry_after_rejections_ms(&self, service: &Name) -> u32 {
         let now_us = self.clock.now_us();
         let retry_at_us = self.balancer().first_back_us(now_us, service);
@@ -80,7 +80,7 @@
         })
     }
 
-    /// Does what another instance decided on a request; none if it knows an endpoint that is not known here.
+    /// Applies the reservation or refusal of another instance; returns `None` if its endpoint cannot be used here.
     fn apply_place_answer(&self, ask: &Ask, answer: PlaceAnswer) -> Option<Placement> {
         let now_us = self.clock.now_us();
         match answer {
@@ -91,7 +91,7 @@
             } => {
                 let mut balancer = self.balancer();
                 if !by_permit && balancer.rate(now_us, key).is_some() {
-                    // Whoever gave the place has not heard of the limit.
+                    // The other instance does not know yet that this endpoint limits its request rate.
                     return None;
                 }
                 balancer.take_place(now_us, ask, key, expected)
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Asks for a permit, if a request had best go to an endpoint that takes only so many a second; one after the
-    /// other for some such endpoints.
+    /// Acquires a permit if the best endpoint for a request limits its request rate, trying several such endpoints in
+    /// turn.
     async fn acquire_permit(&self, ask: &Ask, tried: &[EndpointKey]) -> Option<EndpointKey> {
         for _ in 0..MAX_PERMIT_REQUESTS {
             let now_us = self.clock.now_us();
@@ -114,7 +114,7 @@
         None
     }
 
-    /// Decides on a request by what this instance knows, waiting for a slot if it must.
+    /// Chooses an endpoint from this instance's own view, waiting for a free slot if needed.
     pub async fn place_locally(&self, ask: &Ask, tried: &[EndpointKey]) -> Placement {
         let permit = self.acquire_permit(ask, tried).await;
         let now_us = self.clock.now_us();
@@ -128,7 +128,7 @@
         self.wait_for_place(ask).await
     }
 
-    /// Waits for a place for a request, or until it may wait no longer.
+    /// Queues a request until it gets a slot or the balancer refuses it.
     pub async fn wait_for_place(&self, ask: &Ask) -> Placement {
         let (sender, receiver) = oneshot::channel();
         let key = self.balancer().enqueue(ask.clone());
@@ -142,7 +142,7 @@
         })
     }
 
-    /// Decides anew on the requests that wait.
+    /// Tries again to place the queued requests, and delivers the decisions to their tasks.
     pub fn reconsider(&self) {
         let now_us = self.clock.now_us();
         let decisions = {
@@ -159,7 +159,7 @@
                 None => Some(placement),
             };
             if let Some(Placement::Send(choice)) = undelivered {
-                // The caller has left meanwhile: nothing is sent.
+                // The caller has disconnected, so nothing is sent and the slot is released.
                 let tokens = choice.expected.uncached_tokens;
                 self.balancer().end(choice.key, tokens, None);
             }
@@ -171,7 +171,7 @@
     matches!(placement, Placement::Send(choice) if choice.key == endpoint)
 }
 
-/// A request in the queue; leaves it when its caller does.
+/// Removes a request from the queue on drop, such as when its caller disconnects.
 struct QueueGuard<'g, P: Protocol> {
     gateway: &'g Gateway<P>,
     key: WaitKey,
--- a/src/gateway/probes.rs
+++ b/src/gateway/probes.rs
@@ -1,4 +1,4 @@
-//! Answers whether callers are to be sent here, and shows the counters.
+//! Serves the readiness probe and the metrics.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -11,10 +11,10 @@
     gateway::{metrics::GatewayReadings, protocol::Protocol, state::Gateway},
 };
 
-/// Where the counters are.
+/// Path of the metrics.
 pub const METRICS_PATH: &str = "/metrics";
 
-/// Serves until dropped: the counters under [`METRICS_PATH`], readiness under any other path.
+/// Serves until dropped: metrics under [`METRICS_PATH`], the readiness probe under any other path.
 pub async fn serve<P: Protocol>(gateway: Arc<Gateway<P>>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -27,7 +27,7 @@
         });
         tokio::spawn(async move {
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // An error here is the asker's leaving.
+            // An error means that the client disconnected.
             let _ = connection.await;
         });
     }
--- a/src/gateway/refuse.rs
+++ b/src/gateway/refuse.rs
@@ -1,4 +1,4 @@
-//! Final answers of the gateway's own, in the callers' headers.
+//! The gateway's own final responses to callers: refusals and errors.
 
 use hyper::{
     Response, StatusCode,
@@ -11,10 +11,10 @@
     prelude::Micros,
 };
 
-/// Why a request is refused under which endpoints ended.
+/// Reason for refusing a request that crashed the endpoints that ran it.
 pub const ENDS_ENDPOINTS: &str = "ends_endpoints";
 
-/// Returns the answer of a refusal. The time to come back is given in seconds with fractions.
+/// Builds the response of a refusal. `Retry-After` is written in seconds with fractions.
 pub fn response<P: Protocol>(
     protocol: &P,
     refusal: &Refusal,
@@ -32,7 +32,7 @@
     response
 }
 
-/// No configuration is known, or it is too old to judge a key by.
+/// There is no configuration yet, or it is too old to decide on a route or key.
 pub fn not_ready(reason: &'static str) -> Refusal {
     let message = "the configuration is not known to be the newest";
     Refusal::not_run(reason, message, 1_000)
@@ -47,20 +47,20 @@
     }
 }
 
-/// Endpoints ended under the request wherever it ran; it did not run this time.
+/// Endpoints crashed whenever they ran the request; it is blocked for `blocked_us` and did not run this time.
 pub fn blocked(blocked_us: Micros) -> Refusal {
     let message = "endpoints that ran this request ended; it is not sent to another";
     let blocked_ms = u32::try_from(blocked_us / 1_000).unwrap_or(u32::MAX);
     Refusal::not_run(ENDS_ENDPOINTS, message, blocked_ms)
 }
 
-/// The request did not run, and is given up.
+/// The request did not run and is not tried again.
 pub fn not_run(reason: &'static str, retry_after_ms: u32) -> Refusal {
     let message = "the request did not run";
     Refusal::not_run(reason, message, retry_after_ms)
 }
 
-/// The request was sent, and time ran out.
+/// The request was sent, and its time budget ran out.
 pub fn timed_out() -> Refusal {
     Refusal {
         status: StatusCode::GATEWAY_TIMEOUT,
@@ -68,7 +68,7 @@
     }
 }
 
-/// The request was sent, and what became of it is not known.
+/// The request was sent, and its outcome is unknown.
 pub fn unknown(reason: &'static str) -> Refusal {
     Refusal::unknown(reason, "the endpoint may have run the request")
 }
--- a/src/gateway/routes.rs
+++ b/src/gateway/routes.rs
@@ -1,4 +1,4 @@
-//! Finds a request's route by host and path, and its organisation by key.
+//! Looks up the route of a request by host and path, and its organisation by API key.
 
 use std::{
     collections::HashMap,
@@ -13,11 +13,11 @@
     prelude::Name,
 };
 
-/// A configuration with what makes looking up quick.
+/// A configuration with indices for fast lookup.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     config: GatewayConfig,
-    /// By host, the routes with the longest path first.
+    /// Routes by host, longest path prefix first.
     by_host: HashMap<Name, Vec<Arc<Route>>>,
     by_key: HashMap<Name, Arc<Organisation>>,
     packed: OnceLock<Vec<u8>>,
@@ -46,11 +46,11 @@
         }
     }
 
-    /// Returns the configuration as it is given to other instances.
+    /// Returns the configuration as other instances fetch it, compressed on first use; empty if it cannot be encoded.
     pub fn packed(&self) -> &[u8] {
         self.packed.get_or_init(|| {
             packed::pack(&self.config).unwrap_or_else(|error| {
-                // Whoever is given this takes it for no configuration, and asks the store.
+                // An instance that fetches the empty copy treats it as no configuration, and reads the store instead.
                 let reason = error.to_string();
                 log::error!(target: "ryevalve::process", reason; "configuration_not_packed");
                 Vec::new()
@@ -63,31 +63,31 @@
         &self.config
     }
 
-    /// Returns the route of `host` with the longest path that begins `path`.
+    /// Returns the route of `host` with the longest prefix of `path`. A port in `host` is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host);
         let routes = self.by_host.get(host)?;
         routes.iter().find(|r| path.starts_with(&*r.path_prefix))
     }
 
-    /// Returns the organisation that holds a key.
+    /// Returns the organisation that owns an API key.
     pub fn organisation(&self, key: &str) -> Option<&Arc<Organisation>> {
         self.by_key.get(key)
     }
 
-    /// Returns a service.
+    /// Returns the service with a name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.config.services.get(name)
     }
 
-    /// Returns whether a request of `route` needs a key.
+    /// Returns whether requests of `route` need an API key: it is not public and there are organisations.
     pub fn needs_key(&self, route: &Route) -> bool {
         !route.public && !self.config.organisations.is_empty()
     }
 }
 
 impl Route {
-    /// Chooses one of the route's services by weight; `draw` is from 0 up to 1.
+    /// Chooses one of the route's services by weight; `draw` is from 0 up to 1 (exclusive). None if all weights are 0.
     pub fn pick_target(&self, draw: f64) -> Option<&Name> {
         let total: u32 = self.targets.iter().map(|t| t.weight).sum();
         let mut left = draw * f64::from(total);
--- a/src/gateway/send_check.rs
+++ b/src/gateway/send_check.rs
@@ -1,28 +1,28 @@
-//! The last look before a request is written to an endpoint, whatever brought it there: a first try, a retry, a
-//! stream that is taken up, a permit or a place that was given before.
+//! The last check before a request is written to an endpoint. It covers every way of sending: first attempts, retries,
+//! resumed streams, and requests that hold a permit or a reservation.
 //!
-//! Between the choice and here a request waits for a connection, and words of endpoints come meanwhile.
+//! A request waits for a connection after its endpoint was chosen, and the state of the endpoint may change meanwhile.
 
 use crate::{
     balance::{load::EndpointKey, standing::Standing},
     gateway::{protocol::Protocol, staleness::Standing as Staleness, state::Gateway},
 };
 
-/// Why a request was not sent: its endpoint leaves or has left.
+/// Reason for not sending a request: its endpoint is leaving or has left.
 pub const ENDPOINT_LEFT: &str = "endpoint_left";
-/// Why a request was not sent: its endpoint's data centre was evacuated since it was chosen.
+/// Reason for not sending a request: the data centre of its endpoint was evacuated after the choice.
 pub const ENDPOINT_EVACUATED: &str = "endpoint_evacuated";
-/// Why a request was not sent: its endpoint asked this instance for rest since it was chosen.
+/// Reason for not sending a request: its endpoint asked this instance to back off after the choice.
 pub const ENDPOINT_RESTS: &str = "endpoint_rests";
 
 impl<P: Protocol> Gateway<P> {
-    /// Looks whether a request may be sent to an endpoint that was chosen for it some time ago.
+    /// Checks that a request may still be sent to the endpoint chosen for it.
     ///
     /// # Errors
-    /// Why not, as a fixed word; it goes elsewhere.
+    /// The reason why it may not; the request is then sent to another endpoint.
     pub fn check_before_send(&self, key: EndpointKey) -> Result<(), &'static str> {
         if self.endpoints_standing() == Staleness::Asking {
-            // This process stood still: the endpoint may have left since.
+            // This process was suspended and its endpoint list is being refreshed: the endpoint may have left.
             return Err(ENDPOINT_LEFT);
         }
         if self.evacuations_standing() == Staleness::Asking {
@@ -33,7 +33,7 @@
             Standing::Leaves => Err(ENDPOINT_LEFT),
             Standing::Evacuated => Err(ENDPOINT_EVACUATED),
             Standing::RestsUntil(_) => Err(ENDPOINT_RESTS),
-            // Whoever chose it has a permit, if one was needed then.
+            // If a permit was needed, it was acquired when the endpoint was chosen.
             Standing::Serves | Standing::NeedsPermit => Ok(()),
         }
     }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -1,8 +1,7 @@
-//! Relays a series of events as they come, and takes it up at another endpoint if it breaks.
+//! Relays an event stream to the caller, and resumes it at another endpoint if it breaks or stalls.
 //!
-//! Only whole events are passed on, so that another endpoint can go on after the last one. An
-//! answer that cannot be brought to its end fails visibly: its connection is closed without the
-//! mark of a whole body.
+//! Only whole events are relayed, so that another endpoint can continue after the last one. A stream that cannot be
+//! completed fails visibly: the connection to the caller is closed without the end mark of the chunked body.
 
 use std::{io, sync::Arc, time::Duration};
 
@@ -34,27 +33,28 @@
     prelude::Micros,
 };
 
-/// A stream that says nothing for this many times its useful pause is taken up elsewhere, if another
-/// endpoint has room. Else it is waited for on: in a surge over 295 instances streams that had only
-/// slowed down were cut 160 ms later, when no room had been found.
+/// A stream without events for this many times the target gap of its route is resumed at another endpoint, if one has
+/// a free slot. Otherwise the wait goes on: in a surge over 295 instances, streams that had only slowed down were cut
+/// 160 ms later because no slot had been found.
 const STALL_TIMEOUT_GAPS: f64 = 2.0;
-/// And not before this time: an endpoint that reads long prompts pauses its streams.
+/// Lower bound of that time: an endpoint that prefills long prompts pauses its streams.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Why a stream was taken up elsewhere that said nothing.
+/// Reason for resuming a stalled stream.
 const STALLED: &str = "stream_silent";
-/// The last events reach the caller before its connection is cut.
+/// Time for the last events to reach the caller before its connection is closed.
 const FLUSH_DELAY: Duration = Duration::from_millis(30);
 
-/// The head of the first endpoint's answer, and the events that came with it.
+/// The head of the first endpoint's response, and the first events.
 pub struct StreamHead {
     status: StatusCode,
     headers: HeaderMap,
     events: Bytes,
 }
 
+/// The endpoint that the stream currently comes from.
 struct Upstream<P: Protocol> {
     body: Incoming,
-    /// Given back when the stream ends; dropping it ends the run at the endpoint.
+    /// Returned to the pool when the stream is complete; dropping it cancels the run at the endpoint.
     connection: Option<EndpointConnection>,
     in_flight: InFlightRequest<P>,
     status: StatusCode,
@@ -64,7 +64,7 @@
     last_event_us: Micros,
 }
 
-/// A stream under way.
+/// A stream that is being relayed to a caller.
 pub struct Relay<P: Protocol> {
     gateway: Arc<Gateway<P>>,
     job: Arc<Job>,
@@ -78,13 +78,13 @@
     trace: Trace,
 }
 
-/// Why a stream brings no more.
+/// Why an endpoint brings no more events.
 enum StreamEnd {
-    /// It is whole.
+    /// The response is complete.
     Complete,
-    /// It broke.
+    /// The stream broke, for the given reason.
     Broken(&'static str),
-    /// Nothing has come for so long that another endpoint had better go on.
+    /// There was no event for so long that another endpoint should continue.
     Stalled,
 }
 
@@ -109,7 +109,7 @@
 }
 
 impl<P: Protocol> Relay<P> {
-    /// Begins with an answer of which the head has come.
+    /// Starts with a response whose head has been received; `runs` counts the earlier attempts that may have run.
     pub fn new(
         gateway: Arc<Gateway<P>>,
         job: Arc<Job>,
@@ -138,10 +138,10 @@
         &self.upstream.in_flight.choice
     }
 
-    /// Waits until `until` for the first event; before it nothing has been passed on.
+    /// Waits until `until` for the first events. Nothing is sent to the caller before that.
     ///
     /// # Errors
-    /// None came: the request may have run.
+    /// There was no event; the endpoint may have run the request.
     pub async fn wait_first_event(
         &mut self,
         until: AttemptDeadline,
@@ -149,7 +149,7 @@
         let clock = self.gateway.clock;
         let events = match until.wait(clock, self.next_events()).await {
             Some(Ok(events)) => events,
-            // An answer without any event is whole, too.
+            // A response without events is complete as well.
             Some(Err(StreamEnd::Complete)) => Bytes::new(),
             Some(Err(StreamEnd::Broken(reason))) => {
                 self.upstream.in_flight.note_failure();
@@ -171,7 +171,7 @@
         })
     }
 
-    /// Returns the answer that relays the rest.
+    /// Returns the response to the caller, whose body relays the events.
     pub fn into_response(self, head: StreamHead) -> Response<Body> {
         let first = (!head.events.is_empty()).then_some(head.events);
         let parts = stream::unfold((first, Some(self)), |(first, relay)| async move {
@@ -191,7 +191,7 @@
         response
     }
 
-    /// Returns the next events, none after a whole answer, or an error once the stream is lost.
+    /// Returns the next events, `None` after a complete stream, or an error if the stream is lost for good.
     async fn next(&mut self) -> Option<io::Result<Bytes>> {
         loop {
             if self.is_over {
@@ -210,7 +210,7 @@
                 },
             };
             self.upstream.in_flight.note_failure();
-            // Ends the run there before another one begins.
+            // Cancels the run there before another one starts.
             drop(self.upstream.connection.take());
             self.upstream.in_flight.finish();
             if reason != STALLED {
@@ -219,14 +219,14 @@
             self.trace.reason = Some(reason);
             if !self.resume(reason, alternative).await {
                 self.record_outcome(Outcome::Broken);
-                // hyper drops what it has not written when a body fails: let it write first.
+                // hyper discards unwritten data when a body fails, so it gets time to write first.
                 time::sleep(FLUSH_DELAY).await;
                 return Some(Err(io::Error::other(reason)));
             }
         }
     }
 
-    /// Finds out whether the endpoint has ended.
+    /// Starts the check whether the endpoint has crashed.
     async fn on_connection_lost(&mut self, choice: Choice) {
         self.trace.fingerprint = Some(self.job.fingerprint());
         let lost_before = self.runs > 1;
@@ -311,7 +311,7 @@
         upstream.last_event_us = now_us;
     }
 
-    /// Returns until when the next event is waited for.
+    /// Returns the deadline of the next event.
     fn next_event_deadline(&self) -> AttemptDeadline {
         let mut until = self.job.deadline();
         if self.upstream.events_seen > 0 && self.may_resume() {
@@ -336,9 +336,9 @@
                 >= 1.0
     }
 
-    /// Chooses another endpoint to go on at, if one has room soon.
+    /// Chooses another endpoint to resume at, if one has a free slot soon.
     async fn choose_other_endpoint(&self) -> Option<Choice> {
-        // Going on has its own time to wait: the first event came long ago.
+        // The queueing time of a resumption counts from now: the first event was long ago.
         let mut ask = self.job.placement_request.clone();
         ask.arrived_us = self.gateway.clock.now_us();
         match self.gateway.place(&ask, &self.tried).await {
@@ -347,7 +347,7 @@
         }
     }
 
-    /// Takes the stream up at another endpoint, first at `chosen`; false if it cannot be.
+    /// Resumes the stream at another endpoint, trying `chosen` first; returns false if that fails.
     async fn resume(&mut self, reason: &'static str, mut chosen: Option<Choice>) -> bool {
         while self.may_resume() && self.is_in_time() {
             let choice = match chosen.take() {
