--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -231,7 +231,7 @@
     }
 }
 
-/// Sends a request to an endpoint and waits until `until` for the head of its response. A stream goes on after the
+/// Sends a request to an endpoint and waits until `deadline` for the head of its response. A stream goes on after the
 /// event with id `resume_after`.
 ///
 /// # Errors
@@ -241,7 +241,7 @@
     job: &Job,
     choice: Choice,
     resume_after: Option<u64>,
-    until: AttemptDeadline,
+    deadline: AttemptDeadline,
 ) -> Result<EndpointResponse<P>, AttemptError> {
     let mut in_flight = InFlightRequest::new(gateway.clone(), choice);
     let mut connection = connect(gateway, job, &in_flight).await?;
@@ -257,7 +257,7 @@
         endpoint_words::note_sent(gateway, in_flight.choice.key, in_flight.at_us);
     let request = build_request(gateway, job, &in_flight.choice, resume_after);
     let answer = connection.sender.send_request(request);
-    let response = match until.wait(gateway.clock, answer).await {
+    let response = match deadline.wait(gateway.clock, answer).await {
         Some(Ok(response)) => response,
         Some(Err(e)) if e.is_canceled() => return Err(AttemptError::NotSent("closed_before")),
         Some(Err(_)) => {
@@ -352,25 +352,25 @@
     pub body: Bytes,
 }
 
-/// Reads the body of a response until `until`, then returns the connection to the pool if it can be reused.
+/// Reads the body of a response until `deadline`, then returns the connection to the pool if it can be reused.
 ///
 /// # Errors
 /// The body broke off, is too long or was not complete in time; the endpoint may have run the request.
 pub async fn buffer_response<P: Protocol>(
     gateway: &Gateway<P>,
-    answered: EndpointResponse<P>,
-    until: AttemptDeadline,
+    received: EndpointResponse<P>,
+    deadline: AttemptDeadline,
 ) -> Result<BufferedResponse, AttemptError> {
     let EndpointResponse {
         response,
         connection,
         mut in_flight,
         ..
-    } = answered;
+    } = received;
     let (parts, body) = response.into_parts();
     let reuse = connection_reuse(&parts.headers, parts.status);
     let body = Limited::new(body, MAX_BUFFERED_BYTES).collect();
-    let collected = match until.wait(gateway.clock, body).await {
+    let collected = match deadline.wait(gateway.clock, body).await {
         Some(Ok(collected)) => collected,
         Some(Err(_)) => {
             in_flight.note_failure();
--- a/src/gateway/caller_timeouts.rs
+++ b/src/gateway/caller_timeouts.rs
@@ -43,7 +43,7 @@
 }
 
 impl FirstAttempts {
-    fn learn(&mut self, timeout_us: Micros) {
+    fn record(&mut self, timeout_us: Micros) {
         if self.latest_us.len() >= MAX_FIRST_ATTEMPTS {
             self.latest_us.pop_front();
         }
@@ -86,7 +86,7 @@
         timeout_us as f64 >= self.timeout_us as f64 * (1.0 - TYPICAL_TOLERANCE)
     }
 
-    fn learn(&mut self, timeout_us: Micros) {
+    fn record(&mut self, timeout_us: Micros) {
         let hit = if self.is_typical(timeout_us) {
             1.0
         } else {
@@ -126,9 +126,9 @@
             share: MIN_TYPICAL_SHARE,
             first_attempts: FirstAttempts::default(),
         });
-        timeouts.learn(timeout_us);
+        timeouts.record(timeout_us);
         if no_recent_refusals {
-            timeouts.first_attempts.learn(timeout_us);
+            timeouts.first_attempts.record(timeout_us);
         }
         if timeouts.is_typical(timeout_us) {
             return 0;
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -89,15 +89,15 @@
 }
 
 impl<P: Protocol> Upstream<P> {
-    fn new(answered: EndpointResponse<P>, now_us: Micros) -> (Self, HeaderMap) {
-        let (parts, body) = answered.response.into_parts();
+    fn new(received: EndpointResponse<P>, now_us: Micros) -> (Self, HeaderMap) {
+        let (parts, body) = received.response.into_parts();
         let mut headers = parts.headers;
         let reuse = attempt::connection_reuse(&headers, parts.status);
         attempt::strip_connection_headers(&mut headers);
         let upstream = Self {
             body,
-            connection: Some(answered.connection),
-            in_flight: answered.in_flight,
+            connection: Some(received.connection),
+            in_flight: received.in_flight,
             status: parts.status,
             reuse,
             cutter: EventCutter::default(),
@@ -113,12 +113,12 @@
     pub fn new(
         gateway: Arc<Gateway<P>>,
         job: Arc<Job>,
-        answered: EndpointResponse<P>,
+        received: EndpointResponse<P>,
         tried: Vec<EndpointKey>,
         runs: u32,
         trace: Trace,
     ) -> Self {
-        let (upstream, headers) = Upstream::new(answered, gateway.clock.now_us());
+        let (upstream, headers) = Upstream::new(received, gateway.clock.now_us());
         Self {
             last_id: job.head.resume_after,
             gateway,
@@ -138,16 +138,16 @@
         &self.upstream.in_flight.choice
     }
 
-    /// Waits until `until` for the first events. Nothing is sent to the caller before that.
+    /// Waits until `deadline` for the first events. Nothing is sent to the caller before that.
     ///
     /// # Errors
     /// There was no event; the endpoint may have run the request.
     pub async fn wait_first_event(
         &mut self,
-        until: AttemptDeadline,
+        deadline: AttemptDeadline,
     ) -> Result<StreamHead, AttemptError> {
         let clock = self.gateway.clock;
-        let events = match until.wait(clock, self.next_events()).await {
+        let events = match deadline.wait(clock, self.next_events()).await {
             Some(Ok(events)) => events,
             // A response without events is complete as well.
             Some(Err(StreamEnd::Complete)) => Bytes::new(),
@@ -259,9 +259,9 @@
                 Ok(None) => {}
                 Err(_) => return Err(StreamEnd::Broken("event_too_long")),
             }
-            let until = self.next_event_deadline();
+            let deadline = self.next_event_deadline();
             let clock = self.gateway.clock;
-            match until.wait(clock, self.upstream.body.frame()).await {
+            match deadline.wait(clock, self.upstream.body.frame()).await {
                 Some(Some(Ok(frame))) => {
                     if let Some(bytes) = frame.data_ref() {
                         self.upstream.cutter.push(bytes);
@@ -313,12 +313,12 @@
 
     /// Returns the deadline of the next event.
     fn next_event_deadline(&self) -> AttemptDeadline {
-        let mut until = self.job.deadline();
+        let mut deadline = self.job.deadline();
         if self.upstream.events_seen > 0 && self.may_resume() {
             let gap = self.job.route.target_gap.mul_f64(STALL_TIMEOUT_GAPS);
-            until.attempt_end = Instant::now() + gap.max(MIN_STALL_TIMEOUT);
+            deadline.attempt_end = Instant::now() + gap.max(MIN_STALL_TIMEOUT);
         }
-        until
+        deadline
     }
 
     fn is_in_time(&self) -> bool {
@@ -376,15 +376,16 @@
                 "stream_resumed"
             );
             let attempted = choice.clone();
-            let until = self.job.deadline();
-            let result = attempt::send(&self.gateway, &self.job, choice, self.last_id, until).await;
+            let deadline = self.job.deadline();
+            let result =
+                attempt::send(&self.gateway, &self.job, choice, self.last_id, deadline).await;
             match result {
-                Ok(answered) if answered.response.status().is_success() && answered.is_signed => {
+                Ok(received) if received.response.status().is_success() && received.is_signed => {
                     self.runs += 1;
-                    (self.upstream, _) = Upstream::new(answered, self.gateway.clock.now_us());
+                    (self.upstream, _) = Upstream::new(received, self.gateway.clock.now_us());
                     return true;
                 }
-                Ok(answered) if answered.not_executed => {}
+                Ok(received) if received.not_executed => {}
                 Ok(_) => self.runs += 1,
                 Err(AttemptError::NotSent(_)) => {}
                 Err(AttemptError::ConnectionLost(_)) => {
--- a/tests/edge/answers.rs
+++ b/tests/edge/answers.rs
@@ -1,4 +1,4 @@
-//! What callers get when endpoints misbehave: the whole answer and only their own, or the truth.
+//! Responses to callers when endpoints misbehave: complete and their own, or an error that is true.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_passes_unchanged_and_the_request_carries_what_the_gateway_says() {
+async fn responses_pass_unchanged_and_requests_carry_the_gateways_headers() {
     let edge = Edge::start(1).await;
     let forged = [
         ("tenant", "another"),
@@ -39,12 +39,12 @@
     let left: u64 = header("deadline-ms").unwrap().parse().unwrap();
     assert!(
         (2_000..=3_000).contains(&left),
-        "{left}: the route's time-out is the shorter"
+        "{left}: the route's timeout is the shorter"
     );
 }
 
 #[tokio::test]
-async fn bad_requests_get_a_clear_answer_and_reach_no_endpoint() {
+async fn bad_requests_are_refused_and_reach_no_endpoint() {
     let edge = Edge::start(1).await;
     assert_eq!(
         edge.call("/nowhere/", "r-1").await.status,
@@ -56,13 +56,13 @@
     let mut long = request("/once/", "r-3", &[]);
     *long.body_mut() = vec![0; 200_000].into();
     let got = exchange(edge.callers, long).await;
-    // Refused unread, the rest of the body may break the connection before the answer is seen.
+    // The gateway refuses the body unread, so the connection may be reset before the response arrives.
     assert!(got.is_none_or(|g| g.status == StatusCode::PAYLOAD_TOO_LARGE));
     assert!(edge.runners[0].seen().is_empty());
 }
 
 #[tokio::test]
-async fn what_may_run_once_runs_once_and_the_answer_does_not_claim_otherwise() {
+async fn a_non_idempotent_request_is_not_retried_after_a_reset() {
     let edge = Edge::start(3).await;
     for runner in &edge.runners {
         runner.fault(Fault::ResetAfterRun);
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn what_may_run_again_is_served_by_another_endpoint() {
+async fn an_idempotent_request_is_retried_at_another_endpoint() {
     let edge = Edge::start(2).await;
     edge.runners[0].fault(Fault::ResetAfterRun);
     for number in 0..6 {
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn an_endpoints_own_failure_is_passed_on_where_nothing_else_came_of_the_request() {
+async fn an_endpoints_error_response_is_passed_on_if_the_retry_brings_none() {
     let edge = Edge::start(2).await;
     edge.runners[0].fault(Fault::Error);
     edge.runners[1].fault(Fault::ResetAfterRun);
@@ -104,7 +104,7 @@
         assert_eq!(got.status, expected, "{id}");
         assert_eq!(got.headers.contains_key("instance-signature"), errors > 0);
     }
-    // With one endpoint there is no other to ask.
+    // With one endpoint there is none for a retry.
     let edge = Edge::start(1).await;
     edge.runners[0].fault(Fault::Error);
     let got = edge.call("/again/", "r-1").await;
@@ -115,17 +115,17 @@
 }
 
 #[tokio::test]
-async fn a_mute_endpoint_is_given_up_for_another_in_time() {
+async fn an_unresponsive_endpoint_times_out_and_another_is_tried() {
     let edge = Edge::start(2).await;
     edge.runners[0].fault(Fault::Mute);
     edge.runners[1].fault(Fault::Mute);
-    let begun = Instant::now();
+    let started = Instant::now();
     let got = edge.call("/once/", "r-1").await;
     assert_eq!(got.status, StatusCode::GATEWAY_TIMEOUT);
-    let took = begun.elapsed();
+    let took = started.elapsed();
     assert!(
         took < Duration::from_millis(3_400),
-        "{took:?} with a time-out of 3 s"
+        "{took:?} with a timeout of 3 s"
     );
     edge.runners[1].fault(Fault::None);
     for number in 0..4 {
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn full_endpoints_are_passed_over_and_a_refusal_is_true() {
+async fn full_endpoints_are_skipped_and_a_refused_request_did_not_run() {
     let edge = Edge::start(2).await;
     edge.runners[0].fault(Fault::Full);
     for number in 0..4 {
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn an_endpoint_replaced_at_its_address_runs_nothing_and_is_asked_once() {
+async fn an_endpoint_replaced_at_its_address_runs_nothing_and_is_tried_once() {
     let edge = Edge::start(2).await;
     edge.runners[0].replace("i-new");
     for number in 0..6 {
@@ -162,12 +162,12 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_goes_on_elsewhere_with_no_event_missing_or_doubled() {
+async fn a_broken_stream_resumes_elsewhere_without_missing_or_repeated_events() {
     let edge = Edge::start(2).await;
     for runner in &edge.runners {
         runner.fault(Fault::CutStream);
     }
-    // Whoever takes it up after the third event gets past the one that cuts.
+    // Both endpoints cut their streams in the fourth event, so the resumed stream breaks there as well.
     let got = edge.call("/resume/stream", "r-1").await;
     assert_eq!(got.status, StatusCode::OK);
     assert!(!got.is_whole, "both cut the fourth event");
@@ -182,7 +182,7 @@
 }
 
 #[tokio::test]
-async fn no_attempt_carries_what_only_the_gateway_may_order() {
+async fn no_attempt_carries_headers_reserved_for_the_gateway() {
     let forged = [
         ("pin-ms", "4000"),
         ("Pin-Ms", "3000"),
@@ -192,7 +192,7 @@
         ("kv-fetch", "10.0.0.1:1"),
     ];
     let edge = Edge::start(2).await;
-    // Whoever is asked first fails, so that every request is sent twice.
+    // The first endpoint of each request fails, so that every request is sent twice.
     let cases = [
         (Fault::ResetAfterRun, "/again/"),
         (Fault::CutNewStream, "/resume/stream"),
@@ -217,11 +217,11 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_breaks_long_after_its_target_goes_on_too() {
+async fn a_stream_that_breaks_long_after_its_target_is_resumed() {
     let edge = Edge::start(2).await;
     for runner in &edge.runners {
         runner.pace(Duration::from_millis(170));
-        // Whoever is chosen first cuts, and whoever is chosen then does not.
+        // The endpoint chosen first cuts the stream; the one that resumes it does not.
         runner.fault(Fault::CutNewStream);
     }
     for number in 0..2 {
@@ -251,7 +251,7 @@
 }
 
 #[tokio::test]
-async fn a_surplus_answer_reaches_nobody() {
+async fn a_surplus_response_reaches_no_caller() {
     let edge = Edge::start(1).await;
     edge.runners[0].fault(Fault::Surplus);
     for number in 0..20 {
@@ -262,7 +262,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_cut_without_a_length_or_without_proof_is_no_answer() {
+async fn unframed_or_unsigned_responses_are_rejected() {
     let edge = Edge::start(1).await;
     edge.runners[0].fault(Fault::Unframed);
     assert_eq!(
@@ -277,7 +277,7 @@
 }
 
 #[tokio::test]
-async fn when_a_caller_leaves_its_run_is_ended() {
+async fn a_callers_disconnect_cancels_its_run() {
     let edge = Edge::start(1).await;
     edge.runners[0].pace(Duration::from_millis(300));
     let call = edge.call("/resume/stream", "r-1");
@@ -290,12 +290,12 @@
     let seen = edge.runners[0].seen();
     assert!(
         seen[0].has_run && !seen[0].finished,
-        "the run went on for nobody"
+        "the run went on without a caller"
     );
 }
 
 #[tokio::test]
-async fn a_stream_that_pauses_is_not_given_up_where_nobody_else_can_go_on() {
+async fn a_stalled_stream_is_waited_for_if_there_is_no_other_endpoint() {
     let edge = Edge::start(1).await;
     edge.runners[0].fault(Fault::Pause);
     let got = edge.call("/resume/stream", "r-1").await;
@@ -305,7 +305,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_pauses_goes_on_elsewhere() {
+async fn a_stalled_stream_resumes_elsewhere() {
     let edge = Edge::start(2).await;
     for runner in &edge.runners {
         runner.fault(Fault::Pause);
@@ -318,9 +318,9 @@
     assert_eq!(runs, [1, 1], "after {:?}", started.elapsed());
 }
 
-/// Sends a request whose caller leaves after a while; returns how often it has reached an endpoint some
-/// seconds later, and whether a run went on to its end.
-async fn left_by_its_caller(edge: &Edge, path: &str, after: Duration) -> (usize, bool) {
+/// Sends a request whose caller disconnects after a while. Returns how often it had reached an endpoint three seconds
+/// later, and whether any run was finished.
+async fn call_and_disconnect(edge: &Edge, path: &str, after: Duration) -> (usize, bool) {
     let call = edge.call(path, "r-1");
     assert!(time::timeout(after, call).await.is_err());
     time::sleep(Duration::from_millis(3_000)).await;
@@ -329,38 +329,41 @@
 }
 
 #[tokio::test]
-async fn when_a_caller_leaves_before_its_answer_nobody_else_is_asked() {
+async fn a_request_is_not_retried_after_its_caller_disconnects() {
     let edge = Edge::start(2).await;
     for runner in &edge.runners {
         runner.fault(Fault::Mute);
     }
-    let left = left_by_its_caller(&edge, "/again/", Duration::from_millis(100)).await;
+    let left = call_and_disconnect(&edge, "/again/", Duration::from_millis(100)).await;
     assert_eq!(left, (1, false));
 }
 
 #[tokio::test]
-async fn when_a_caller_leaves_in_a_pause_its_stream_goes_on_nowhere() {
+async fn a_stalled_stream_is_not_resumed_after_its_caller_disconnects() {
     let edge = Edge::start(2).await;
     for runner in &edge.runners {
         runner.fault(Fault::Pause);
     }
-    // Another endpoint would be asked after 800 ms of silence.
-    let left = left_by_its_caller(&edge, "/resume/stream", Duration::from_millis(500)).await;
+    // The stream would be resumed at another endpoint after 800 ms without events.
+    let left = call_and_disconnect(&edge, "/resume/stream", Duration::from_millis(500)).await;
     assert_eq!(left, (1, false));
 }
 
 #[tokio::test]
-async fn when_a_caller_leaves_full_endpoints_its_request_is_not_tried_on() {
+async fn rejections_by_full_endpoints_are_not_retried_after_a_disconnect() {
     let edge = Edge::start(2).await;
     for runner in &edge.runners {
         runner.fault(Fault::Full);
     }
     let call = edge.call("/again/", "r-1");
     let _ = time::timeout(Duration::from_millis(60), call).await;
-    let soon: usize = edge.runners.iter().map(|r| r.seen().len()).sum();
+    let reached_at_first: usize = edge.runners.iter().map(|r| r.seen().len()).sum();
     time::sleep(Duration::from_millis(500)).await;
-    let half_a_second_on: usize = edge.runners.iter().map(|r| r.seen().len()).sum();
+    let reached_after_half_a_second: usize = edge.runners.iter().map(|r| r.seen().len()).sum();
     time::sleep(Duration::from_millis(2_000)).await;
-    let later: usize = edge.runners.iter().map(|r| r.seen().len()).sum();
-    assert_eq!(half_a_second_on, later, "{soon} at first");
+    let reached_in_the_end: usize = edge.runners.iter().map(|r| r.seen().len()).sum();
+    assert_eq!(
+        reached_after_half_a_second, reached_in_the_end,
+        "{reached_at_first} at first"
+    );
 }
--- a/tests/edge/endpoint_limits.rs
+++ b/tests/edge/endpoint_limits.rs
@@ -104,7 +104,7 @@
     }
     check_kept(&site, 0, 1.9, named + CONTACT);
     check_used(&site, 0, 1.9, named + CONTACT);
-    assert_eq!(ended.served, ended.all(), "{ended:?}");
+    assert_eq!(ended.served, ended.total(), "{ended:?}");
 }
 
 /// One instance, and a request every second or third of which no endpoint takes: it is refused at once and true, with
--- a/tests/edge/evacuations.rs
+++ b/tests/edge/evacuations.rs
@@ -92,7 +92,7 @@
         )
         .await;
         assert_eq!(arrivals(&site, 0, acknowledged + EVACUATE), 0);
-        assert_eq!(during.served, during.all(), "{during:?}");
+        assert_eq!(during.served, during.total(), "{during:?}");
         site.platform.remove(KIND, "b");
         until_evacuated(&site, false).await;
         let taken_back = Instant::now();
@@ -162,6 +162,6 @@
         let most = at.iter().map(in_a_second).max().unwrap_or(0);
         assert!(most <= 11, "{instances} instances: {most} in a second");
         assert!(at.len() >= 3, "{} in all: it gets some", at.len());
-        assert_eq!(ended.served, ended.all(), "{ended:?}");
+        assert_eq!(ended.served, ended.total(), "{ended:?}");
     }
 }
--- a/tests/edge/leaving_endpoints.rs
+++ b/tests/edge/leaving_endpoints.rs
@@ -54,7 +54,7 @@
     let ended = send_load(&site, KEYLESS).await;
     let late = arrivals(&site, 0, said + TOLD);
     assert_eq!(late, 0, "requests after {TOLD:?}");
-    assert_eq!(ended.served, ended.all(), "{ended:?}");
+    assert_eq!(ended.served, ended.total(), "{ended:?}");
     site.platform.fault(|f| f.down = false);
     time::sleep(Duration::from_secs(1)).await;
     send_load(&site, KEYLESS).await;
@@ -104,7 +104,7 @@
         assert!(before > 0, "{fault:?}: it was asked");
         send_load(&site, demand).await;
         assert_eq!(arrivals(&site, 0, told), 0, "{fault:?}");
-        assert_eq!(ended.served, ended.all(), "{fault:?}: {ended:?}");
+        assert_eq!(ended.served, ended.total(), "{fault:?}: {ended:?}");
     }
 }
 
--- a/tests/edge/load_generator.rs
+++ b/tests/edge/load_generator.rs
@@ -1,4 +1,4 @@
-//! Callers that send requests to all instances of a site, each at its own moments.
+//! A load generator: sends requests to all instances of a site at a fixed rate, staggered over the instances.
 
 use std::{
     sync::Arc,
@@ -10,17 +10,17 @@
 
 use crate::{site::Site, support::Got};
 
-/// When callers send requests to each instance.
+/// The load on each instance.
 #[derive(Clone, Copy)]
 pub struct Demand {
     pub path: &'static str,
     pub every: Duration,
     pub lasts: Duration,
-    /// Instances that get none, from the first on.
+    /// How many instances, from the first on, get no requests.
     pub skipped_instances: usize,
 }
 
-/// How requests ended.
+/// Counts of the responses to requests.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcomes {
     pub served: usize,
@@ -29,7 +29,7 @@
 }
 
 impl Outcomes {
-    fn note(&mut self, got: &Got) {
+    fn count(&mut self, got: &Got) {
         match got.status {
             StatusCode::OK if got.is_whole => self.served += 1,
             StatusCode::SERVICE_UNAVAILABLE => self.refused += 1,
@@ -37,12 +37,12 @@
         }
     }
 
-    pub fn all(self) -> usize {
+    pub fn total(self) -> usize {
         self.served + self.refused + self.other
     }
 }
 
-/// Sends requests to all instances, each at its own moments, and waits for their answers.
+/// Sends requests to the instances, staggered over them, and waits for the responses.
 pub async fn send_load(site: &Arc<Site>, demand: Demand) -> Outcomes {
     let mut calls = JoinSet::new();
     let instances = site.callers.len();
@@ -61,11 +61,11 @@
         }
         time::sleep(demand.every).await;
     }
-    let mut ended = Outcomes::default();
+    let mut outcomes = Outcomes::default();
     while let Some(got) = calls.join_next().await {
-        ended.note(&got.expect("no call panics"));
+        outcomes.count(&got.expect("no call panics"));
     }
-    ended
+    outcomes
 }
 
 /// Returns the instance to which a request was sent, by its id.
--- a/tests/edge/poison_requests.rs
+++ b/tests/edge/poison_requests.rs
@@ -1,10 +1,10 @@
-//! A request that ends the endpoints that run it reaches few of them, whichever instances it comes to.
+//! A poison request, which crashes the endpoints that run it, reaches few of them at whichever instances it arrives.
 //!
-//! The story: on a day of seven instances one caller's work ended each endpoint that began to run it, some 100 ms
-//! after it came there. The caller tried again a second later, at another instance and under another id, and
-//! 17 endpoints ended in ten seconds, each with some five streams of others. The evidence: the lines of all these
-//! tries have one attempt each, at one endpoint that refused connections from then on; nothing of a try was kept
-//! once it was answered, and nothing of it was told to other instances.
+//! Guards against the following failure, seen with seven instances: a request crashed every endpoint about 100 ms after
+//! it started there. Its caller retried a second later at another instance and with another id, and 17 endpoints
+//! crashed within ten seconds, each with about five streams of other callers. Each retry was
+//! sent to one endpoint, which refused connections from then on, since instances kept nothing about a request after its
+//! response and shared nothing about it.
 
 use std::{
     sync::Arc,
@@ -23,39 +23,39 @@
 };
 
 const ENDPOINTS: usize = 8;
-/// What the work that ends endpoints has in its body.
-const ENDS: &str = "ends whatever runs it";
-/// Tries of one work; each reached an endpoint before instances knew of it.
-const TRIES: usize = 12;
-/// How many endpoints such work may reach in all: three have to end before it is known beyond doubt, and one
-/// more may be asked before the last to hear has heard.
-const MOST_REACHED: usize = 4;
-/// In a large group, whose last instance hears after some 300 ms by way of two aggregators, tries 150 ms apart
-/// come to three instances of which the second and the third have not heard: two endpoints each on a route of
-/// two attempts: 5 in 2 of 18 runs, three at a time.
-const MOST_REACHED_LARGE: usize = 6;
-/// So long after the third has ended none is reached.
-const KNOWN: Duration = Duration::from_secs(1);
-/// What an instance is given to learn what the others know.
-const CONTACT: Duration = Duration::from_secs(3);
+/// Part of the body of every poison request.
+const POISON: &str = "ends whatever runs it";
+/// Times that one poison request is sent. Without blocking, each of them reaches an endpoint.
+const ATTEMPTS: usize = 12;
+/// How many endpoints a poison request may reach: three crashes are needed to block it for certain, and one more
+/// endpoint may be reached before the last instance learns of them.
+const MAX_REACHED: usize = 4;
+/// The same in a large group, whose last instance learns of a crash after about 300 ms by way of two aggregators.
+/// Requests 150 ms apart arrive at three instances of which the second and third do not know yet, and each may reach
+/// two endpoints on a route with two attempts: 5 endpoints in 2 of 18 runs, run three at a time.
+const MAX_REACHED_LARGE_GROUP: usize = 6;
+/// From this time after the third endpoint was reached, no other is.
+const PROPAGATION_TIME: Duration = Duration::from_secs(1);
+/// Time for an instance to learn what the others know.
+const SYNC_TIME: Duration = Duration::from_secs(3);
 
-/// Starts endpoints that some work ends, and instances.
+/// Starts instances, and endpoints that poison requests crash.
 async fn start(net: u8, instances: usize) -> Site {
     let site = Site::start(net, instances, ENDPOINTS).await;
     for runner in site.runners.iter() {
-        runner.ended_by(ENDS.as_bytes());
+        runner.ended_by(POISON.as_bytes());
     }
     site
 }
 
 impl Site {
-    /// Returns how many requests with a body reached endpoints.
+    /// Returns how many requests with the given body reached endpoints.
     fn reached(&self, body: &str) -> usize {
         let seen = self.runners.iter().flat_map(|r| r.seen());
         seen.filter(|s| s.body == body.as_bytes()).count()
     }
 
-    /// Checks that work that ends endpoints reached few, and none once it must be known to all.
+    /// Checks that a poison request reached at most `most` endpoints, and none after all instances must know of it.
     fn check_reached(&self, body: &str, most: usize) {
         let seen = self.runners.iter().flat_map(|r| r.seen());
         let seen = seen.filter(|s| s.body == body.as_bytes());
@@ -63,26 +63,27 @@
         at.sort_unstable();
         assert!(at.len() <= most, "{body}: {} endpoints", at.len());
         let Some(third) = at.get(2) else { return };
-        let late = at.iter().filter(|at| at.duration_since(*third) > KNOWN);
+        let late = at
+            .iter()
+            .filter(|at| at.duration_since(*third) > PROPAGATION_TIME);
         assert_eq!(late.count(), 0, "{body}: reached {at:?}");
     }
 
-    /// Sends tries of some work that ends endpoints to instances in turn.
-    async fn try_in_turn(&self, path: &str, body: &str) {
-        for number in 0..TRIES {
+    /// Sends a poison request repeatedly, to the instances in turn.
+    async fn send_attempts(&self, path: &str, body: &str) {
+        for number in 0..ATTEMPTS {
             let id = format!("{path}-{number}");
             let got = self
                 .call(number % self.instances.len(), path, &id, body)
                 .await;
             let is_served = got.is_whole && got.status == StatusCode::OK;
-            assert!(!is_served, "nothing can have run {path}: {got:?}");
+            assert!(!is_served, "no endpoint can have completed {path}: {got:?}");
             time::sleep(Duration::from_millis(150)).await;
         }
     }
 }
 
-/// Each kind of route has work of its own: streams that may be taken up elsewhere and not, requests that may
-/// run once, twice and five times in one try.
+/// A path of each kind of route: streams that cannot and can be resumed, and requests with one, two and five attempts.
 const PATHS: [&str; 5] = [
     "/fixed/w/stream",
     "/resume/w/stream",
@@ -91,16 +92,16 @@
     "/often/w",
 ];
 
-/// Twelve of twelve tries reached an endpoint on each route, and more where the instance sent them on itself.
+/// Without blocking, all twelve requests reached an endpoint on each route, and more where the instance retries them.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_ends_endpoints_reaches_few() {
+async fn a_poison_request_reaches_few_endpoints() {
     let site = start(30, 6).await;
     for path in PATHS {
-        let body = format!("{path} {ENDS}");
-        site.try_in_turn(path, &body).await;
-        site.check_reached(&body, MOST_REACHED);
+        let body = format!("{path} {POISON}");
+        site.send_attempts(path, &body).await;
+        site.check_reached(&body, MAX_REACHED);
     }
-    // The endpoints are there for everybody else.
+    // The endpoints serve all other requests.
     until("the endpoints to be back", || {
         site.runners.iter().all(|r| !r.has_ended())
     })
@@ -110,75 +111,80 @@
     assert_eq!(got.status, StatusCode::OK);
 }
 
-/// An instance that sends a request on by itself waits for the verdict on the second endpoint: without that it
-/// would be at the fourth by then.
+/// An instance that retries a request waits for the crash check of the second endpoint. Otherwise the request would
+/// have reached the fourth by then.
 #[tokio::test(flavor = "multi_thread")]
-async fn one_try_that_may_be_sent_on_five_times_ends_two_endpoints() {
+async fn one_request_with_five_attempts_crashes_two_endpoints() {
     let site = start(37, 1).await;
-    let body = format!("once and often {ENDS}");
+    let body = format!("once and often {POISON}");
     let got = site.call(0, "/often/w", "r-1", &body).await;
     assert_eq!(got.status, StatusCode::BAD_GATEWAY, "it may have run");
     assert_eq!(site.reached(&body), 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn in_a_large_group_a_request_that_ends_endpoints_reaches_few() {
+async fn in_a_large_group_a_poison_request_reaches_few_endpoints() {
     let site = start(31, 18).await;
     for path in ["/fixed/w/stream", "/again/w"] {
-        let body = format!("{path} {ENDS}");
-        site.try_in_turn(path, &body).await;
-        site.check_reached(&body, MOST_REACHED_LARGE);
+        let body = format!("{path} {POISON}");
+        site.send_attempts(path, &body).await;
+        site.check_reached(&body, MAX_REACHED_LARGE_GROUP);
     }
 }
 
-/// How often a request came that others send, too, and how often it was refused as one that ends endpoints.
+/// Counts of a request that many callers send: how often it was served, and how often blocked as a poison request.
 #[derive(Debug, Default)]
-struct Common {
+struct CommonRequestCounts {
     served: usize,
     refused: usize,
     /// Refusals after the first second.
     refused_late: usize,
 }
 
-/// Sends the same request to an instance all the time, as a poll or a popular page would be.
-async fn poll(site: Arc<Site>, instance: usize, began: Instant, until: Instant) -> Common {
-    let mut common = Common::default();
+/// Sends the same request to an instance all the time, as polling clients or a popular page would.
+async fn poll(
+    site: Arc<Site>,
+    instance: usize,
+    began: Instant,
+    until: Instant,
+) -> CommonRequestCounts {
+    let mut counts = CommonRequestCounts::default();
     let mut number = 0;
     while Instant::now() < until {
         number += 1;
         let id = format!("common-{instance}-{number}");
         let got = site.call(instance, "/again/w", &id, "common").await;
-        common.served += usize::from(got.status == StatusCode::OK);
-        // No other refusal has a time to come back of a minute and more.
+        counts.served += usize::from(got.status == StatusCode::OK);
+        // No other refusal has a Retry-After of more than a minute.
         if got.retry_after_s().is_some_and(|s| s > 60.0) {
-            common.refused += 1;
-            common.refused_late += usize::from(began.elapsed() > Duration::from_secs(1));
+            counts.refused += 1;
+            counts.refused_late += usize::from(began.elapsed() > Duration::from_secs(1));
         }
         time::sleep(Duration::from_millis(60)).await;
     }
-    common
+    counts
 }
 
-/// The story: eight endpoints that end when one of two works begins to run, each of which comes to all instances in the
-/// same moment, again each 700 ms. Beside them each instance gets one request of others all the time. In four of five runs
-/// over 18 instances that one was refused from the first quarter of a second on and for ten minutes: 2,424 to 2,430 of some
-/// 2,440 times. The evidence: all these refusals say that it ends endpoints. It was at three that ended in the same
-/// tenth of a second, so it was blocked, and being blocked it had no whole run that would clear it; that it had run
-/// whole at every instance right before counted for nothing.
-async fn play_a_common_request_beside_works_that_end_endpoints(net: u8, instances: usize) {
+/// Guards against blocking a harmless request. Two poison requests arrive at all instances at the same moment, again
+/// every 700 ms, and crash the eight endpoints, while each instance keeps getting one request that many callers send.
+/// In four of five runs over 18 instances that common request was blocked from the first quarter of a second on and for
+/// ten minutes: 2,424 to 2,430 of some 2,440 times. It was in flight at three endpoints that crashed within the same
+/// tenth of a second; once blocked it had no complete run to clear it, and its complete runs at every instance right
+/// before did not count.
+async fn run_a_common_request_beside_poison_requests(net: u8, instances: usize) {
     let site = Arc::new(start(net, instances).await);
-    let works: [String; 2] = ["one", "two"].map(|work| format!("{work} {ENDS}"));
-    let polls_for = Duration::from_millis(9_500);
+    let poison_bodies: [String; 2] = ["one", "two"].map(|work| format!("{work} {POISON}"));
+    let polling_time = Duration::from_millis(9_500);
     let began = Instant::now();
     let mut polls = JoinSet::new();
     for instance in 0..instances {
-        polls.spawn(poll(site.clone(), instance, began, began + polls_for));
+        polls.spawn(poll(site.clone(), instance, began, began + polling_time));
     }
     time::sleep(Duration::from_millis(500)).await;
     let mut calls = JoinSet::new();
     for round in 0..12 {
         for instance in 0..instances {
-            for body in works.clone() {
+            for body in poison_bodies.clone() {
                 let site = site.clone();
                 calls.spawn(async move {
                     let id = format!("work-{round}-{instance}");
@@ -190,65 +196,66 @@
     }
     calls.join_all().await;
     let polls = polls.join_all().await;
-    let sum = |of: fn(&Common) -> usize| polls.iter().map(of).sum::<usize>();
+    let sum = |of: fn(&CommonRequestCounts) -> usize| polls.iter().map(of).sum::<usize>();
     let (served, refused) = (sum(|c| c.served), sum(|c| c.refused));
-    println!(
-        "{instances} instances: served {served}, refused as one that ends endpoints {refused}"
-    );
+    println!("{instances} instances: served {served}, blocked as a poison request {refused}");
     assert_eq!(sum(|c| c.refused_late), 0, "of {served} served");
-    for body in &works {
+    for body in &poison_bodies {
         let seen = site.runners.iter().flat_map(|r| r.seen());
         let seen = seen.filter(|s| s.body == body.as_bytes());
         let mut at: Vec<Instant> = seen.map(|s| s.at).collect();
         at.sort_unstable();
         let third = at.get(2).copied().unwrap_or(began);
-        let late = at.iter().filter(|at| at.duration_since(third) > CONTACT);
+        let late = at.iter().filter(|at| at.duration_since(third) > SYNC_TIME);
         assert_eq!(late.count(), 0, "{body}: reached {at:?}");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_common_request_is_not_blocked_for_works_that_end_endpoints_in_a_large_group() {
-    play_a_common_request_beside_works_that_end_endpoints(50, 18).await;
+async fn a_common_request_is_not_blocked_beside_poison_requests_in_a_large_group() {
+    run_a_common_request_beside_poison_requests(50, 18).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_common_request_is_not_blocked_for_works_that_end_endpoints() {
-    play_a_common_request_beside_works_that_end_endpoints(51, 7).await;
+async fn a_common_request_is_not_blocked_beside_poison_requests() {
+    run_a_common_request_beside_poison_requests(51, 7).await;
 }
 
-/// An instance that was not there when the endpoints ended knows of it before it has been in touch for long.
+/// An instance that starts after the crashes learns of them soon after it has joined.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_instance_that_starts_later_sends_no_request_that_ended_endpoints() {
+async fn an_instance_that_starts_later_blocks_known_poison_requests() {
     let mut site = start(32, 3).await;
-    let (path, body) = ("/fixed/w/stream", format!("late {ENDS}"));
-    site.try_in_turn(path, &body).await;
+    let (path, body) = ("/fixed/w/stream", format!("late {POISON}"));
+    site.send_attempts(path, &body).await;
     let before = site.reached(&body);
     site.start_instance().await;
-    time::sleep(CONTACT).await;
+    time::sleep(SYNC_TIME).await;
     for number in 0..3 {
         let id = format!("late-{number}");
         site.call(3, path, &id, &body).await;
         time::sleep(Duration::from_millis(150)).await;
     }
-    let more = site.reached(&body) - before;
-    assert_eq!(more, 0, "endpoints reached through the one that came later");
+    let newly_reached = site.reached(&body) - before;
+    assert_eq!(
+        newly_reached, 0,
+        "endpoints reached through the instance that started later"
+    );
 }
 
-/// Nobody is left who knew; the store is.
+/// All instances that knew of the crashes are lost; the block list in the store remains.
 #[tokio::test(flavor = "multi_thread")]
-async fn after_the_loss_of_all_a_request_that_ended_endpoints_reaches_none() {
+async fn poison_requests_stay_blocked_after_all_instances_are_lost() {
     let mut site = start(35, 3).await;
-    let (path, body) = ("/fixed/w/stream", format!("lost {ENDS}"));
-    site.try_in_turn(path, &body).await;
+    let (path, body) = ("/fixed/w/stream", format!("lost {POISON}"));
+    site.send_attempts(path, &body).await;
     let before = site.reached(&body);
     let reads = site.platform.counts();
     site.lose_all();
     site.start_instances(3).await;
-    time::sleep(CONTACT).await;
-    site.try_in_turn(path, &body).await;
-    let more = site.reached(&body) - before;
-    assert_eq!(more, 0, "endpoints reached after the loss of all");
+    time::sleep(SYNC_TIME).await;
+    site.send_attempts(path, &body).await;
+    let newly_reached = site.reached(&body) - before;
+    assert_eq!(newly_reached, 0, "endpoints reached after the loss of all");
     let calls = site.platform.counts();
     assert!(
         calls.writes - reads.writes <= 1,
@@ -256,16 +263,16 @@
     );
 }
 
-/// The lines of one instance tell an operator why a request is refused: the endpoints that ended under earlier tries.
+/// The log lines of one instance show an operator why a request is blocked: the endpoints that it crashed before.
 #[tokio::test]
-async fn lines_lead_from_a_refusal_to_the_endpoints_that_ended() {
+async fn log_lines_link_a_refusal_to_the_crashed_endpoints() {
     let edge = Edge::start(4).await;
     for runner in &edge.runners {
-        runner.ended_by(ENDS.as_bytes());
+        runner.ended_by(POISON.as_bytes());
     }
     for number in 0..4 {
         let mut request = request("/once/w", &format!("r-{number}"), &[]);
-        *request.body_mut() = ENDS.into();
+        *request.body_mut() = POISON.into();
         let got = exchange(edge.callers, request).await.expect("an answer");
         if number == 3 {
             assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -283,47 +290,50 @@
         assert_eq!(line["fingerprint"], refused["fingerprint"]);
     }
     let text: Vec<String> = lines.iter().map(Value::to_string).collect();
-    let words = explain(&text.join("\n"), "r-3").expect("lines of the request");
-    assert!(words.contains("endpoints that ran it ended"), "{words}");
+    let explanation = explain(&text.join("\n"), "r-3").expect("lines of the request");
+    assert!(
+        explanation.contains("endpoints that ran it ended"),
+        "{explanation}"
+    );
     println!(
-        "{}{words}",
+        "{}{explanation}",
         explain(&text.join("\n"), "r-1").expect("lines of the request")
     );
 }
 
-/// Returns whether an instance finds that an endpoint has ended, by its entry in the store.
-async fn has_ended(site: &Site, id: &str) -> bool {
+/// Returns whether an instance finds that an endpoint has crashed; `id` is its name in the store.
+async fn has_crashed(site: &Site, id: &str) -> bool {
     let gateway = &site.instances[0].gateway;
     let (key, addr) = {
         let balancer = gateway.balancer();
-        let key = balancer.key_of(id).expect("it is known");
-        (key, balancer.entry(key).expect("it is known").addr)
+        let key = balancer.key_of(id).expect("a known endpoint");
+        (key, balancer.entry(key).expect("a known endpoint").addr)
     };
     crash_check::has_crashed(gateway, key, addr).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_endpoint_has_ended_if_its_port_is_closed_and_it_did_not_say_that_it_leaves() {
+async fn an_endpoint_has_crashed_if_its_port_is_closed_and_it_did_not_announce_its_leave() {
     let site = start(36, 1).await;
     site.restarting.abort();
-    assert!(!has_ended(&site, "e0-0").await, "it lives");
+    assert!(!has_crashed(&site, "e0-0").await, "it is running");
     site.runners[1].end();
-    assert!(has_ended(&site, "e1-0").await);
-    // A request whose caller does not read seems to be there still.
+    assert!(has_crashed(&site, "e1-0").await);
+    // A request whose caller does not read still counts as in flight.
     site.runners[2].end();
     let gateway = &site.instances[0].gateway;
-    let key = gateway.balancer().key_of("e2-0").expect("it is known");
+    let key = gateway.balancer().key_of("e2-0").expect("a known endpoint");
     gateway.balancer().picture_mut().sent(key, 0);
-    assert!(has_ended(&site, "e2-0").await);
+    assert!(has_crashed(&site, "e2-0").await);
     let mut spec = entry(site.runners[3].addr);
     spec["state"] = "draining".into();
     site.platform.set("servers", "e3-0", spec);
-    until("the instance to know that it leaves", || {
+    until("the instance to know that the endpoint is leaving", || {
         let balancer = gateway.balancer();
         let entry = balancer.key_of("e3-0").and_then(|key| balancer.entry(key));
         entry.is_some_and(|e| e.draining)
     })
     .await;
     site.runners[3].end();
-    assert!(!has_ended(&site, "e3-0").await, "it ended as planned");
+    assert!(!has_crashed(&site, "e3-0").await, "it stopped as planned");
 }
--- a/tests/edge/places.rs
+++ b/tests/edge/reservations.rs
@@ -1,8 +1,8 @@
 //! Many instances of a hall place streams at the same moment.
 //!
-//! The story: instances of a large group learn of each other's requests some 80 ms late, and all sent to
-//! the endpoints that looked idle to all. In a surge over 85 instances endpoints with 9 slots that were believed
-//! to have 8 requests had 12, and four fifths of the late first events had been expected in time.
+//! Guards against overloaded endpoints: instances of a large group see each other's requests about 80 ms late, so all
+//! of them send to the endpoints that look idle. In a surge over 85 instances, endpoints with 9 slots that were
+//! believed to have 8 requests had 12, and four fifths of the late first events had been expected in time.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,7 +14,7 @@
 
 use crate::group::{self, Instance, Place, address, endpoint, free_port, until};
 
-const ALL: usize = 18;
+const INSTANCES: usize = 18;
 const ENDPOINTS: usize = 12;
 const SLOTS: u32 = 3;
 
@@ -34,8 +34,8 @@
     let seeds: Vec<SocketAddr> = (0..3)
         .map(|n| SocketAddr::new(address(net, n), port))
         .collect();
-    let mut all = Vec::new();
-    for number in 0..ALL {
+    let mut instances = Vec::new();
+    for number in 0..INSTANCES {
         let place = Place {
             net,
             number,
@@ -51,22 +51,27 @@
             };
             instance.gateway.balancer().endpoint_seen(entry, 1);
         }
-        all.push(instance);
+        instances.push(instance);
     }
-    until("all to report to two, who give places", || {
-        let gives = |i: &&Instance| i.gateway.balancer().picture().is_ledger();
-        let heard = all.iter().all(|i| i.gateway.sharers().heard == ALL);
-        heard && all.iter().filter(gives).count() == 2
-    })
+    until(
+        "all to report to the two instances that assign slots",
+        || {
+            let assigns_slots = |i: &&Instance| i.gateway.balancer().picture().is_ledger();
+            let reports_arrive = instances
+                .iter()
+                .all(|i| i.gateway.sharers().heard == INSTANCES);
+            reports_arrive && instances.iter().filter(assigns_slots).count() == 2
+        },
+    )
     .await;
-    // Whoever reported to others before does not any more.
+    // Reports sent to instances that assigned slots before stop within this time.
     time::sleep(Duration::from_millis(300)).await;
-    all
+    instances
 }
 
-/// Places as many streams as there are slots, two by each instance, all at once; returns where they went.
-async fn surge(all: &[Instance]) -> Vec<Name> {
-    let placing = all.iter().enumerate().flat_map(|(number, instance)| {
+/// Places as many streams as there are slots at once, two from each instance; returns their endpoints.
+async fn place_surge(instances: &[Instance]) -> Vec<Name> {
+    let placing = instances.iter().enumerate().flat_map(|(number, instance)| {
         let place = move |draw: u64| async move {
             let ask = stream(instance, draw);
             match instance.gateway.place(&ask, &[]).await {
@@ -81,40 +86,42 @@
     placed.into_iter().flatten().collect()
 }
 
-fn most_at_one(placed: &[Name]) -> usize {
+fn max_per_endpoint(placed: &[Name]) -> usize {
     let count = |id: &Name| placed.iter().filter(|p| *p == id).count();
     placed.iter().map(count).max().unwrap_or(0)
 }
 
-/// Each by its own picture sent 5 and 6 of the 36 to one endpoint of three slots (two runs).
+/// When each instance placed streams by its own view of the endpoints, one endpoint of three slots got 5 and 6 of the 36
+/// streams (two runs).
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_that_come_at_once_find_the_slots_there_are() {
-    let all = start(14).await;
-    let placed = surge(&all).await;
-    assert_eq!(placed.len(), ALL * 2, "all are placed at once");
-    // A place may be given by both while the group changes its mind on who is first.
-    let most = most_at_one(&placed);
+async fn simultaneous_streams_fill_the_free_slots_without_overload() {
+    let instances = start(14).await;
+    let placed = place_surge(&instances).await;
+    assert_eq!(placed.len(), INSTANCES * 2, "all streams are placed");
+    // Both instances may assign the same slot while the group changes its view of which one is first.
+    let most = max_per_endpoint(&placed);
     assert!(most <= SLOTS as usize, "{most} at one of {SLOTS} slots");
 }
 
-/// Whoever gives places dies: nobody waits for it for long, and the other takes over.
+/// The instances that assign slots are lost: nobody waits for them for long, and others take over.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_loss_of_whoever_gives_places_costs_some_milliseconds() {
-    let mut all = start(15).await;
-    for instance in &mut all {
+async fn losing_the_reserving_instances_delays_placement_by_milliseconds() {
+    let mut instances = start(15).await;
+    for instance in &mut instances {
         if instance.gateway.balancer().picture().is_ledger() {
             instance.stop();
         }
     }
-    all.retain(|i| !i.gateway.balancer().picture().is_ledger());
+    instances.retain(|i| !i.gateway.balancer().picture().is_ledger());
     let started = Instant::now();
-    let placed = surge(&all).await;
+    let placed = place_surge(&instances).await;
     let took = started.elapsed();
-    assert_eq!(placed.len(), all.len() * 2);
+    assert_eq!(placed.len(), instances.len() * 2);
     assert!(took < Duration::from_millis(200), "it took {took:?}");
-    let heard = || {
-        all.iter()
+    let is_replaced = || {
+        instances
+            .iter()
             .any(|i| i.gateway.balancer().picture().is_ledger())
     };
-    until("others to give places", heard).await;
+    until("others to assign slots", is_replaced).await;
 }
--- a/tests/edge/resting_endpoints.rs
+++ b/tests/edge/resting_endpoints.rs
@@ -80,7 +80,7 @@
         },
     )
     .await;
-    assert_eq!(ended.served, ended.all(), "{ended:?}");
+    assert_eq!(ended.served, ended.total(), "{ended:?}");
 }
 
 /// One instance alone, all of whose load the others can bear.
@@ -88,7 +88,7 @@
 async fn an_instance_alone_gives_the_rest_too() {
     let site = Arc::new(Site::start(61, 1, 4).await);
     let ended = check_rest(&site, 2, "3", PLAIN).await;
-    assert_eq!(ended.served, ended.all(), "{ended:?}");
+    assert_eq!(ended.served, ended.total(), "{ended:?}");
 }
 
 /// All ask for rest: callers are refused at once, not run, and are told when the first endpoint is back.
@@ -142,8 +142,8 @@
         check_rest(&site, 3, "3", streams),
         check_rest(&site, 3, "3", plain)
     );
-    assert_eq!(of_streams.served, of_streams.all(), "{of_streams:?}");
-    assert_eq!(of_plain.served, of_plain.all(), "{of_plain:?}");
+    assert_eq!(of_streams.served, of_streams.total(), "{of_streams:?}");
+    assert_eq!(of_plain.served, of_plain.total(), "{of_plain:?}");
 }
 
 /// An endpoint that is well again serves within a second of the end of its rest, and the one request that goes first is
@@ -174,7 +174,7 @@
         .filter(|s| s.at > last_seconds && s.has_run)
         .count();
     assert!(load >= 15, "{load} requests: it has its part of some 47");
-    assert_eq!(ended.served, ended.all(), "{ended:?}");
+    assert_eq!(ended.served, ended.total(), "{ended:?}");
 }
 
 /// Words that are no time turn the request away and nothing else; a rest that was asked for longer or shorter.
--- a/tests/gateway/caller_timeouts.rs
+++ b/tests/gateway/caller_timeouts.rs
@@ -1,95 +1,98 @@
-//! A caller that says it will wait for less than is usual has waited before.
+//! A caller whose remaining timeout is shorter than typical for its route is recognised as a retry.
 
 use proptest::prelude::*;
 use ryevalve::{gateway::caller_timeouts::TypicalTimeouts, prelude::Name};
 
 use crate::support::{MS, SECOND};
 
-fn taught(timeout_us: &[u64]) -> (TypicalTimeouts, Name) {
-    let mut usual = TypicalTimeouts::default();
+fn with_history(timeout_us: &[u64]) -> (TypicalTimeouts, Name) {
+    let mut timeouts = TypicalTimeouts::default();
     let route: Name = "r".into();
     for us in timeout_us.iter().cycle().take(400) {
-        usual.waited_us(&route, *us, false);
+        timeouts.waited_us(&route, *us, false);
     }
-    (usual, route)
+    (timeouts, route)
 }
 
 #[test]
-fn one_that_comes_back_has_waited_for_what_is_missing_to_the_usual() {
-    let (mut usual, route) = taught(&[12 * SECOND]);
-    assert_eq!(usual.waited_us(&route, 12 * SECOND, false), 0);
-    assert_eq!(usual.waited_us(&route, 9 * SECOND, false), 3 * SECOND);
-    let almost = 12 * SECOND - 50 * MS;
+fn a_retry_has_waited_for_the_difference_to_the_typical_timeout() {
+    let (mut timeouts, route) = with_history(&[12 * SECOND]);
+    assert_eq!(timeouts.waited_us(&route, 12 * SECOND, false), 0);
+    assert_eq!(timeouts.waited_us(&route, 9 * SECOND, false), 3 * SECOND);
+    let slightly_shorter = 12 * SECOND - 50 * MS;
     assert_eq!(
-        usual.waited_us(&route, almost, false),
+        timeouts.waited_us(&route, slightly_shorter, false),
         0,
-        "the way here takes time"
+        "the network delay is tolerated"
     );
 }
 
 #[test]
-fn routes_are_told_apart() {
-    let (mut usual, _) = taught(&[12 * SECOND]);
-    assert_eq!(usual.waited_us(&"other".into(), 3 * SECOND, false), 0);
+fn routes_are_tracked_separately() {
+    let (mut timeouts, _) = with_history(&[12 * SECOND]);
+    assert_eq!(timeouts.waited_us(&"other".into(), 3 * SECOND, false), 0);
 }
 
 #[test]
-fn in_a_surge_half_of_the_callers_are_back() {
-    let (mut usual, route) = taught(&[12 * SECOND, 9 * SECOND, 8 * SECOND, 12 * SECOND]);
-    assert_eq!(usual.waited_us(&route, 9 * SECOND, false), 3 * SECOND);
+fn retries_are_recognised_where_half_of_the_callers_retry() {
+    let (mut timeouts, route) = with_history(&[12 * SECOND, 9 * SECOND, 8 * SECOND, 12 * SECOND]);
+    assert_eq!(timeouts.waited_us(&route, 9 * SECOND, false), 3 * SECOND);
 }
 
 #[test]
-fn nothing_follows_where_everybody_waits_for_another_time() {
+fn no_retries_are_recognised_where_all_timeouts_differ() {
     let spread: Vec<u64> = (1..40).map(|n| n * 300 * MS).collect();
-    let (mut usual, route) = taught(&spread);
-    assert_eq!(usual.waited_us(&route, 2 * SECOND, false), 0);
+    let (mut timeouts, route) = with_history(&spread);
+    assert_eq!(timeouts.waited_us(&route, 2 * SECOND, false), 0);
 }
 
 #[test]
-fn one_who_waits_longer_than_all_others_does_not_make_them_late_for_long() {
-    let (mut usual, route) = taught(&[3 * SECOND]);
-    usual.waited_us(&route, 60 * SECOND, false);
-    let late = (0..400).map(|_| usual.waited_us(&route, 3 * SECOND, false));
-    let late = late.filter(|us| *us > 0).count();
-    assert!(late <= 1, "{late} of 400 were taken for late");
-    assert_eq!(usual.waited_us(&route, 3 * SECOND, false), 0);
+fn one_long_timeout_does_not_mark_other_callers_as_retries() {
+    let (mut timeouts, route) = with_history(&[3 * SECOND]);
+    timeouts.waited_us(&route, 60 * SECOND, false);
+    let marked_as_retries = (0..400).map(|_| timeouts.waited_us(&route, 3 * SECOND, false));
+    let marked_as_retries = marked_as_retries.filter(|us| *us > 0).count();
+    assert!(
+        marked_as_retries <= 1,
+        "{marked_as_retries} of 400 were marked as retries"
+    );
+    assert_eq!(timeouts.waited_us(&route, 3 * SECOND, false), 0);
 }
 
-/// Callers whose times differ by 15 in 100 were all taken to come for the first time: of some 13,000 refusals of a
-/// day of two surges 225 were believed to be of callers that were back, and by their times about half were.
+/// Guards against missing retries where timeouts differ by 15 in 100: all such callers were taken for first attempts.
+/// Of some 13,000 refusals in a day with two surges, 225 were recognised as retries; by their timeouts about half were.
 #[test]
-fn where_callers_differ_one_that_is_back_says_less_than_any_first_try() {
-    let mut usual = TypicalTimeouts::default();
+fn where_timeouts_differ_a_retry_has_less_than_any_first_attempt() {
+    let mut timeouts = TypicalTimeouts::default();
     let route: Name = "r".into();
     for n in 0..20 {
         let first = 10_400 * MS + n * 80 * MS;
-        assert_eq!(usual.waited_us(&route, first, true), 0);
+        assert_eq!(timeouts.waited_us(&route, first, true), 0);
     }
-    assert_eq!(usual.waited_us(&route, 10_400 * MS, false), 0);
-    let back = usual.waited_us(&route, 8 * SECOND, false);
-    assert!((3 * SECOND..3_500 * MS).contains(&back), "{back}");
+    assert_eq!(timeouts.waited_us(&route, 10_400 * MS, false), 0);
+    let waited_us = timeouts.waited_us(&route, 8 * SECOND, false);
+    assert!((3 * SECOND..3_500 * MS).contains(&waited_us), "{waited_us}");
 }
 
 #[test]
-fn nothing_follows_where_first_tries_differ_by_more_than_those_that_are_back() {
-    let mut usual = TypicalTimeouts::default();
+fn no_retries_are_recognised_where_first_attempts_differ_more_than_retries() {
+    let mut timeouts = TypicalTimeouts::default();
     let route: Name = "r".into();
     for n in 0..60 {
-        usual.waited_us(&route, (3 + n % 10) * SECOND, true);
+        timeouts.waited_us(&route, (3 + n % 10) * SECOND, true);
     }
-    assert_eq!(usual.waited_us(&route, 4 * SECOND, false), 0);
+    assert_eq!(timeouts.waited_us(&route, 4 * SECOND, false), 0);
 }
 
 proptest! {
     #[test]
-    fn nobody_has_waited_longer_than_the_longest_says(
-        seen in prop::collection::vec((1_u64..1_000_000, any::<bool>()), 1..200),
+    fn waited_time_never_exceeds_the_difference_to_the_longest_timeout(
+        stated in prop::collection::vec((1_u64..1_000_000, any::<bool>()), 1..200),
     ) {
-        let mut usual = TypicalTimeouts::default();
-        let longest = seen.iter().map(|(us, _)| *us).max().unwrap_or(0);
-        for (us, no_recent_refusals) in seen {
-            prop_assert!(usual.waited_us(&"r".into(), us, no_recent_refusals) <= longest - us);
+        let mut timeouts = TypicalTimeouts::default();
+        let longest = stated.iter().map(|(us, _)| *us).max().unwrap_or(0);
+        for (us, no_recent_refusals) in stated {
+            prop_assert!(timeouts.waited_us(&"r".into(), us, no_recent_refusals) <= longest - us);
         }
     }
 }
--- a/tests/gateway/routes.rs
+++ b/tests/gateway/routes.rs
@@ -1,4 +1,4 @@
-//! Which route and organisation a request belongs to.
+//! Lookup of the route and the organisation of a request.
 
 use ryevalve::gateway::{config::Target, routes::RouteTable};
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_longest_path_of_the_host_wins() {
+fn the_longest_path_prefix_of_the_host_wins() {
     let table = table();
     let found = |host, path| table.route(host, path).map(|r| r.name.to_string());
     assert_eq!(found("a.example", "/x/y/2f").as_deref(), Some("long"));
@@ -31,12 +31,12 @@
 }
 
 #[test]
-fn a_key_names_its_organisation_alone() {
+fn a_key_maps_to_its_organisation_only() {
     let table = table();
-    let holder = |key| table.organisation(key).map(|o| o.name.to_string());
-    assert_eq!(holder("key-2").as_deref(), Some("org"));
-    assert_eq!(holder("key-3"), None);
-    assert_eq!(holder(""), None);
+    let owner = |key| table.organisation(key).map(|o| o.name.to_string());
+    assert_eq!(owner("key-2").as_deref(), Some("org"));
+    assert_eq!(owner("key-3"), None);
+    assert_eq!(owner(""), None);
 }
 
 #[test]
@@ -54,18 +54,18 @@
 }
 
 #[test]
-fn targets_are_drawn_by_weight_and_never_one_without() {
+fn targets_are_picked_by_weight_and_never_with_weight_zero() {
     let mut split = route("split", "a.example", "/");
     let target = |service: &str, weight| Target {
         service: service.into(),
         weight,
     };
     split.targets = vec![target("none", 0), target("most", 90), target("some", 10)];
-    let drawn = |draw| split.pick_target(draw).unwrap().to_string();
-    assert_eq!(drawn(0.0), "most");
-    assert_eq!(drawn(0.899), "most");
-    assert_eq!(drawn(0.901), "some");
-    assert_eq!(drawn(0.999_999), "some");
+    let picked = |draw| split.pick_target(draw).unwrap().to_string();
+    assert_eq!(picked(0.0), "most");
+    assert_eq!(picked(0.899), "most");
+    assert_eq!(picked(0.901), "some");
+    assert_eq!(picked(0.999_999), "some");
     split.targets = vec![target("none", 0)];
     assert_eq!(split.pick_target(0.5), None);
 }
