--- a/tests/edge/reservations.rs
+++ b/tests/edge/reservations.rs
@@ -91,8 +91,8 @@
     placed.iter().map(count).max().unwrap_or(0)
 }
 
-/// When each instance placed streams by its own view of the endpoints, one endpoint of three slots got 5 and 6 of the 36
-/// streams (two runs).
+/// When each instance placed streams by its own view of the endpoints, one endpoint of three slots got 5 and 6 of the
+/// 36 streams (two runs).
 #[tokio::test(flavor = "multi_thread")]
 async fn simultaneous_streams_fill_the_free_slots_without_overload() {
     let instances = start(14).await;
