--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -51,11 +51,11 @@
         if !ask.is_stream || ask.homes.are_named() {
             return None;
         }
-        let ledger = self.reserver.ledger(self.clock.now_us())?;
+        let issuer = self.reserver.ledger(self.clock.now_us())?;
         self.metrics.places_asked.inc();
         let excluded = self.excluded_endpoints(tried);
-        let answer = self.reserver.ask(self.clock, ledger, ask, &excluded).await;
-        let placement = answer.and_then(|answer| self.apply_place_answer(ask, answer));
+        let reply = self.reserver.ask(self.clock, issuer, ask, &excluded).await;
+        let placement = reply.and_then(|reply| self.apply_reservation_reply(ask, reply));
         if placement.is_none() {
             self.metrics.places_unanswered.inc();
         }
@@ -81,9 +81,9 @@
     }
 
     /// Applies the reservation or refusal of another instance; returns `None` if its endpoint cannot be used here.
-    fn apply_place_answer(&self, ask: &Ask, answer: PlaceAnswer) -> Option<Placement> {
+    fn apply_reservation_reply(&self, ask: &Ask, reply: PlaceAnswer) -> Option<Placement> {
         let now_us = self.clock.now_us();
-        match answer {
+        match reply {
             PlaceAnswer::Granted {
                 key,
                 expected,
@@ -106,9 +106,9 @@
     async fn acquire_permit(&self, ask: &Ask, tried: &[EndpointKey]) -> Option<EndpointKey> {
         for _ in 0..MAX_PERMIT_REQUESTS {
             let now_us = self.clock.now_us();
-            let wanted = self.balancer().wanted_permit(now_us, ask, tried)?;
-            if permits::ask(self, wanted, ask.rank).await {
-                return Some(wanted);
+            let candidate = self.balancer().wanted_permit(now_us, ask, tried)?;
+            if permits::ask(self, candidate, ask.rank).await {
+                return Some(candidate);
             }
         }
         None
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -339,9 +339,9 @@
     /// Chooses another endpoint to resume at, if one has a free slot soon.
     async fn choose_other_endpoint(&self) -> Option<Choice> {
         // The queueing time of a resumption counts from now: the first event was long ago.
-        let mut ask = self.job.placement_request.clone();
-        ask.arrived_us = self.gateway.clock.now_us();
-        match self.gateway.place(&ask, &self.tried).await {
+        let mut request = self.job.placement_request.clone();
+        request.arrived_us = self.gateway.clock.now_us();
+        match self.gateway.place(&request, &self.tried).await {
             Placement::Send(choice) => Some(choice),
             Placement::Wait | Placement::Refuse { .. } => None,
         }
