--- a/src/gateway/endings.rs
+++ b/src/gateway/endings.rs
@@ -49,11 +49,11 @@
 
 /// The endpoints that are looked at, and those that have ended of late.
 #[derive(Default)]
-pub struct Endings {
+pub struct CrashChecks {
     looks: Mutex<HashMap<EndpointKey, Look>>,
 }
 
-impl Endings {
+impl CrashChecks {
     /// Returns the verdict on an endpoint, and where to put it if nobody looks yet.
     fn join(
         &self,
--- a/src/gateway/endpoint_announcements.rs
+++ b/src/gateway/endpoint_announcements.rs
@@ -12,7 +12,7 @@
 use crate::{
     balance::{balancer::Choice, load::EndpointKey},
     gateway::{
-        attempt::Sent,
+        attempt::InFlightRequest,
         protocol::{AnswerHead, Protocol},
         state::Gateway,
     },
@@ -59,7 +59,11 @@
 
 /// Applies what an endpoint announces in an answer, except its limit (see [`handle_limit`]). The answer may belong to
 /// an earlier request.
-pub(super) fn handle_answer<P: Protocol>(gateway: &Gateway<P>, sent: &Sent<P>, head: &AnswerHead) {
+pub(super) fn handle_answer<P: Protocol>(
+    gateway: &Gateway<P>,
+    sent: &InFlightRequest<P>,
+    head: &AnswerHead,
+) {
     for name in &head.unread {
         gateway.metrics.answer_headers_unread.inc();
         if gateway.unread_headers.record(name) {
@@ -110,7 +114,11 @@
 
 /// Applies the rate limit that an endpoint announces in an answer. `sent.limit_version` is the version of the limit
 /// that was known when the request was sent.
-pub(super) fn handle_limit<P: Protocol>(gateway: &Gateway<P>, sent: &Sent<P>, head: &AnswerHead) {
+pub(super) fn handle_limit<P: Protocol>(
+    gateway: &Gateway<P>,
+    sent: &InFlightRequest<P>,
+    head: &AnswerHead,
+) {
     let choice = &sent.choice;
     let now_us = gateway.clock.now_us();
     let mut balancer = gateway.balancer();
--- /dev/null
+++ b/src/gateway/placement.rs
@@ -0,0 +1,188 @@
+//! Decides where a request runs: by a reservation from the instance that assigns slots at the hall's endpoints, or
+//! else from this instance's own view of the endpoints, with a permit for those that limit their request rate.
+
+use tokio::sync::oneshot;
+
+use crate::{
+    balance::{
+        balancer::{BUSY, ENDPOINT_LIMITS, Placement, WaitKey, refused},
+        cost::Ask,
+        load::EndpointKey,
+        standing::back_ms,
+    },
+    gateway::{
+        permits,
+        protocol::Protocol,
+        reservation_client::ReservationReply,
+        state::{Gateway, lock},
+    },
+    prelude::Name,
+};
+
+/// Permits of rate-limited endpoints that are requested for one request, one after the other. Each takes about two
+/// milliseconds, and an endpoint whose permit was denied is skipped for a while.
+const MAX_PERMIT_REQUESTS: usize = 3;
+/// Retry-After of a request that endpoints rejected, unless all endpoints of its service are in back-off.
+const REJECTED_RETRY_AFTER_MS: u32 = 500;
+/// Most endpoints in back-off that a reservation request lists, at 5 bytes each. A reservation at one that is not
+/// listed is not used.
+const MAX_RESTING_EXCLUDED: usize = 128;
+
+impl<P: Protocol> Gateway<P> {
+    /// Chooses an endpoint for a request that is not in `tried`, waiting for a free slot if needed.
+    pub async fn place(&self, ask: &Ask, tried: &[EndpointKey]) -> Placement {
+        self.endpoints_settled().await;
+        self.evacuations_settled().await;
+        let now_us = self.clock.now_us();
+        let refusal = self.balancer().refuse_at_rest(now_us, ask);
+        if let Some(refusal) = refusal {
+            return refusal;
+        }
+        if let Some(placement) = self.reserve_place(ask, tried).await {
+            return placement;
+        }
+        self.place_locally(ask, tried).await
+    }
+
+    /// Requests a reservation from the instance that assigns slots at the hall's endpoints. Returns `None` if there is
+    /// no such instance, it does not answer in time, or its choice cannot be used here.
+    async fn reserve_place(&self, ask: &Ask, tried: &[EndpointKey]) -> Option<Placement> {
+        // A reservation request does not carry the regions in which the request may be served.
+        if !ask.is_stream || ask.homes.are_named() {
+            return None;
+        }
+        let issuer = self.reserver.issuer(self.clock.now_us())?;
+        self.metrics.places_asked.inc();
+        let excluded = self.excluded_endpoints(tried);
+        let reply = self
+            .reserver
+            .request(self.clock, issuer, ask, &excluded)
+            .await;
+        let placement = reply.and_then(|reply| self.apply_reservation_reply(ask, reply));
+        if placement.is_none() {
+            self.metrics.places_unanswered.inc();
+        }
+        placement
+    }
+
+    /// Returns the endpoints to exclude from a reservation: those tried, and those this instance must back off from.
+    fn excluded_endpoints(&self, tried: &[EndpointKey]) -> Vec<EndpointKey> {
+        let now_us = self.clock.now_us();
+        let at_rest = self.balancer().rests().in_back_off(now_us);
+        let mut excluded = tried.to_vec();
+        excluded.extend(at_rest.into_iter().take(MAX_RESTING_EXCLUDED));
+        excluded
+    }
+
+    /// Returns the Retry-After, in milliseconds, of a request that endpoints of `service` rejected.
+    pub fn retry_after_rejections_ms(&self, service: &Name) -> u32 {
+        let now_us = self.clock.now_us();
+        let retry_at_us = self.balancer().first_back_us(now_us, service);
+        retry_at_us.map_or(REJECTED_RETRY_AFTER_MS, |retry_at_us| {
+            back_ms(now_us, retry_at_us)
+        })
+    }
+
+    /// Applies the reservation or refusal of another instance; returns `None` if its endpoint cannot be used here.
+    fn apply_reservation_reply(&self, ask: &Ask, reply: ReservationReply) -> Option<Placement> {
+        let now_us = self.clock.now_us();
+        match reply {
+            ReservationReply::Granted {
+                key,
+                expected,
+                by_permit,
+            } => {
+                let mut balancer = self.balancer();
+                if !by_permit && balancer.rate(now_us, key).is_some() {
+                    // The other instance does not know yet that this endpoint limits its request rate.
+                    return None;
+                }
+                balancer.take_place(now_us, ask, key, expected)
+            }
+            ReservationReply::Refused => Some(refused(now_us, ask, BUSY)),
+            ReservationReply::OverEndpointLimits => Some(refused(now_us, ask, ENDPOINT_LIMITS)),
+        }
+    }
+
+    /// Acquires a permit if the best endpoint for a request limits its request rate, trying several such endpoints in
+    /// turn.
+    async fn acquire_permit(&self, ask: &Ask, tried: &[EndpointKey]) -> Option<EndpointKey> {
+        for _ in 0..MAX_PERMIT_REQUESTS {
+            let now_us = self.clock.now_us();
+            let candidate = self.balancer().wanted_permit(now_us, ask, tried)?;
+            if permits::acquire(self, candidate, ask.rank).await {
+                return Some(candidate);
+            }
+        }
+        None
+    }
+
+    /// Chooses an endpoint from this instance's own view, waiting for a free slot if needed.
+    pub async fn place_locally(&self, ask: &Ask, tried: &[EndpointKey]) -> Placement {
+        let permit = self.acquire_permit(ask, tried).await;
+        let now_us = self.clock.now_us();
+        let placement = self.balancer().place_with(now_us, ask, tried, permit);
+        if let Some(permit) = permit.filter(|permit| !is_sent_to(&placement, *permit)) {
+            permits::release(self, permit).await;
+        }
+        if !matches!(placement, Placement::Wait) {
+            return placement;
+        }
+        self.wait_for_place(ask).await
+    }
+
+    /// Queues a request until it gets a slot or the balancer refuses it.
+    pub async fn wait_for_place(&self, ask: &Ask) -> Placement {
+        let (sender, receiver) = oneshot::channel();
+        let key = self.balancer().enqueue(ask.clone());
+        lock(&self.waiters).insert(key, sender);
+        let queue_guard = QueueGuard { gateway: self, key };
+        let placement = receiver.await;
+        drop(queue_guard);
+        placement.unwrap_or(Placement::Refuse {
+            reason: BUSY,
+            retry_after_ms: 500,
+        })
+    }
+
+    /// Tries again to place the queued requests, and delivers the decisions to their tasks.
+    pub fn reconsider(&self) {
+        let now_us = self.clock.now_us();
+        let decisions = {
+            let mut balancer = self.balancer();
+            if balancer.waiting_count() == 0 {
+                return;
+            }
+            balancer.reconsider(now_us)
+        };
+        for (key, placement) in decisions {
+            let sender = lock(&self.waiters).remove(&key);
+            let undelivered = match sender {
+                Some(sender) => sender.send(placement).err(),
+                None => Some(placement),
+            };
+            if let Some(Placement::Send(choice)) = undelivered {
+                // The caller has disconnected, so nothing is sent and the slot is released.
+                let tokens = choice.expected.uncached_tokens;
+                self.balancer().end(choice.key, tokens, None);
+            }
+        }
+    }
+}
+
+fn is_sent_to(placement: &Placement, endpoint: EndpointKey) -> bool {
+    matches!(placement, Placement::Send(choice) if choice.key == endpoint)
+}
+
+/// Removes a request from the queue on drop, such as when its caller disconnects.
+struct QueueGuard<'g, P: Protocol> {
+    gateway: &'g Gateway<P>,
+    key: WaitKey,
+}
+
+impl<P: Protocol> Drop for QueueGuard<'_, P> {
+    fn drop(&mut self) {
+        self.gateway.balancer().dequeue(self.key);
+        lock(&self.gateway.waiters).remove(&self.key);
+    }
+}
--- a/src/gateway/reservation_server.rs
+++ b/src/gateway/reservation_server.rs
@@ -118,7 +118,7 @@
     let gateway = gateway.clone();
     tokio::spawn(async move {
         let placement = match needs_permit {
-            true => gateway.place_here(&request, &tried).await,
+            true => gateway.place_locally(&request, &tried).await,
             false => gateway.wait_for_place(&request).await,
         };
         let message = conclude(&gateway, requester, number, placement);
--- /dev/null
+++ b/src/gateway/send_check.rs
@@ -0,0 +1,40 @@
+//! The last check before a request is written to an endpoint. It covers every way of sending: first attempts, retries,
+//! resumed streams, and requests that hold a permit or a reservation.
+//!
+//! A request waits for a connection after its endpoint was chosen, and the state of the endpoint may change meanwhile.
+
+use crate::{
+    balance::{load::EndpointKey, standing::Standing},
+    gateway::{protocol::Protocol, staleness::Standing as Staleness, state::Gateway},
+};
+
+/// Reason for not sending a request: its endpoint is leaving or has left.
+pub const ENDPOINT_LEFT: &str = "endpoint_left";
+/// Reason for not sending a request: the data centre of its endpoint was evacuated after the choice.
+pub const ENDPOINT_EVACUATED: &str = "endpoint_evacuated";
+/// Reason for not sending a request: its endpoint asked this instance to back off after the choice.
+pub const ENDPOINT_RESTS: &str = "endpoint_rests";
+
+impl<P: Protocol> Gateway<P> {
+    /// Checks that a request may still be sent to the endpoint chosen for it.
+    ///
+    /// # Errors
+    /// The reason why it may not; the request is then sent to another endpoint.
+    pub fn check_before_send(&self, key: EndpointKey) -> Result<(), &'static str> {
+        if self.endpoints_standing() == Staleness::Asking {
+            // This process was suspended and its endpoint list is being refreshed: the endpoint may have left.
+            return Err(ENDPOINT_LEFT);
+        }
+        if self.evacuations_standing() == Staleness::Asking {
+            return Err(ENDPOINT_EVACUATED);
+        }
+        let now_us = self.clock.now_us();
+        match self.balancer().standing(now_us, key) {
+            Standing::Leaves => Err(ENDPOINT_LEFT),
+            Standing::Evacuated => Err(ENDPOINT_EVACUATED),
+            Standing::RestsUntil(_) => Err(ENDPOINT_RESTS),
+            // If a permit was needed, it was acquired when the endpoint was chosen.
+            Standing::Serves | Standing::NeedsPermit => Ok(()),
+        }
+    }
+}
--- a/tests/edge/endpoint_limits.rs
+++ b/tests/edge/endpoint_limits.rs
@@ -23,7 +23,7 @@
 
 use crate::{
     group::{DRAIN, Instance, Place, address, endpoint, free_port, key, until},
-    pressing::{Demand, press},
+    load_generator::{Demand, send_load},
     site::Site,
     support::Edge,
 };
@@ -45,7 +45,7 @@
     path: "/again/w",
     every: Duration::from_millis(200),
     lasts: Duration::from_secs(9),
-    spared: 0,
+    skipped_instances: 0,
 };
 
 /// Returns the times at which requests reached an endpoint, from `from` on.
@@ -97,14 +97,14 @@
     let site = Arc::new(Site::start(40, 7, 4).await);
     site.runners[0].name_limit(Some("1.9"));
     let announced = Instant::now();
-    let ended = press(&site, PLAIN).await;
+    let ended = send_load(&site, PLAIN).await;
     for instance in &site.instances {
         let limited = instance.gateway.balancer().standings().limited();
         assert_eq!(limited, 1, "the instance knows the limit");
     }
     check_enforced(&site, 0, 1.9, announced + ENFORCED_AFTER);
     check_used(&site, 0, 1.9, announced + ENFORCED_AFTER);
-    assert_eq!(ended.served, ended.all(), "{ended:?}");
+    assert_eq!(ended.served, ended.total(), "{ended:?}");
 }
 
 /// One instance, and both endpoints have limits, which together allow about a third of the requests: the others are
@@ -119,7 +119,7 @@
         every: Duration::from_millis(70),
         ..PLAIN
     };
-    let ended = press(&site, demand).await;
+    let ended = send_load(&site, demand).await;
     for (endpoint, limit_per_s) in [(0, 4.0), (1, 0.5)] {
         check_enforced(&site, endpoint, limit_per_s, announced + ENFORCED_AFTER);
         check_used(&site, endpoint, limit_per_s, announced + ENFORCED_AFTER);
@@ -150,7 +150,7 @@
         every: Duration::from_millis(800),
         ..PLAIN
     };
-    let (of_streams, of_plain) = tokio::join!(press(&site, streams), press(&site, plain));
+    let (of_streams, of_plain) = tokio::join!(send_load(&site, streams), send_load(&site, plain));
     for (endpoint, limit_per_s) in [(0, 2.5), (1, 0.4)] {
         check_enforced(&site, endpoint, limit_per_s, announced + ENFORCED_AFTER);
         check_used(&site, endpoint, limit_per_s, announced + ENFORCED_AFTER);
@@ -174,7 +174,7 @@
         path: "/resume/w/stream",
         ..PLAIN
     };
-    press(&site, streams).await;
+    send_load(&site, streams).await;
     check_enforced(&site, 0, 2.0, announced + ENFORCED_AFTER);
 }
 
@@ -189,31 +189,31 @@
     };
     site.runners[0].name_limit(Some("8"));
     let announced = Instant::now();
-    press(&site, for_s(5)).await;
+    send_load(&site, for_s(5)).await;
     check_enforced(&site, 0, 8.0, announced + PROPAGATION);
     site.runners[0].name_limit(Some("1"));
     let lowered = Instant::now();
-    press(&site, for_s(6)).await;
+    send_load(&site, for_s(6)).await;
     check_enforced(&site, 0, 1.0, lowered + PROPAGATION);
     site.runners[0].name_limit(Some("5.5"));
     let raised = Instant::now();
-    press(&site, for_s(5)).await;
+    send_load(&site, for_s(5)).await;
     check_enforced(&site, 0, 5.5, raised);
     check_used(&site, 0, 5.5, raised + PROPAGATION);
     site.runners[0].name_limit(None);
     let removed = Instant::now();
-    press(&site, for_s(4)).await;
+    send_load(&site, for_s(4)).await;
     // The demand is fifty requests a second, spread evenly over two endpoints.
     let got = arrivals(&site, 0, removed + PROPAGATION).len();
     assert!(got >= 35, "{got} in 2.5 s after the limit was removed");
     for malformed in ["1,5", "-3", "NaN", "1e9", "", "9.9.9"] {
         site.runners[0].name_limit(Some(malformed));
-        press(&site, for_s(1)).await;
+        send_load(&site, for_s(1)).await;
         assert_eq!(limited(&site, 0), 0, "{malformed} is not a limit");
     }
     site.runners[0].name_limit(Some("1.5"));
     let restored = Instant::now();
-    press(&site, for_s(6)).await;
+    send_load(&site, for_s(6)).await;
     check_enforced(&site, 0, 1.5, restored + PROPAGATION);
 }
 
@@ -226,7 +226,7 @@
     site.runners[0].name_limit(Some("3"));
     let announced = Instant::now();
     let site_before = Arc::new(site);
-    press(&site_before, PLAIN).await;
+    send_load(&site_before, PLAIN).await;
     check_used(&site_before, 0, 3.0, announced + ENFORCED_AFTER);
     site = Arc::into_inner(site_before).expect("no call is under way");
     let key = EndpointKey::of("e0-0");
@@ -235,14 +235,17 @@
         let issuer = view.leader(&format!("limit {}", key.0)).expect("an issuer");
         issuer.info.incarnation.0 as usize - 1
     };
-    // The instance to stop comes first, so that `spared` keeps callers away from it.
+    // The instance to stop comes first, so that `skipped_instances` keeps callers away from it.
     site.instances.swap(0, issuer);
     site.callers.swap(0, issuer);
     site.instances[0].stop();
     let site = Arc::new(site);
-    let others = Demand { spared: 1, ..PLAIN };
+    let others = Demand {
+        skipped_instances: 1,
+        ..PLAIN
+    };
     let lost = Instant::now();
-    press(&site, others).await;
+    send_load(&site, others).await;
     check_enforced(&site, 0, 3.0, announced + ENFORCED_AFTER);
     check_used(&site, 0, 3.0, lost + Duration::from_secs(5));
 
@@ -257,7 +260,7 @@
     site.start_instances(3).await;
     let started = Instant::now();
     let site = Arc::new(site);
-    press(&site, PLAIN).await;
+    send_load(&site, PLAIN).await;
     check_enforced(&site, 0, 3.0, started + ENFORCED_AFTER);
     check_used(&site, 0, 3.0, started + ENFORCED_AFTER);
 }
--- a/tests/edge/leaving_endpoints.rs
+++ b/tests/edge/leaving_endpoints.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     group::until,
-    pressing::{Demand, press},
+    load_generator::{Demand, send_load},
     site::{DOWN, Site},
 };
 
@@ -28,7 +28,7 @@
     path: "/again/w",
     every: Duration::from_millis(150),
     lasts: Duration::from_secs(4),
-    spared: 0,
+    skipped_instances: 0,
 };
 
 /// A route that needs no key, and is served by the last known configuration while the store is down.
@@ -48,17 +48,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_endpoint_gets_no_more_requests_while_the_store_is_down() {
     let site = Arc::new(Site::start(50, 7, 3).await);
-    press(&site, KEYLESS).await;
+    send_load(&site, KEYLESS).await;
     site.platform.fault(|f| f.down = true);
     site.runners[0].say_leaving(Some("1"));
     let announced = Instant::now();
-    let ended = press(&site, KEYLESS).await;
+    let ended = send_load(&site, KEYLESS).await;
     let late = arrivals(&site, 0, announced + PROPAGATION);
     assert_eq!(late, 0, "requests after {PROPAGATION:?}");
-    assert_eq!(ended.served, ended.all(), "{ended:?}");
+    assert_eq!(ended.served, ended.total(), "{ended:?}");
     site.platform.fault(|f| f.down = false);
     time::sleep(Duration::from_secs(1)).await;
-    press(&site, KEYLESS).await;
+    send_load(&site, KEYLESS).await;
     let late = arrivals(&site, 0, announced + PROPAGATION);
     assert_eq!(
         late, 0,
@@ -99,13 +99,13 @@
             lasts: Duration::from_millis(900),
             ..PLAIN
         };
-        let ended = press(&site, demand).await;
+        let ended = send_load(&site, demand).await;
         until_known(&site, 0, 0).await;
         let (known, before) = (Instant::now(), site.runners[0].seen().len());
         assert!(before > 0, "{fault:?}: the endpoint got requests");
-        press(&site, demand).await;
+        send_load(&site, demand).await;
         assert_eq!(arrivals(&site, 0, known), 0, "{fault:?}");
-        assert_eq!(ended.served, ended.all(), "{fault:?}: {ended:?}");
+        assert_eq!(ended.served, ended.total(), "{fault:?}: {ended:?}");
     }
 }
 
@@ -139,7 +139,7 @@
         ..PLAIN
     };
     let site_shared = Arc::new(site);
-    press(&site_shared, streams).await;
+    send_load(&site_shared, streams).await;
     assert_eq!(arrivals(&site_shared, 0, announced + PROPAGATION), 0);
     site = Arc::into_inner(site_shared).expect("no call is in flight");
     site.platform.fault(|f| f.down = false);
@@ -151,7 +151,7 @@
     site.runners[0].end();
     time::sleep(DOWN + Duration::from_secs(2)).await;
     let (site, restarted) = (Arc::new(site), Instant::now());
-    press(&site, streams).await;
+    send_load(&site, streams).await;
     let got = arrivals(&site, 0, restarted);
     assert!(got > 20, "{got} requests reach the restarted endpoint");
 }
@@ -163,7 +163,7 @@
     for runner in site.runners.iter() {
         runner.say_leaving(Some("1"));
     }
-    press(
+    send_load(
         &site,
         Demand {
             lasts: Duration::from_millis(500),
--- a/tests/edge/resting_endpoints.rs
+++ b/tests/edge/resting_endpoints.rs
@@ -17,7 +17,7 @@
 use tokio::time;
 
 use crate::{
-    pressing::{Demand, Ended, instance_of, press},
+    load_generator::{Demand, Outcomes, send_load, target_instance},
     site::{DOWN, Site},
     support::Edge,
 };
@@ -34,13 +34,13 @@
     path: "/again/w",
     every: Duration::from_millis(40),
     lasts: Duration::from_secs(6),
-    spared: 0,
+    skipped_instances: 0,
 };
 
 /// Returns the most requests that reached an endpoint from one instance within a back-off period that it had requested.
 fn most_in_back_off(site: &Site, endpoint: usize, back_off: Duration) -> usize {
     let seen = site.runners[endpoint].seen();
-    let from = |id: Option<&String>| id.and_then(|id| instance_of(id));
+    let from = |id: Option<&String>| id.and_then(|id| target_instance(id));
     let seen = seen.iter().map(|s| (from(s.headers.get("request-id")), s));
     let seen: Vec<_> = seen.collect();
     let rejected = seen.iter().filter(|(_, s)| !s.has_run);
@@ -58,11 +58,11 @@
     rejecting: usize,
     seconds: &str,
     demand: Demand,
-) -> Ended {
+) -> Outcomes {
     for runner in &site.runners[..rejecting] {
         runner.ask_for_rest(Some(seconds));
     }
-    let ended = press(site, demand).await;
+    let ended = send_load(site, demand).await;
     let back_off = Duration::from_secs_f64(seconds.parse().expect("seconds"));
     for endpoint in 0..rejecting {
         let most = most_in_back_off(site, endpoint, back_off);
@@ -88,7 +88,7 @@
         },
     )
     .await;
-    assert_eq!(ended.served, ended.all(), "{ended:?}");
+    assert_eq!(ended.served, ended.total(), "{ended:?}");
 }
 
 /// The same with a single instance: the other two endpoints can take all its requests.
@@ -96,7 +96,7 @@
 async fn a_single_instance_backs_off_too() {
     let site = Arc::new(Site::start(61, 1, 4).await);
     let ended = check_back_off(&site, 2, "3", PLAIN).await;
-    assert_eq!(ended.served, ended.all(), "{ended:?}");
+    assert_eq!(ended.served, ended.total(), "{ended:?}");
 }
 
 /// All endpoints request a back-off period: requests are refused at once, are not run, and get a `Retry-After` that
@@ -146,13 +146,13 @@
         ..PLAIN
     };
     // Every rejected request needs a retry, and the retry budget is small until a process has served some requests.
-    tokio::join!(press(&site, streams), press(&site, plain));
+    tokio::join!(send_load(&site, streams), send_load(&site, plain));
     let (of_streams, of_plain) = tokio::join!(
         check_back_off(&site, 3, "3", streams),
         check_back_off(&site, 3, "3", plain)
     );
-    assert_eq!(of_streams.served, of_streams.all(), "{of_streams:?}");
-    assert_eq!(of_plain.served, of_plain.all(), "{of_plain:?}");
+    assert_eq!(of_streams.served, of_streams.total(), "{of_streams:?}");
+    assert_eq!(of_plain.served, of_plain.total(), "{of_plain:?}");
 }
 
 /// An endpoint that has recovered serves within a second of the end of its back-off period. The single request that
@@ -169,7 +169,7 @@
     let recovered = Instant::now();
     site.runners[0].ask_for_rest(None);
     let lasts = Duration::from_secs(4);
-    let ended = press(&site, Demand { lasts, ..short }).await;
+    let ended = send_load(&site, Demand { lasts, ..short }).await;
     let seen = site.runners[0].seen();
     let served = seen.iter().find(|s| s.at > recovered && s.has_run);
     let first = served.expect("it serves").at.duration_since(recovered);
@@ -183,7 +183,7 @@
         .filter(|s| s.at > last_seconds && s.has_run)
         .count();
     assert!(load >= 15, "{load} requests: its share of some 47");
-    assert_eq!(ended.served, ended.all(), "{ended:?}");
+    assert_eq!(ended.served, ended.total(), "{ended:?}");
 }
 
 /// A rejection whose `Retry-After` is not a usable period costs that request one try and has no other effect.
@@ -235,7 +235,7 @@
     site.runners[0].end();
     time::sleep(DOWN + Duration::from_secs(1)).await;
     let before = site.runners[0].seen().len();
-    press(
+    send_load(
         &site,
         Demand {
             lasts: Duration::from_secs(2),
