--- a/src/limits/announcements.rs
+++ b/src/limits/announcements.rs
@@ -2,11 +2,12 @@
 //! second, that they are leaving, and that they requested a back-off from some instance.
 //!
 //! A back-off binds only the instance that it was requested from. For the others it is a sign of load, so that not each
-//! of them has to be rejected to learn of it: each rejection takes a retry, and callers are refused once the retries are
-//! used up.
+//! of them has to be rejected to learn of it: each rejection takes a retry, and callers are refused once the retries
+//! are used up.
 //!
 //! Announcements belong to one start of an endpoint, that is, to one run of its process. That a start is leaving is
-//! final: no later response, registry entry or endpoint list reverts it, and a later start has announcements of its own.
+//! final: no later response, registry entry or endpoint list reverts it, and a later start has announcements of its
+//! own.
 //!
 //! An endpoint states its limit in each response for as long as the limit holds; a response without one lifts it.
 //! Responses may be reordered, at one instance and between instances, so a limit has a version. Only a response to a
--- a/src/limits/retries.rs
+++ b/src/limits/retries.rs
@@ -86,8 +86,8 @@
         from_requests + self.slack_share(instances) - f64::from(retries)
     }
 
-    /// Returns this instance's share of the slack in whole retries. In a large group an equal share is less than one, so
-    /// some instances get one and the others none.
+    /// Returns this instance's share of the slack in whole retries. In a large group an equal share is less than one,
+    /// so some instances get one and the others none.
     fn slack_share(&self, instances: usize) -> f64 {
         let share = self.bounds.slack * USABLE_SHARE / instances.max(1) as f64;
         let up_to = |position: usize| (share * position as f64).floor();
--- a/src/limits/suspects.rs
+++ b/src/limits/suspects.rs
@@ -315,7 +315,8 @@
         }
     }
 
-    /// If the table is full, evicts the requests with the fewest crashes, and of these the ones that changed longest ago.
+    /// If the table is full, evicts the requests with the fewest crashes, and of these the ones that changed longest
+    /// ago.
     fn make_room(&mut self) {
         if self.suspects.len() < MAX_SUSPECTS {
             return;
@@ -348,15 +349,15 @@
         updates.collect()
     }
 
-    /// Returns what to persist for instances that start when no other is left: the suspects that are blocked or one crash
-    /// away from it, the latest ones if there are many, sorted by fingerprint.
+    /// Returns what to persist for instances that start when no other is left: the suspects that are blocked or one
+    /// crash away from it, the latest ones if there are many, sorted by fingerprint.
     pub fn to_persist(&self, now_us: Micros) -> Vec<SuspectUpdate> {
-        let kept = self.suspects.iter().filter(|(_, s)| s.is_resent(now_us));
-        let mut kept: Vec<_> = kept.collect();
-        kept.sort_unstable_by_key(|(_, s)| Reverse(s.changed_us));
-        kept.truncate(MAX_PERSISTED);
-        kept.sort_unstable_by_key(|(fingerprint, _)| **fingerprint);
-        let updates = kept.into_iter().map(|(f, s)| s.to_update(now_us, *f));
+        let persisted = self.suspects.iter().filter(|(_, s)| s.is_resent(now_us));
+        let mut persisted: Vec<_> = persisted.collect();
+        persisted.sort_unstable_by_key(|(_, s)| Reverse(s.changed_us));
+        persisted.truncate(MAX_PERSISTED);
+        persisted.sort_unstable_by_key(|(fingerprint, _)| **fingerprint);
+        let updates = persisted.into_iter().map(|(f, s)| s.to_update(now_us, *f));
         updates.collect()
     }
 
--- a/tests/gateway/endpoint_limits.rs
+++ b/tests/gateway/endpoint_limits.rs
@@ -385,8 +385,8 @@
 }
 
 proptest! {
-    /// However responses and updates are delayed, duplicated or lost: once all instances have exchanged updates they know
-    /// the same limit, and a later response to any of them is what all know in the end.
+    /// However responses and updates are delayed, duplicated or lost: once all instances have exchanged updates they
+    /// know the same limit, and a later response to any of them is what all know in the end.
     #[test]
     fn instances_converge_on_the_last_limit_of_the_endpoint(
         steps in proptest::collection::vec(step(), 1..40),
--- a/tests/gateway/endpoint_limits_weighed.rs
+++ b/tests/gateway/endpoint_limits_weighed.rs
@@ -369,8 +369,8 @@
     outcome
 }
 
-/// The current strategy, permits: no window exceeds the allowed number, and nine tenths of the limit are used. Prints the
-/// table.
+/// The current strategy, permits: no window exceeds the allowed number, and nine tenths of the limit are used. Prints
+/// the table.
 #[test]
 fn a_limit_is_kept_by_all_instances_and_used_wherever_requests_arrive() {
     for scenario in SCENARIOS {
--- a/tests/gateway/endpoint_rests.rs
+++ b/tests/gateway/endpoint_rests.rs
@@ -272,8 +272,8 @@
         .count()
 }
 
-/// An endpoint requested a back-off from one of seven instances: the others prefer endpoints without a back-off, and use
-/// this one once those are as loaded.
+/// An endpoint requested a back-off from one of seven instances: the others prefer endpoints without a back-off, and
+/// use this one once those are as loaded.
 #[test]
 fn back_offs_requested_from_others_are_a_sign_of_load() {
     let (mut notified, mut other) = (balancer(&["a", "b"]), balancer(&["a", "b"]));
--- a/tests/gateway/suspects_weighed.rs
+++ b/tests/gateway/suspects_weighed.rs
@@ -150,8 +150,8 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
-    /// Arrivals of requests that crash endpoints, and the most of one request after its third crash and the time to take
-    /// effect.
+    /// Arrivals of requests that crash endpoints, and the most of one request after its third crash and the time to
+    /// take effect.
     reached: usize,
     max_after: usize,
     crashed: usize,
@@ -568,8 +568,8 @@
     sum
 }
 
-/// The current strategy: requests that crash endpoints reach few of them in every scenario, also where all instances are
-/// lost and the state is persisted, and hardly any other request is blocked. Prints the table.
+/// The current strategy: requests that crash endpoints reach few of them in every scenario, also where all instances
+/// are lost and the state is persisted, and hardly any other request is blocked. Prints the table.
 #[test]
 fn requests_that_crash_endpoints_are_blocked_and_bystanders_are_not() {
     for scenario in SCENARIOS {
