--- a/benches/exchange.rs
+++ b/benches/exchange.rs
@@ -8,7 +8,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use ryevalve::{
-    balance::load::{EndpointKey, InFlight, KeySpan},
+    balance::load::{EndpointKey, InFlight, KeyRange},
     gateway::{aggregators::Aggregators, hall_book::HallBook, halls::Halls},
     peers::{
         datagram::{Authenticator, Digest, Liveness, MemberInfo},
@@ -61,7 +61,7 @@
         seq: 1_000,
         instances: headcount.instances,
         heard: headcount.heard,
-        span: KeySpan::ALL,
+        span: KeyRange::ALL,
         loads: book.loads(0, &[]),
         ..HallSummary::default()
     }
--- a/benches/placing.rs
+++ b/benches/placing.rs
@@ -4,11 +4,11 @@
 use ryevalve::{
     balance::{
         balancer::{Balancer, Placement},
-        cost::Ask,
+        cost::PlacementRequest,
         discovery::EndpointEntry,
-        homes::Homes,
         load::{EndpointKey, InFlight},
-        picture::Group,
+        load_view::ClusterSize,
+        regions::AllowedRegions,
     },
     prelude::Incarnation,
 };
@@ -33,11 +33,11 @@
 }
 
 /// A balancer that knows of requests of others at all endpoints.
-fn balancer(endpoints: usize, group: Group) -> Balancer {
+fn balancer(endpoints: usize, group: ClusterSize) -> Balancer {
     let mut balancer = Balancer::new("hall-0".into());
-    balancer.picture_mut().set_group(group);
+    balancer.load_view_mut().set_cluster_size(group);
     for number in 0..endpoints {
-        balancer.endpoint_seen(entry(number), 1);
+        balancer.upsert_endpoint(entry(number), 1);
     }
     let load = |number: usize| InFlight {
         requests: (number % 5) as u32,
@@ -45,12 +45,12 @@
     };
     let loads = (0..endpoints).map(|n| (EndpointKey::of(&format!("i-{n}")), load(n)));
     let loads: Vec<_> = loads.collect();
-    balancer.told(0, Incarnation(1), &loads, &[], &[]);
+    balancer.apply_peer_update(0, Incarnation(1), &loads, &[], &[]);
     balancer
 }
 
-fn ask(number: u64, now_us: u64) -> Ask {
-    Ask {
+fn ask(number: u64, now_us: u64) -> PlacementRequest {
+    PlacementRequest {
         service: "model".into(),
         is_stream: true,
         prompt_tokens: 600,
@@ -62,7 +62,7 @@
         deadline_us: now_us + 15_000_000,
         rank: 0,
         other_hall_cost: 0.05,
-        homes: Homes::default(),
+        homes: AllowedRegions::default(),
         draw: number,
     }
 }
@@ -70,7 +70,7 @@
 fn placing(c: &mut Criterion) {
     let mut benches = c.benchmark_group("placing");
     for endpoints in SIZES {
-        for group in [Group::Small, Group::Large] {
+        for group in [ClusterSize::Small, ClusterSize::Large] {
             let mut balancer = balancer(endpoints, group);
             let (mut number, mut now_us) = (0, APART_US);
             let id = BenchmarkId::new(format!("{group:?}"), endpoints);
--- a/src/balance/balancer.rs
+++ b/src/balance/balancer.rs
@@ -12,15 +12,15 @@
 use crate::{
     balance::{
         cold::ColdEndpoints,
-        cost::{Ask, Expected},
-        discovery::{Change, Discovery, EndpointEntry, EndpointsCopy, Revision},
+        cost::{Expected, PlacementRequest},
+        discovery::{Change, Discovery, EndpointEntry, EndpointsDelta, Revision},
         grants::Grants,
         index::EndpointIndex,
         load::EndpointKey,
-        picture::{Group, Picture},
+        load_view::{ClusterSize, LoadView},
         prefixes::{ChainKey, PrefixHolders},
+        readiness::PermitDenial,
         speed::Speed,
-        standing::NoPermits,
     },
     limits::{rest::Rests, standings::EndpointStandings},
     prelude::{Incarnation, Micros, Name, Rank},
@@ -32,7 +32,7 @@
 /// worth .368 .408 .435 .428 and .458 .506 .522 .513; answers on the whole day .620 .625 .648 .659. Over six
 /// instances a fifth and a twentieth are alike: means of eight days on each of three deployments .666 and
 /// .673, .557 and .559, .764 and .763.
-const HOLD_SHARE: f64 = 0.05;
+const MAX_WAIT_SHARE: f64 = 0.05;
 /// Up to this share of its target a stream may queue at an endpoint, by rank. Endpoints know no
 /// ranks, so the less urgent leave their queues to the more urgent. What would queue for longer is
 /// refused: it would be late, and make late all that come after it.
@@ -44,14 +44,14 @@
 /// .52. Where lateness costs less, nothing (.755 and .754).
 const STREAM_QUEUE_SHARE: [f64; 4] = [0.6, 0.35, 0.2, 0.1];
 /// The same for requests with one whole answer.
-const WHOLE_QUEUE_SHARE: f64 = 0.7;
+const UNARY_QUEUE_SHARE: f64 = 0.7;
 /// The least urgent rank that is told apart.
-const LEAST_URGENT: Rank = 2;
+const LEAST_URGENT_RANK: Rank = 2;
 /// In a large group others are told of no shorter chains: 60 tokens are read in a millisecond, and were
 /// half of what a hall's instances told each other of reads.
-const LEAST_TOLD_TOKENS: u32 = 128;
+const MIN_SHARED_CHAIN_TOKENS: u32 = 128;
 /// What was read lately and nobody was told of, at most: some seconds of a busy instance.
-const MOST_NEWS: usize = 1_024;
+const MAX_UNSENT_CHAINS: usize = 1_024;
 /// The share of the time left to it after which a caller that is refused for want of room may come
 /// back, before spread. Surges last for seconds: whoever comes back at once is refused again. Callers
 /// wait up to a third of what they have left; with the spread this is .2 to .3 of it.
@@ -105,30 +105,34 @@
 }
 
 /// Returns when a caller that has `left_us` may come back after a refusal for want of room.
-pub fn come_back_ms(left_us: Micros) -> u32 {
+pub fn retry_delay_ms(left_us: Micros) -> u32 {
     let left_ms = left_us as f64 / 1e3;
     (left_ms * RETRY_SHARE).clamp(RETRY_MIN_MS, RETRY_MAX_MS) as u32
 }
 
 /// Returns for how long a request waits for a slot before it is decided.
-pub fn hold_us(ask: &Ask) -> Micros {
-    (ask.target_us as f64 * HOLD_SHARE) as Micros
+pub fn max_wait_us(request: &PlacementRequest) -> Micros {
+    (request.target_us as f64 * MAX_WAIT_SHARE) as Micros
 }
 
 /// Returns the share of its target for which a request may queue at an endpoint.
-fn queue_share(ask: &Ask) -> f64 {
-    if !ask.is_stream {
-        return WHOLE_QUEUE_SHARE;
+fn queue_share(request: &PlacementRequest) -> f64 {
+    if !request.is_stream {
+        return UNARY_QUEUE_SHARE;
     }
-    let rank = usize::from(ask.rank.min(LEAST_URGENT)) + usize::from(ask.is_late());
+    let rank = usize::from(request.rank.min(LEAST_URGENT_RANK)) + usize::from(request.is_late());
     STREAM_QUEUE_SHARE[rank]
 }
 
 /// Returns the refusal of a request for which there is no room: its caller may come back later.
-pub fn refused(now_us: Micros, ask: &Ask, reason: &'static str) -> Placement {
+pub fn refuse_for_capacity(
+    now_us: Micros,
+    request: &PlacementRequest,
+    reason: &'static str,
+) -> Placement {
     Placement::Refuse {
         reason,
-        retry_after_ms: come_back_ms(ask.deadline_us.saturating_sub(now_us)),
+        retry_after_ms: retry_delay_ms(request.deadline_us.saturating_sub(now_us)),
     }
 }
 
@@ -149,12 +153,12 @@
     keys: HashMap<Name, EndpointKey>,
     pub(super) index: EndpointIndex,
     /// How fast the endpoints of a service are together: what is believed of one that is not known.
-    pub(super) typical: HashMap<Name, Speed>,
-    pub(super) picture: Picture,
+    pub(super) service_speeds: HashMap<Name, Speed>,
+    pub(super) load_view: LoadView,
     pub(super) grants: Grants,
     pub(super) holders: PrefixHolders,
     /// What was read lately, to be told to the others.
-    pub(super) news: Vec<(ChainKey, EndpointKey)>,
+    pub(super) unsent_chains: Vec<(ChainKey, EndpointKey)>,
     /// Endpoints found gone, to be told to the others.
     dead: Vec<EndpointKey>,
     pub(super) standings: EndpointStandings,
@@ -165,8 +169,8 @@
     /// The region of each data centre.
     pub(super) regions: HashMap<Name, Name>,
     /// Endpoints for which there was no permit, or no answer.
-    pub(super) no_permits: HashMap<EndpointKey, NoPermits>,
-    waiting: BTreeMap<WaitKey, Ask>,
+    pub(super) permit_denials: HashMap<EndpointKey, PermitDenial>,
+    waiting: BTreeMap<WaitKey, PlacementRequest>,
     next_number: u64,
     pub(super) changed: bool,
 }
@@ -180,18 +184,18 @@
             endpoints: HashMap::new(),
             keys: HashMap::new(),
             index: EndpointIndex::default(),
-            typical: HashMap::new(),
-            picture: Picture::default(),
+            service_speeds: HashMap::new(),
+            load_view: LoadView::default(),
             grants: Grants::default(),
             holders: PrefixHolders::default(),
-            news: Vec::new(),
+            unsent_chains: Vec::new(),
             dead: Vec::new(),
             standings: EndpointStandings::default(),
             rests: Rests::default(),
             cold: ColdEndpoints::default(),
             evacuated: HashSet::new(),
             regions: HashMap::new(),
-            no_permits: HashMap::new(),
+            permit_denials: HashMap::new(),
             waiting: BTreeMap::new(),
             next_number: 0,
             changed: false,
@@ -199,25 +203,25 @@
     }
 
     /// Takes an endpoint's entry as it was at a revision; returns what changed.
-    pub fn endpoint_seen(&mut self, entry: EndpointEntry, revision: Revision) -> Option<Change> {
+    pub fn upsert_endpoint(&mut self, entry: EndpointEntry, revision: Revision) -> Option<Change> {
         let id = entry.id.clone();
-        let change = self.discovery.seen(entry, revision)?;
-        self.take_in(&id);
+        let change = self.discovery.upsert(entry, revision)?;
+        self.refresh_endpoint(&id);
         Some(change)
     }
 
     /// Brings what is kept of an endpoint in line with its entry.
-    fn take_in(&mut self, id: &str) {
+    fn refresh_endpoint(&mut self, id: &str) {
         let Some(entry) = self.discovery.get(id).cloned() else {
             return;
         };
         let key = entry.key();
         let before = self.keys.insert(entry.id.clone(), key);
         if let Some(before) = before.filter(|before| *before != key) {
-            self.forget(before);
+            self.remove_state(before);
             self.standings.forget(before);
         }
-        self.cold.note_entry(key, entry.warmup_left_ms * 1_000);
+        self.cold.set_from_entry(key, entry.warmup_left_ms * 1_000);
         let same_hall = entry.hall == self.hall;
         let known = self.endpoints.remove(&key);
         if let Some(known) = &known {
@@ -233,9 +237,9 @@
     }
 
     /// Notes that the endpoints are as the store had them at a revision.
-    pub fn endpoints_reached(&mut self, revision: Revision) {
+    pub fn advance_endpoints_revision(&mut self, revision: Revision) {
         let before = self.discovery.revision();
-        self.discovery.reached(revision);
+        self.discovery.advance_to(revision);
         self.changed |= self.discovery.revision() != before;
     }
 
@@ -245,17 +249,21 @@
     }
 
     /// Returns what whoever is at `revision` lacks of the endpoints.
-    pub fn endpoints_since(&self, revision: Revision) -> EndpointsCopy {
-        self.discovery.copy_since(revision)
+    pub fn endpoints_delta_since(&self, revision: Revision) -> EndpointsDelta {
+        self.discovery.delta_since(revision)
     }
 
     /// Takes another instance's copy of the endpoints, if it is ahead; returns what changed.
-    pub fn take_endpoints(&mut self, now_us: Micros, copy: EndpointsCopy) -> Vec<(Name, Change)> {
-        let changes = self.discovery.take_copy(now_us, copy);
+    pub fn apply_endpoints_delta(
+        &mut self,
+        now_us: Micros,
+        delta: EndpointsDelta,
+    ) -> Vec<(Name, Change)> {
+        let changes = self.discovery.apply_delta(now_us, delta);
         for (id, change) in &changes {
             match change {
                 Change::Gone => self.drop_endpoint(id),
-                _ => self.take_in(id),
+                _ => self.refresh_endpoint(id),
             }
         }
         self.changed |= !changes.is_empty();
@@ -263,8 +271,8 @@
     }
 
     /// Takes word that an endpoint's entry was gone at a revision, or before; returns what changed.
-    pub fn endpoint_removed(&mut self, now_us: Micros, id: &str, at: Revision) -> Option<Change> {
-        let change = self.discovery.removed(now_us, id, at)?;
+    pub fn remove_endpoint(&mut self, now_us: Micros, id: &str, at: Revision) -> Option<Change> {
+        let change = self.discovery.mark_removed(now_us, id, at)?;
         if change == Change::Gone {
             self.drop_endpoint(id);
         }
@@ -272,7 +280,7 @@
     }
 
     /// Takes a whole list of entries' ids as it was at a revision; returns what changed.
-    pub fn endpoints_listed(
+    pub fn retain_listed_endpoints(
         &mut self,
         now_us: Micros,
         at: Revision,
@@ -289,7 +297,7 @@
 
     /// Notes that another start answers at an endpoint's address: it is gone, whatever its entry
     /// says. Its entry comes in again only with a change.
-    pub fn endpoint_replaced(&mut self, key: EndpointKey) {
+    pub fn mark_endpoint_replaced(&mut self, key: EndpointKey) {
         let Some(endpoint) = self.endpoints.get(&key) else {
             return;
         };
@@ -305,7 +313,7 @@
     }
 
     /// Takes word from another instance of endpoints found gone.
-    pub fn told_dead(&mut self, dead: &[EndpointKey]) {
+    pub fn remove_dead_endpoints(&mut self, dead: &[EndpointKey]) {
         for key in dead {
             if let Some(endpoint) = self.endpoints.get(key) {
                 let id = endpoint.entry.id.clone();
@@ -315,8 +323,8 @@
     }
 
     /// Notes that the store could not be reached until now.
-    pub fn store_was_away(&mut self, now_us: Micros) {
-        self.discovery.store_was_away(now_us);
+    pub fn store_was_unreachable(&mut self, now_us: Micros) {
+        self.discovery.store_was_unreachable(now_us);
     }
 
     /// Drops the endpoints whose lapse is over and the instances that fell silent; returns them.
@@ -326,40 +334,41 @@
             self.drop_endpoint(id);
         }
         for grant in self.grants.expire(now_us) {
-            self.picture.settle(grant.key, grant.uncached_tokens);
+            self.load_view
+                .release_grant(grant.key, grant.uncached_tokens);
         }
         self.expire_standings(now_us);
         self.cold.tick(now_us);
-        let silent = self.picture.expire(now_us);
+        let silent = self.load_view.expire(now_us);
         (expired, silent)
     }
 
     fn drop_endpoint(&mut self, id: &str) {
         if let Some(key) = self.keys.remove(id) {
-            self.forget(key);
+            self.remove_state(key);
         }
     }
 
     /// Forgets what is believed and was learned of a start of an endpoint. What instances still have there
     /// is told under its key and counts for no other.
-    fn forget(&mut self, key: EndpointKey) {
+    fn remove_state(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.remove(&key) {
             self.index.remove(key, &endpoint.entry);
         }
-        self.holders.forget_endpoint(key);
+        self.holders.evict_endpoint(key);
         // Its limit is not: an entry that lapsed comes back for the same start.
-        self.no_permits.remove(&key);
-        self.cold.forget(key);
+        self.permit_denials.remove(&key);
+        self.cold.clear(key);
     }
 
     /// Returns the load at all endpoints, as far as it is known.
-    pub fn picture(&self) -> &Picture {
-        &self.picture
+    pub fn load_view(&self) -> &LoadView {
+        &self.load_view
     }
 
     /// Returns the load at all endpoints, to be told of more.
-    pub fn picture_mut(&mut self) -> &mut Picture {
-        &mut self.picture
+    pub fn load_view_mut(&mut self) -> &mut LoadView {
+        &mut self.load_view
     }
 
     /// Returns the number of endpoints known.
@@ -384,42 +393,47 @@
 
     /// Decides on a request that has just come, or comes back from an endpoint that did not run it.
     /// Those in `tried` are not chosen.
-    pub fn place(&mut self, now_us: Micros, ask: &Ask, tried: &[EndpointKey]) -> Placement {
-        self.place_with(now_us, ask, tried, None)
+    pub fn place(
+        &mut self,
+        now_us: Micros,
+        request: &PlacementRequest,
+        tried: &[EndpointKey],
+    ) -> Placement {
+        self.place_with_permit(now_us, request, tried, None)
     }
 
     /// The same with a permit to send it to an endpoint that takes only so many requests a second, if there is
     /// one; without, no such endpoint is chosen.
-    pub fn place_with(
+    pub fn place_with_permit(
         &mut self,
         now_us: Micros,
-        ask: &Ask,
+        request: &PlacementRequest,
         tried: &[EndpointKey],
         permit: Option<EndpointKey>,
     ) -> Placement {
-        self.picture
+        self.load_view
             .refresh_means(now_us, self.index.by_data_centre());
-        let found = self.best(now_us, ask, tried, permit);
-        let Some(best) = found.best else {
-            return found.without_endpoint(now_us, ask);
+        let selected = self.select(now_us, request, tried, permit);
+        let Some(best) = selected.best else {
+            return selected.refusal(now_us, request);
         };
-        let waited_us = now_us.saturating_sub(ask.arrived_us) as f64;
+        let waited_us = now_us.saturating_sub(request.arrived_us) as f64;
         // One that is late in any case loses nothing more by having waited.
-        let spent_us = if ask.is_late() { 0.0 } else { waited_us };
+        let spent_us = if request.is_late() { 0.0 } else { waited_us };
         let queue_us = spent_us + best.expected.queue_ms * 1e3;
-        let fits = queue_us <= ask.target_us as f64 * queue_share(ask);
+        let fits = queue_us <= request.target_us as f64 * queue_share(request);
         // One that is late in any case passes nobody.
-        let may_pass = best.expected.has_room && !ask.is_late();
-        if fits && (may_pass || !self.waits_before(ask.rank)) {
-            return self.send(now_us, ask, best);
+        let may_overtake = best.expected.has_room && !request.is_late();
+        if fits && (may_overtake || !self.has_waiting_ahead(request.rank)) {
+            return self.dispatch(now_us, request, best);
         }
-        if now_us.saturating_sub(ask.arrived_us) < hold_us(ask) {
+        if now_us.saturating_sub(request.arrived_us) < max_wait_us(request) {
             return Placement::Wait;
         }
-        refused(now_us, ask, BUSY)
+        refuse_for_capacity(now_us, request, BUSY)
     }
 
-    fn waits_before(&self, rank: Rank) -> bool {
+    fn has_waiting_ahead(&self, rank: Rank) -> bool {
         self.waiting.keys().next().is_some_and(|k| k.rank <= rank)
     }
 
@@ -435,40 +449,45 @@
         })
     }
 
-    pub(super) fn send(&mut self, now_us: Micros, ask: &Ask, choice: Choice) -> Placement {
-        self.picture
-            .sent(choice.key, choice.expected.uncached_tokens);
-        let least_tokens = match self.picture.group() {
-            Group::Small => 0,
-            Group::Large => LEAST_TOLD_TOKENS,
+    pub(super) fn dispatch(
+        &mut self,
+        now_us: Micros,
+        request: &PlacementRequest,
+        choice: Choice,
+    ) -> Placement {
+        self.load_view
+            .record_sent(choice.key, choice.expected.uncached_tokens);
+        let min_tokens = match self.load_view.cluster_size() {
+            ClusterSize::Small => 0,
+            ClusterSize::Large => MIN_SHARED_CHAIN_TOKENS,
         };
-        for (chain, tokens) in &ask.chains {
-            self.holders.note(now_us, *chain, choice.key);
-            if *tokens >= least_tokens {
-                self.news.push((*chain, choice.key));
+        for (chain, tokens) in &request.chains {
+            self.holders.record(now_us, *chain, choice.key);
+            if *tokens >= min_tokens {
+                self.unsent_chains.push((*chain, choice.key));
             }
         }
-        if self.news.len() > MOST_NEWS {
+        if self.unsent_chains.len() > MAX_UNSENT_CHAINS {
             // An instance that is alone tells nobody.
-            self.news.drain(..MOST_NEWS / 2);
+            self.unsent_chains.drain(..MAX_UNSENT_CHAINS / 2);
         }
         self.changed = true;
         Placement::Send(choice)
     }
 
     /// Adds a request to those that wait.
-    pub fn enqueue(&mut self, ask: Ask) -> WaitKey {
+    pub fn enqueue(&mut self, request: PlacementRequest) -> WaitKey {
         let key = WaitKey {
-            rank: ask.rank,
+            rank: request.rank,
             number: self.next_number,
         };
         self.next_number += 1;
-        self.waiting.insert(key, ask);
+        self.waiting.insert(key, request);
         key
     }
 
     /// Takes a request out of those that wait.
-    pub fn dequeue(&mut self, key: WaitKey) -> Option<Ask> {
+    pub fn dequeue(&mut self, key: WaitKey) -> Option<PlacementRequest> {
         self.waiting.remove(&key)
     }
 
@@ -477,12 +496,12 @@
         let mut decided = Vec::new();
         let keys: Vec<WaitKey> = self.waiting.keys().copied().collect();
         for key in keys {
-            let Some(ask) = self.waiting.remove(&key) else {
+            let Some(request) = self.waiting.remove(&key) else {
                 continue;
             };
-            match self.place(now_us, &ask, &[]) {
+            match self.place(now_us, &request, &[]) {
                 Placement::Wait => {
-                    self.waiting.insert(key, ask);
+                    self.waiting.insert(key, request);
                 }
                 placement => decided.push((key, placement)),
             }
@@ -498,7 +517,8 @@
     /// Learns that the first event of what was sent came after `took_ms`.
     pub fn first_event(&mut self, choice: &Choice, took_ms: f64) {
         let expected = &choice.expected;
-        self.picture.was_read(choice.key, expected.uncached_tokens);
+        self.load_view
+            .record_prompt_processed(choice.key, expected.uncached_tokens);
         // Where it waited for a slot, the time says little of the reading.
         if let Some(endpoint) = self.endpoints.get_mut(&choice.key)
             && expected.has_room
@@ -506,8 +526,8 @@
             let tokens = expected.tokens_ahead + f64::from(expected.uncached_tokens);
             endpoint.speed.first_event(took_ms, tokens);
             let service = endpoint.entry.service.clone();
-            let typical = self.typical.entry(service).or_default();
-            typical.first_event(took_ms, tokens);
+            let service_speed = self.service_speeds.entry(service).or_default();
+            service_speed.first_event(took_ms, tokens);
         }
         self.changed = true;
     }
@@ -515,9 +535,9 @@
     /// Takes a request out of what was sent. `waiting_tokens` are those whose first event did not
     /// come.
     pub fn end(&mut self, key: EndpointKey, waiting_tokens: u32, held_ms: Option<f64>) {
-        self.picture.ended(key, waiting_tokens);
+        self.load_view.record_ended(key, waiting_tokens);
         if let (Some(endpoint), Some(held_ms)) = (self.endpoints.get_mut(&key), held_ms) {
-            endpoint.speed.held(held_ms);
+            endpoint.speed.record_slot_hold(held_ms);
         }
         self.changed = true;
     }
@@ -526,16 +546,16 @@
     pub fn event(&mut self, key: EndpointKey, gap_ms: f64) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
             endpoint.speed.event(gap_ms);
-            if let Some(typical) = self.typical.get_mut(&endpoint.entry.service) {
-                typical.event(gap_ms);
+            if let Some(service_speed) = self.service_speeds.get_mut(&endpoint.entry.service) {
+                service_speed.event(gap_ms);
             }
         }
     }
 
     /// Gives what is learned of an endpoint's speed.
-    pub fn learn(&mut self, key: EndpointKey, lesson: impl FnOnce(&mut Speed)) {
+    pub fn update_speed(&mut self, key: EndpointKey, update: impl FnOnce(&mut Speed)) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
-            lesson(&mut endpoint.speed);
+            update(&mut endpoint.speed);
         }
     }
 }
--- a/src/balance/cold.rs
+++ b/src/balance/cold.rs
@@ -19,7 +19,7 @@
     /// The rate, for all instances together.
     pub rate: RequestRate,
     /// How long an endpoint is cold after its start.
-    pub lasts_us: Micros,
+    pub duration_us: Micros,
 }
 
 /// Until when an endpoint is cold.
@@ -40,13 +40,13 @@
 impl ColdEndpoints {
     /// Takes what an endpoint's entry says; its time counts from the next [`Self::tick`], which is later than
     /// when the entry was written.
-    pub(super) fn note_entry(&mut self, key: EndpointKey, left_us: Micros) {
+    pub(super) fn set_from_entry(&mut self, key: EndpointKey, left_us: Micros) {
         if left_us > 0 {
             self.by_endpoint.insert(key, Cold::For(left_us));
         }
     }
 
-    fn note(&mut self, now_us: Micros, key: EndpointKey, left_us: Micros) {
+    fn set_cold_for(&mut self, now_us: Micros, key: EndpointKey, left_us: Micros) {
         let until_us = now_us.saturating_add(left_us);
         let known = self.by_endpoint.entry(key).or_insert(Cold::Until(until_us));
         if let Cold::Until(known_us) = known {
@@ -54,7 +54,7 @@
         }
     }
 
-    fn left_us(&self, now_us: Micros, key: EndpointKey) -> Micros {
+    fn remaining_us(&self, now_us: Micros, key: EndpointKey) -> Micros {
         match self.by_endpoint.get(&key) {
             Some(Cold::For(left_us)) => *left_us,
             Some(Cold::Until(until_us)) => until_us.saturating_sub(now_us),
@@ -73,7 +73,7 @@
         self.by_endpoint.retain(|_, cold| is_cold(cold));
     }
 
-    pub(super) fn forget(&mut self, key: EndpointKey) {
+    pub(super) fn clear(&mut self, key: EndpointKey) {
         self.by_endpoint.remove(&key);
     }
 }
@@ -85,27 +85,27 @@
     }
 
     /// Notes that an endpoint is cold for `left_us`, unless it is known to be so for longer.
-    pub fn note_cold(&mut self, now_us: Micros, key: EndpointKey, left_us: Micros) {
-        self.cold.note(now_us, key, left_us);
+    pub fn mark_cold(&mut self, now_us: Micros, key: EndpointKey, left_us: Micros) {
+        self.cold.set_cold_for(now_us, key, left_us);
     }
 
     /// Returns for how much longer an endpoint is cold; 0 if it is not.
-    pub fn cold_us(&self, now_us: Micros, key: EndpointKey) -> Micros {
-        self.cold.left_us(now_us, key)
+    pub fn remaining_cold_us(&self, now_us: Micros, key: EndpointKey) -> Micros {
+        self.cold.remaining_us(now_us, key)
     }
 
     /// Returns how many requests a second an endpoint takes from all instances together; none if it has no limit.
     pub fn rate(&self, now_us: Micros, key: EndpointKey) -> Option<RequestRate> {
-        let named = self.standings.rate(key);
+        let announced = self.standings.rate(key);
         let cold = self.cold_rate(now_us, key);
-        match (named, cold) {
-            (Some(named), Some(cold)) => Some(named.min(cold)),
-            (named, cold) => named.or(cold),
+        match (announced, cold) {
+            (Some(announced), Some(cold)) => Some(announced.min(cold)),
+            (announced, cold) => announced.or(cold),
         }
     }
 
     fn cold_rate(&self, now_us: Micros, key: EndpointKey) -> Option<RequestRate> {
-        if self.cold.left_us(now_us, key) == 0 {
+        if self.cold.remaining_us(now_us, key) == 0 {
             return None;
         }
         let service = &self.entry(key)?.service;
@@ -124,26 +124,26 @@
     }
 
     /// Takes a change of the evacuated data centres.
-    pub fn change_evacuated(&mut self, now_us: Micros, change: &EvacuationChange) {
+    pub fn apply_evacuation_change(&mut self, now_us: Micros, change: &EvacuationChange) {
         self.evacuated.extend(change.begun.iter().cloned());
         for data_centre in &change.ended {
             self.evacuated.remove(data_centre);
-            self.warm_up(now_us, data_centre);
+            self.mark_data_centre_cold(now_us, data_centre);
         }
     }
 
     /// Takes the endpoints of a data centre for cold.
-    fn warm_up(&mut self, now_us: Micros, data_centre: &Name) {
+    fn mark_data_centre_cold(&mut self, now_us: Micros, data_centre: &Name) {
         let rates = &self.cold.rates;
         let endpoints = self.endpoints.iter();
         let own = endpoints.filter(|(_, endpoint)| endpoint.entry.hall == *data_centre);
         let cold = own.filter_map(|(key, endpoint)| {
             let cold = rates.get(&endpoint.entry.service)?;
-            Some((*key, cold.lasts_us))
+            Some((*key, cold.duration_us))
         });
         let cold: Vec<(EndpointKey, Micros)> = cold.collect();
-        for (key, lasts_us) in cold {
-            self.cold.note(now_us, key, lasts_us);
+        for (key, duration_us) in cold {
+            self.cold.set_cold_for(now_us, key, duration_us);
         }
     }
 }
--- a/src/balance/cost.rs
+++ b/src/balance/cost.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    balance::{homes::Homes, load::Believed, prefixes::ChainKey, speed::Speed},
+    balance::{load::LoadEstimate, prefixes::ChainKey, regions::AllowedRegions, speed::Speed},
     prelude::{Micros, Name, Rank},
 };
 
@@ -21,13 +21,13 @@
 /// What a stream loses that is not at its end when its caller stops waiting: all.
 const UNFINISHED_LOSS: f64 = 1.0;
 /// What a prompt costs that is read again, a thousand tokens; other requests wait for it.
-const READ_AGAIN_PER_K: f64 = 0.006;
+const UNCACHED_COST_PER_1K: f64 = 0.006;
 /// The share of its worth that a request loses at an endpoint that fails always.
 const FAILING_LOSS: f64 = 1.5;
 
 /// A request to be placed.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct PlacementRequest {
     /// The service that serves it.
     pub service: Name,
     /// Its answer is a series of events.
@@ -51,12 +51,12 @@
     /// What sending it to another hall costs, as a share of its worth.
     pub other_hall_cost: f64,
     /// The regions in which it may be served.
-    pub homes: Homes,
+    pub homes: AllowedRegions,
     /// A number drawn for it; decides which endpoints of other halls are looked at.
     pub draw: u64,
 }
 
-impl Ask {
+impl PlacementRequest {
     /// Returns whether its answer is late, however soon it comes.
     pub fn is_late(&self) -> bool {
         self.waited_us >= self.target_us
@@ -88,13 +88,13 @@
 
 /// What is known of an endpoint.
 #[derive(Clone, Copy)]
-pub struct Known<'e> {
+pub struct EndpointState<'e> {
     /// Its load.
-    pub load: Believed,
+    pub load: LoadEstimate,
     /// Its speed, as far as it is known.
     pub speed: &'e Speed,
     /// The share of its requests that fail.
-    pub failing: f64,
+    pub failure_share: f64,
     /// Requests that it runs at a time.
     pub slots: u32,
     /// Whether it stands in this instance's hall.
@@ -104,53 +104,57 @@
 }
 
 /// Returns what is expected of a request at an endpoint.
-pub fn expect(now_us: Micros, ask: &Ask, known: Known<'_>) -> Expected {
-    let slots = f64::from(known.slots.max(1));
-    let there = known.load.requests;
+pub fn estimate_cost(
+    now_us: Micros,
+    request: &PlacementRequest,
+    state: EndpointState<'_>,
+) -> Expected {
+    let slots = f64::from(state.slots.max(1));
+    let there = state.load.requests;
     let ahead = (there + 1.0 - slots).max(0.0);
-    let wait_ms = ahead / slots * known.speed.hold_ms();
-    let uncached_tokens = ask.prompt_tokens.saturating_sub(known.cached_tokens);
-    let tokens_ahead = known.load.prompt_tokens;
-    let (queue_ms, work_ms) = if ask.is_stream {
-        let work_ms = known.speed.prompt_ms(f64::from(uncached_tokens));
-        (wait_ms + known.speed.read_ms(tokens_ahead), work_ms)
+    let wait_ms = ahead / slots * state.speed.slot_hold_ms();
+    let uncached_tokens = request.prompt_tokens.saturating_sub(state.cached_tokens);
+    let tokens_ahead = state.load.prompt_tokens;
+    let (queue_ms, work_ms) = if request.is_stream {
+        let work_ms = state.speed.prompt_ms(f64::from(uncached_tokens));
+        (wait_ms + state.speed.read_ms(tokens_ahead), work_ms)
     } else {
-        (wait_ms, known.speed.whole_ms() * (1.0 + there / slots))
+        (wait_ms, state.speed.unary_ms() * (1.0 + there / slots))
     };
     let first_ms = queue_ms + work_ms;
-    let here_us = now_us.saturating_sub(ask.arrived_us);
-    let waited_ms = (here_us + ask.waited_us) as f64 / 1e3;
-    let target_ms = (ask.target_us as f64 / 1e3).max(1.0);
+    let held_us = now_us.saturating_sub(request.arrived_us);
+    let waited_ms = (held_us + request.waited_us) as f64 / 1e3;
+    let target_ms = (request.target_us as f64 / 1e3).max(1.0);
     let late = late_risk((waited_ms + first_ms) / target_ms);
-    let unfinished = if ask.is_stream {
-        let left_ms = ask.deadline_us.saturating_sub(now_us) as f64 / 1e3;
-        let rest_ms = ask.output_events * known.speed.event_ms();
+    let unfinished = if request.is_stream {
+        let left_ms = request.deadline_us.saturating_sub(now_us) as f64 / 1e3;
+        let rest_ms = request.output_events * state.speed.event_ms();
         unfinished_risk(left_ms - first_ms, rest_ms)
     } else {
         0.0
     };
-    let hall = if known.same_hall {
+    let hall_cost = if state.same_hall {
         0.0
     } else {
-        ask.other_hall_cost
+        request.other_hall_cost
     };
-    let again = f64::from(uncached_tokens) / 1e3 * READ_AGAIN_PER_K;
-    let failing = known.failing * FAILING_LOSS;
+    let uncached_cost = f64::from(uncached_tokens) / 1e3 * UNCACHED_COST_PER_1K;
+    let failure_share = state.failure_share * FAILING_LOSS;
     Expected {
         cost: late * LATE_LOSS
             + unfinished * UNFINISHED_LOSS
             + first_ms / target_ms * TIME_WEIGHT
-            + hall
-            + again
-            + failing,
+            + hall_cost
+            + uncached_cost
+            + failure_share,
         first_ms,
         queue_ms,
         uncached_tokens,
         tokens_ahead,
         there,
         has_room: ahead < 1.0,
-        event_ms: known.speed.event_ms(),
-        same_hall: known.same_hall,
+        event_ms: state.speed.event_ms(),
+        same_hall: state.same_hall,
     }
 }
 
--- a/src/balance/discovery.rs
+++ b/src/balance/discovery.rs
@@ -15,10 +15,10 @@
 
 /// How long an endpoint whose entry lapsed while the store was away is still used: entries of
 /// living endpoints are back within about two seconds of the store's return.
-const LAPSE_US: Micros = 1_800_000;
+const LAPSE_GRACE_US: Micros = 1_800_000;
 
 /// Removals remembered for those that lag behind; more than a busy minute has.
-const REMOVALS_KEPT: usize = 512;
+const MAX_REMOVALS: usize = 512;
 
 /// Orders the changes of the store.
 pub type Revision = u64;
@@ -48,13 +48,13 @@
 impl EndpointEntry {
     /// Returns the key of this start of the endpoint: what is learned of one start says nothing of the next.
     pub fn key(&self) -> EndpointKey {
-        EndpointKey::of_start(&self.id, self.born_ms)
+        EndpointKey::of_incarnation(&self.id, self.born_ms)
     }
 }
 
 /// An endpoint as far as it is known.
 #[derive(Clone, Debug)]
-pub struct LiveEndpoint {
+pub struct TrackedEndpoint {
     /// Its newest entry.
     pub entry: Arc<EndpointEntry>,
     /// Set while its entry is missing though it may live.
@@ -65,7 +65,7 @@
 
 /// What has changed in the set since a revision, or all of it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct EndpointsCopy {
+pub struct EndpointsDelta {
     /// The store's revision that the copy brings its taker to.
     pub revision: Revision,
     /// Entries, each with whether it is missing though its endpoint may live.
@@ -115,7 +115,7 @@
 
 impl Removal {
     /// Returns whether an entry as it was at a revision is older than this removal, or of an earlier start.
-    fn is_after(&self, entry: &EndpointEntry, revision: Revision) -> bool {
+    fn supersedes(&self, entry: &EndpointEntry, revision: Revision) -> bool {
         self.id == entry.id && (self.at > revision || self.born_ms > entry.born_ms)
     }
 }
@@ -123,15 +123,15 @@
 /// The set of endpoints.
 #[derive(Debug, Default)]
 pub struct Discovery {
-    by_id: HashMap<Name, LiveEndpoint>,
+    by_id: HashMap<Name, TrackedEndpoint>,
     /// Until when a missing entry may have lapsed because the store was away.
-    forgiving_until_us: Micros,
+    grace_until_us: Micros,
     /// The store's revision that the set is up to.
     revision: Revision,
     /// The last removals, and the revision after which none is missing here; who is behind that gets
     /// the whole set.
     removals: VecDeque<Removal>,
-    removals_from: Revision,
+    removals_complete_from: Revision,
 }
 
 impl Discovery {
@@ -141,23 +141,23 @@
     }
 
     /// Notes that the set is up to a revision of the store.
-    pub fn reached(&mut self, revision: Revision) {
+    pub fn advance_to(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
 
     /// Notes that the store could not be reached until now.
-    pub fn store_was_away(&mut self, now_us: Micros) {
-        self.forgiving_until_us = now_us + LAPSE_US;
+    pub fn store_was_unreachable(&mut self, now_us: Micros) {
+        self.grace_until_us = now_us + LAPSE_GRACE_US;
     }
 
     /// Takes an entry as it was at a revision; returns what changed. What is known to be newer stays: an
     /// entry of a later start, whatever the revisions say, since what an earlier one wrote may land late.
-    pub fn seen(&mut self, entry: EndpointEntry, revision: Revision) -> Option<Change> {
+    pub fn upsert(&mut self, entry: EndpointEntry, revision: Revision) -> Option<Change> {
         let id = entry.id.clone();
-        if self.removals.iter().any(|r| r.is_after(&entry, revision)) {
+        if self.removals.iter().any(|r| r.supersedes(&entry, revision)) {
             return None;
         }
-        let live = LiveEndpoint {
+        let live = TrackedEndpoint {
             entry: Arc::new(entry),
             lapsed_until_us: None,
             revision,
@@ -180,7 +180,7 @@
     }
 
     /// Takes word that an entry was gone at a revision of the store, or before; returns what changed.
-    pub fn removed(&mut self, now_us: Micros, id: &str, at: Revision) -> Option<Change> {
+    pub fn mark_removed(&mut self, now_us: Micros, id: &str, at: Revision) -> Option<Change> {
         let Some(known) = self.by_id.get_mut(id) else {
             // Others may have it.
             self.note_removal(id.into(), at, 0);
@@ -189,21 +189,21 @@
         if known.revision > at {
             return None;
         }
-        if now_us >= self.forgiving_until_us || known.entry.draining {
-            self.remove(id, at);
+        if now_us >= self.grace_until_us || known.entry.draining {
+            self.drop_entry(id, at);
             return Some(Change::Gone);
         }
         if known.lapsed_until_us.is_some() {
             return None;
         }
-        known.lapsed_until_us = Some(self.forgiving_until_us);
+        known.lapsed_until_us = Some(self.grace_until_us);
         known.revision = at;
         Some(Change::Lapsed)
     }
 
     /// Removes an endpoint that was gone at a revision, or before. Whoever is behind that revision is
     /// told, so it must not be taken too low: others get the same changes in other portions.
-    fn remove(&mut self, id: &str, at: Revision) {
+    fn drop_entry(&mut self, id: &str, at: Revision) {
         if let Some((id, known)) = self.by_id.remove_entry(id) {
             self.note_removal(id, at, known.entry.born_ms);
         }
@@ -211,23 +211,23 @@
 
     fn note_removal(&mut self, id: Name, at: Revision, born_ms: u64) {
         self.removals.push_back(Removal { at, id, born_ms });
-        if self.removals.len() > REMOVALS_KEPT
+        if self.removals.len() > MAX_REMOVALS
             && let Some(oldest) = self.removals.pop_front()
         {
-            self.removals_from = self.removals_from.max(oldest.at);
+            self.removals_complete_from = self.removals_complete_from.max(oldest.at);
         }
     }
 
     /// Returns what whoever is at `revision` lacks.
-    pub fn copy_since(&self, revision: Revision) -> EndpointsCopy {
-        let is_whole = revision < self.removals_from || revision == 0;
+    pub fn delta_since(&self, revision: Revision) -> EndpointsDelta {
+        let is_whole = revision < self.removals_complete_from || revision == 0;
         let entries = self.by_id.values();
         let entries = entries.filter(|e| is_whole || e.revision > revision);
         let removals = self.removals.iter();
         // One that came back since is no removal to whoever was not told of either.
         let removals =
             removals.filter(|r| !is_whole && r.at > revision && !self.by_id.contains_key(&r.id));
-        EndpointsCopy {
+        EndpointsDelta {
             revision: self.revision,
             entries: entries
                 .map(|e| ((*e.entry).clone(), e.lapsed_until_us.is_some()))
@@ -238,42 +238,42 @@
     }
 
     /// Takes another instance's copy, if it is ahead; returns what changed.
-    pub fn take_copy(&mut self, now_us: Micros, copy: EndpointsCopy) -> Vec<(Name, Change)> {
-        if copy.revision <= self.revision {
+    pub fn apply_delta(&mut self, now_us: Micros, delta: EndpointsDelta) -> Vec<(Name, Change)> {
+        if delta.revision <= self.revision {
             return Vec::new();
         }
         let mut changes = Vec::new();
-        let kept: HashSet<Name> = match copy.is_whole {
-            true => copy.entries.iter().map(|(e, _)| e.id.clone()).collect(),
+        let kept: HashSet<Name> = match delta.is_whole {
+            true => delta.entries.iter().map(|(e, _)| e.id.clone()).collect(),
             false => HashSet::new(),
         };
-        for (entry, has_lapsed) in copy.entries {
+        for (entry, has_lapsed) in delta.entries {
             let id = entry.id.clone();
-            let change = self.seen(entry, copy.revision);
+            let change = self.upsert(entry, delta.revision);
             changes.extend(change.map(|c| (id.clone(), c)));
             if has_lapsed && let Some(known) = self.by_id.get_mut(&id) {
-                known.lapsed_until_us = Some(now_us + LAPSE_US);
+                known.lapsed_until_us = Some(now_us + LAPSE_GRACE_US);
             }
         }
-        let missing: Vec<Name> = match copy.is_whole {
+        let missing: Vec<Name> = match delta.is_whole {
             true => {
                 let ids = self.by_id.keys().filter(|id| !kept.contains(*id));
                 ids.cloned().collect()
             }
             false => Vec::new(),
         };
-        for id in copy.removed.into_iter().chain(missing) {
+        for id in delta.removed.into_iter().chain(missing) {
             if self.by_id.contains_key(&id) {
-                self.remove(&id, copy.revision);
+                self.drop_entry(&id, delta.revision);
                 changes.push((id, Change::Gone));
             } else {
-                self.note_removal(id, copy.revision, 0);
+                self.note_removal(id, delta.revision, 0);
             }
         }
-        if copy.is_whole {
-            self.removals_from = copy.revision;
+        if delta.is_whole {
+            self.removals_complete_from = delta.revision;
         }
-        self.reached(copy.revision);
+        self.advance_to(delta.revision);
         changes
     }
 
@@ -288,24 +288,25 @@
         let ids = self.by_id.keys().filter(|id| !listed(id));
         let missing: Vec<Name> = ids.cloned().collect();
         let changes = missing.into_iter().filter_map(|id| {
-            let change = self.removed(now_us, &id, at)?;
+            let change = self.mark_removed(now_us, &id, at)?;
             Some((id, change))
         });
         let changes = changes.collect();
         // What came and went since the set was last up to date is not known.
         if at > self.revision {
-            self.removals_from = at;
+            self.removals_complete_from = at;
         }
         changes
     }
 
     /// Removes those whose lapse is over; returns their ids.
     pub fn expire(&mut self, now_us: Micros) -> Vec<Name> {
-        let over = |e: &LiveEndpoint| e.lapsed_until_us.is_some_and(|until| until <= now_us);
-        let expired = self.by_id.iter().filter(|(_, e)| over(e));
+        let has_expired =
+            |e: &TrackedEndpoint| e.lapsed_until_us.is_some_and(|until| until <= now_us);
+        let expired = self.by_id.iter().filter(|(_, e)| has_expired(e));
         let expired: Vec<Name> = expired.map(|(id, _)| id.clone()).collect();
         for id in &expired {
-            self.remove(id, self.revision + 1);
+            self.drop_entry(id, self.revision + 1);
         }
         expired
     }
--- a/src/balance/grants.rs
+++ b/src/balance/grants.rs
@@ -11,7 +11,7 @@
 
 /// A place whose taker has not reported is believed to be taken for this long: reports come each 40 ms,
 /// and one or two may be lost.
-const UNREPORTED_US: Micros = 400_000;
+const GRANT_TTL_US: Micros = 400_000;
 
 /// A place given to another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,37 +29,41 @@
 /// The places given that no report shows yet, by taker.
 #[derive(Debug, Default)]
 pub struct Grants {
-    by_taker: HashMap<Incarnation, VecDeque<Grant>>,
+    by_grantee: HashMap<Incarnation, VecDeque<Grant>>,
 }
 
 impl Grants {
     /// Notes a place.
-    pub fn note(&mut self, taker: Incarnation, grant: Grant) {
-        self.by_taker.entry(taker).or_default().push_back(grant);
+    pub fn record(&mut self, grantee: Incarnation, grant: Grant) {
+        self.by_grantee.entry(grantee).or_default().push_back(grant);
     }
 
     /// Takes out what a taker's report shows: all that it asked for up to a number.
-    pub fn settle(&mut self, taker: Incarnation, number: u64) -> Vec<Grant> {
-        self.take_out(taker, |grant| grant.number <= number)
+    pub fn take_reported(&mut self, grantee: Incarnation, number: u64) -> Vec<Grant> {
+        self.extract(grantee, |grant| grant.number <= number)
     }
 
     /// Takes out what was given long ago.
     pub fn expire(&mut self, now_us: Micros) -> Vec<Grant> {
-        let takers: Vec<Incarnation> = self.by_taker.keys().copied().collect();
-        let is_old = |grant: &Grant| now_us.saturating_sub(grant.at_us) >= UNREPORTED_US;
-        let expired = takers.into_iter().flat_map(|t| self.take_out(t, is_old));
+        let grantees: Vec<Incarnation> = self.by_grantee.keys().copied().collect();
+        let is_old = |grant: &Grant| now_us.saturating_sub(grant.at_us) >= GRANT_TTL_US;
+        let expired = grantees.into_iter().flat_map(|t| self.extract(t, is_old));
         expired.collect()
     }
 
-    fn take_out(&mut self, taker: Incarnation, is_out: impl Fn(&Grant) -> bool) -> Vec<Grant> {
-        let Some(grants) = self.by_taker.get_mut(&taker) else {
+    fn extract(
+        &mut self,
+        grantee: Incarnation,
+        is_extracted: impl Fn(&Grant) -> bool,
+    ) -> Vec<Grant> {
+        let Some(grants) = self.by_grantee.get_mut(&grantee) else {
             return Vec::new();
         };
         let (out, kept): (Vec<Grant>, VecDeque<Grant>) = {
             let mut kept = VecDeque::new();
             let mut out = Vec::new();
             for grant in grants.drain(..) {
-                match is_out(&grant) {
+                match is_extracted(&grant) {
                     true => out.push(grant),
                     false => kept.push_back(grant),
                 }
@@ -67,7 +71,7 @@
             (out, kept)
         };
         if kept.is_empty() {
-            self.by_taker.remove(&taker);
+            self.by_grantee.remove(&grantee);
         } else {
             *grants = kept;
         }
--- a/src/balance/index.rs
+++ b/src/balance/index.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::{
-    balance::{discovery::EndpointEntry, load::EndpointKey, picture::HallsOfServices},
+    balance::{discovery::EndpointEntry, load::EndpointKey, load_view::EndpointsByServiceAndHall},
     prelude::Name,
 };
 
@@ -11,7 +11,7 @@
 #[derive(Debug, Default)]
 pub struct EndpointIndex {
     by_service: HashMap<Name, Vec<EndpointKey>>,
-    by_data_centre: HallsOfServices,
+    by_data_centre: EndpointsByServiceAndHall,
 }
 
 impl EndpointIndex {
@@ -54,7 +54,7 @@
     }
 
     /// Returns all endpoints by service and data centre.
-    pub fn by_data_centre(&self) -> &HallsOfServices {
+    pub fn by_data_centre(&self) -> &EndpointsByServiceAndHall {
         &self.by_data_centre
     }
 }
--- a/src/balance/load.rs
+++ b/src/balance/load.rs
@@ -8,9 +8,9 @@
 use crate::prelude::{Incarnation, Micros, short_hash};
 
 /// What another instance, or another hall, told counts for this long: some messages may be lost.
-const TOLD_US: Micros = 2_500_000;
+const PEER_LOAD_TTL_US: Micros = 2_500_000;
 /// An endpoint's own word counts in full when it comes and for nothing after this time.
-const REPORT_US: f64 = 700_000.0;
+const LOAD_REPORT_TTL_US: f64 = 700_000.0;
 
 /// Names a start of an endpoint among instances; a hash of its id and of when it began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
     }
 
     /// Returns the key of an endpoint's start at `born_ms`, 0 if that is not known.
-    pub fn of_start(id: &str, born_ms: u64) -> Self {
+    pub fn of_incarnation(id: &str, born_ms: u64) -> Self {
         match born_ms {
             0 => Self::of(id),
             born_ms => Self(short_hash(&format!("{id} {born_ms}"))),
@@ -34,14 +34,14 @@
 /// Endpoints by their keys, from the first to the last. A list of loads too long for a datagram is
 /// told in several, each of a part of all keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeySpan {
+pub struct KeyRange {
     /// The lowest key.
     pub first: EndpointKey,
     /// The highest key.
     pub last: EndpointKey,
 }
 
-impl KeySpan {
+impl KeyRange {
     /// All endpoints.
     pub const ALL: Self = Self {
         first: EndpointKey(0),
@@ -54,31 +54,31 @@
     }
 }
 
-impl Default for KeySpan {
+impl Default for KeyRange {
     fn default() -> Self {
         Self::ALL
     }
 }
 
-/// Cuts loads sorted by endpoint into lists of at most `most`, each with the endpoints that it is
+/// Cuts loads sorted by endpoint into lists of at most `max`, each with the endpoints that it is
 /// of; together they are of all.
 pub fn split_loads(
     loads: &[(EndpointKey, InFlight)],
-    most: usize,
-) -> Vec<(KeySpan, Vec<(EndpointKey, InFlight)>)> {
+    max_entries: usize,
+) -> Vec<(KeyRange, Vec<(EndpointKey, InFlight)>)> {
     let mut parts = Vec::new();
-    let mut first = KeySpan::ALL.first;
-    let mut chunks = loads.chunks(most.max(1)).peekable();
+    let mut first = KeyRange::ALL.first;
+    let mut chunks = loads.chunks(max_entries.max(1)).peekable();
     while let Some(chunk) = chunks.next() {
         let last = match (chunks.peek(), chunk.last()) {
             (Some(_), Some((key, _))) => *key,
-            _ => KeySpan::ALL.last,
+            _ => KeyRange::ALL.last,
         };
-        parts.push((KeySpan { first, last }, chunk.to_vec()));
+        parts.push((KeyRange { first, last }, chunk.to_vec()));
         first = EndpointKey(last.0.saturating_add(1));
     }
     if parts.is_empty() {
-        parts.push((KeySpan::ALL, Vec::new()));
+        parts.push((KeyRange::ALL, Vec::new()));
     }
     parts
 }
@@ -94,7 +94,7 @@
 
 /// What an endpoint says of its own load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OwnWord {
+pub struct EndpointLoadReport {
     /// Requests that it runs.
     pub running: u32,
     /// Requests that wait there.
@@ -105,7 +105,7 @@
 
 /// What is believed to be at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Believed {
+pub struct LoadEstimate {
     /// Requests sent there that have not ended.
     pub requests: f64,
     /// Prompt tokens that it reads before those of a new request.
@@ -118,73 +118,73 @@
     /// Of this instance.
     pub own: InFlight,
     /// Of all others together.
-    others: InFlight,
+    peers: InFlight,
     /// Given to others that have not told of them yet.
     granted: InFlight,
     /// Requests that the endpoint told of and nobody else, and when.
     unaccounted: f64,
     reported_us: Micros,
     /// Its word came to this instance, and the others were not told yet.
-    is_report_untold: bool,
+    is_unaccounted_unsent: bool,
 }
 
 impl EndpointLoad {
     /// Returns how many requests are there and what is to be read before a new one, as far as is known.
-    pub fn believed(&self, now_us: Micros) -> Believed {
-        self.drawn_to(now_us, Believed::default(), 1.0)
+    pub fn estimate(&self, now_us: Micros) -> LoadEstimate {
+        self.shrunk_towards(now_us, LoadEstimate::default(), 1.0)
     }
 
-    /// The same with what others have there drawn to `mean`, of which the share `trust` is believed.
-    pub fn drawn_to(&self, now_us: Micros, mean: Believed, trust: f64) -> Believed {
-        let drawn = |told: u32, mean: f64| mean + (f64::from(told) - mean) * trust;
+    /// The same with what others have there drawn to `mean`, of which the share `weight` is believed.
+    pub fn shrunk_towards(&self, now_us: Micros, mean: LoadEstimate, weight: f64) -> LoadEstimate {
+        let shrink = |count: u32, mean: f64| mean + (f64::from(count) - mean) * weight;
         let age_us = now_us.saturating_sub(self.reported_us) as f64;
-        let report_trust = (1.0 - age_us / REPORT_US).max(0.0);
-        Believed {
+        let report_weight = (1.0 - age_us / LOAD_REPORT_TTL_US).max(0.0);
+        LoadEstimate {
             requests: f64::from(self.own.requests + self.granted.requests)
-                + drawn(self.others.requests, mean.requests)
-                + self.unaccounted * report_trust,
+                + shrink(self.peers.requests, mean.requests)
+                + self.unaccounted * report_weight,
             prompt_tokens: f64::from(self.own.prompt_tokens + self.granted.prompt_tokens)
-                + drawn(self.others.prompt_tokens, mean.prompt_tokens),
+                + shrink(self.peers.prompt_tokens, mean.prompt_tokens),
         }
     }
 
     /// Returns what the instances have there, without the endpoint's own word.
-    pub fn counted(&self) -> Believed {
-        let all = [self.own, self.others, self.granted];
-        Believed {
+    pub fn accounted(&self) -> LoadEstimate {
+        let all = [self.own, self.peers, self.granted];
+        LoadEstimate {
             requests: all.iter().map(|l| f64::from(l.requests)).sum(),
             prompt_tokens: all.iter().map(|l| f64::from(l.prompt_tokens)).sum(),
         }
     }
 
     /// Returns what others have there, as they told.
-    pub fn others(&self) -> InFlight {
-        self.others
+    pub fn peers(&self) -> InFlight {
+        self.peers
     }
 
     /// Adds a place given to another instance.
-    pub fn grant(&mut self, uncached_tokens: u32) {
+    pub fn add_grant(&mut self, uncached_tokens: u32) {
         self.granted.requests += 1;
         self.granted.prompt_tokens += uncached_tokens;
     }
 
     /// Takes away a place given to another instance.
-    pub fn settle(&mut self, uncached_tokens: u32) {
+    pub fn release_grant(&mut self, uncached_tokens: u32) {
         let granted = &mut self.granted;
         granted.requests = granted.requests.saturating_sub(1);
         granted.prompt_tokens = granted.prompt_tokens.saturating_sub(uncached_tokens);
     }
 
     /// Takes the endpoint's own word: what it has beside the requests that the instances know of.
-    pub fn report(&mut self, now_us: Micros, word: OwnWord) {
-        let known = f64::from(self.own.requests + self.others.requests);
-        let told = f64::from(word.running + word.waiting);
-        self.correct(now_us, told - known);
-        self.is_report_untold = true;
+    pub fn record_report(&mut self, now_us: Micros, report: EndpointLoadReport) {
+        let known = f64::from(self.own.requests + self.peers.requests);
+        let reported = f64::from(report.running + report.waiting);
+        self.set_unaccounted(now_us, reported - known);
+        self.is_unaccounted_unsent = true;
     }
 
     /// Takes what another instance found an endpoint to have beside the requests known of.
-    pub fn correct(&mut self, now_us: Micros, unaccounted: f64) {
+    pub fn set_unaccounted(&mut self, now_us: Micros, unaccounted: f64) {
         // Less than is known of is no news: requests are on their way there.
         self.unaccounted = unaccounted.max(0.0);
         self.reported_us = now_us;
@@ -192,49 +192,52 @@
 
     /// Returns what the endpoint's own word was beside the requests known of, if it came since this
     /// was asked last.
-    pub fn take_report(&mut self) -> Option<i8> {
-        let is_untold = std::mem::take(&mut self.is_report_untold);
-        is_untold.then_some(self.unaccounted.min(f64::from(i8::MAX)) as i8)
+    pub fn take_unaccounted(&mut self) -> Option<i8> {
+        let is_unsent = std::mem::take(&mut self.is_unaccounted_unsent);
+        is_unsent.then_some(self.unaccounted.min(f64::from(i8::MAX)) as i8)
     }
 }
 
 #[derive(Debug, Default)]
-struct Told {
+struct PeerReport {
     at_us: Micros,
     loads: Vec<(EndpointKey, InFlight)>,
 }
 
 /// What the other instances told, by instance.
 #[derive(Debug, Default)]
-pub struct ToldLoads {
-    by_instance: HashMap<Incarnation, Told>,
+pub struct PeerLoads {
+    by_peer: HashMap<Incarnation, PeerReport>,
 }
 
-impl ToldLoads {
+impl PeerLoads {
     /// Replaces what an instance told of its requests at the endpoints of `span`.
     pub fn replace(
         &mut self,
         now_us: Micros,
         from: Incarnation,
-        span: KeySpan,
+        span: KeyRange,
         loads: &[(EndpointKey, InFlight)],
         endpoints: &mut HashMap<EndpointKey, EndpointLoad>,
     ) {
-        let told = self.by_instance.entry(from).or_default();
-        told.at_us = now_us;
-        for (key, load) in told.loads.extract_if(.., |(key, _)| span.contains(*key)) {
+        let peer_report = self.by_peer.entry(from).or_default();
+        peer_report.at_us = now_us;
+        for (key, load) in peer_report
+            .loads
+            .extract_if(.., |(key, _)| span.contains(*key))
+        {
             if let Some(endpoint) = endpoints.get_mut(&key) {
-                endpoint.others.requests -= load.requests.min(endpoint.others.requests);
-                let tokens = load.prompt_tokens.min(endpoint.others.prompt_tokens);
-                endpoint.others.prompt_tokens -= tokens;
+                endpoint.peers.requests -= load.requests.min(endpoint.peers.requests);
+                let tokens = load.prompt_tokens.min(endpoint.peers.prompt_tokens);
+                endpoint.peers.prompt_tokens -= tokens;
             }
         }
         let within = loads.iter().filter(|(key, _)| span.contains(*key));
         for (key, load) in within {
             let endpoint = endpoints.entry(*key).or_default();
-            endpoint.others.requests += load.requests;
-            endpoint.others.prompt_tokens += load.prompt_tokens;
-            told.loads.push((*key, *load));
+            endpoint.peers.requests += load.requests;
+            endpoint.peers.prompt_tokens += load.prompt_tokens;
+            peer_report.loads.push((*key, *load));
         }
     }
 
@@ -244,26 +247,26 @@
         now_us: Micros,
         endpoints: &mut HashMap<EndpointKey, EndpointLoad>,
     ) -> Vec<Incarnation> {
-        let silent = |t: &Told| now_us.saturating_sub(t.at_us) > TOLD_US;
-        let gone = self.by_instance.iter().filter(|(_, t)| silent(t));
+        let silent = |t: &PeerReport| now_us.saturating_sub(t.at_us) > PEER_LOAD_TTL_US;
+        let gone = self.by_peer.iter().filter(|(_, t)| silent(t));
         let gone: Vec<Incarnation> = gone.map(|(i, _)| *i).collect();
         for instance in &gone {
-            self.replace(now_us, *instance, KeySpan::ALL, &[], endpoints);
-            self.by_instance.remove(instance);
+            self.replace(now_us, *instance, KeyRange::ALL, &[], endpoints);
+            self.by_peer.remove(instance);
         }
         gone
     }
 
     /// Forgets all that was told.
     pub fn clear(&mut self, endpoints: &mut HashMap<EndpointKey, EndpointLoad>) {
-        self.by_instance.clear();
+        self.by_peer.clear();
         for endpoint in endpoints.values_mut() {
-            endpoint.others = InFlight::default();
+            endpoint.peers = InFlight::default();
         }
     }
 
     /// Returns how many instances are heard, beside this one.
-    pub fn heard(&self) -> usize {
-        self.by_instance.len()
+    pub fn reporting_peers(&self) -> usize {
+        self.by_peer.len()
     }
 }
--- a/src/balance/picture.rs
+++ b/src/balance/load_view.rs
@@ -3,7 +3,9 @@
 use std::{collections::HashMap, sync::LazyLock};
 
 use crate::{
-    balance::load::{Believed, EndpointKey, EndpointLoad, InFlight, KeySpan, OwnWord, ToldLoads},
+    balance::load::{
+        EndpointKey, EndpointLoad, EndpointLoadReport, InFlight, KeyRange, LoadEstimate, PeerLoads,
+    },
     prelude::{Incarnation, Micros, Name},
 };
 
@@ -13,16 +15,16 @@
 /// than the requests that meanwhile came to whoever looked idle. Of placements in other halls 40 in
 /// 100 were late in a surge over 78 instances. Worth of that surge, two seeds, by share: 1.0 .486,
 /// 0.6 .515, 0.25 .517; of a calm day .809, .825, .800.
-const FAR_TRUST: f64 = 0.6;
+const REMOTE_LOAD_WEIGHT: f64 = 0.6;
 /// The means follow what is told within this time: one round of words.
-const MEANS_US: Micros = 40_000;
+const MEANS_INTERVAL_US: Micros = 40_000;
 
 /// Endpoints by service and hall.
-pub type HallsOfServices = HashMap<Name, HashMap<Name, Vec<EndpointKey>>>;
+pub type EndpointsByServiceAndHall = HashMap<Name, HashMap<Name, Vec<EndpointKey>>>;
 
 /// How many instances place requests by pictures like this one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Group {
+pub enum ClusterSize {
     /// So few that all tell each other each round.
     #[default]
     Small,
@@ -32,62 +34,62 @@
 
 /// The load at all endpoints.
 #[derive(Debug, Default)]
-pub struct Picture {
-    group: Group,
-    is_ledger: bool,
+pub struct LoadView {
+    cluster_size: ClusterSize,
+    is_hall_aggregator: bool,
     loads: HashMap<EndpointKey, EndpointLoad>,
-    told: ToldLoads,
+    peer_loads: PeerLoads,
     /// What an endpoint of each service and hall has from others in the mean, and when that was worked
     /// out.
-    means: HashMap<Name, HashMap<Name, Believed>>,
+    means: HashMap<Name, HashMap<Name, LoadEstimate>>,
     means_at_us: Micros,
 }
 
-impl Picture {
+impl LoadView {
     /// Sets how many instances place requests by pictures like this one.
-    pub fn set_group(&mut self, group: Group) {
-        if std::mem::replace(&mut self.group, group) != group {
+    pub fn set_cluster_size(&mut self, cluster_size: ClusterSize) {
+        if std::mem::replace(&mut self.cluster_size, cluster_size) != cluster_size {
             // What single instances told is in the sums of halls from now on, or the other way round.
-            self.told.clear(&mut self.loads);
+            self.peer_loads.clear(&mut self.loads);
         }
     }
 
     /// Returns how many instances place requests by pictures like this one.
-    pub fn group(&self) -> Group {
-        self.group
+    pub fn cluster_size(&self) -> ClusterSize {
+        self.cluster_size
     }
 
     /// Returns what is believed to be at an endpoint of `service` in `hall`.
-    pub fn believed(
+    pub fn estimate(
         &self,
         now_us: Micros,
         key: EndpointKey,
         service: &Name,
         hall: &Name,
         same_hall: bool,
-    ) -> Believed {
+    ) -> LoadEstimate {
         static IDLE: LazyLock<EndpointLoad> = LazyLock::new(EndpointLoad::default);
         let load = self.loads.get(&key).unwrap_or(&IDLE);
-        if same_hall && self.is_ledger {
+        if same_hall && self.is_hall_aggregator {
             // What endpoints have beside what the tellers knew of is mostly what is known here besides.
-            return load.counted();
+            return load.accounted();
         }
-        let is_exact = same_hall || self.group == Group::Small;
+        let is_current = same_hall || self.cluster_size == ClusterSize::Small;
         let mean = self.means.get(service).and_then(|halls| halls.get(hall));
         match mean {
-            Some(mean) if !is_exact => load.drawn_to(now_us, *mean, FAR_TRUST),
-            _ => load.believed(now_us),
+            Some(mean) if !is_current => load.shrunk_towards(now_us, *mean, REMOTE_LOAD_WEIGHT),
+            _ => load.estimate(now_us),
         }
     }
 
     /// Works out the means of the services anew if they are old.
-    pub fn refresh_means(&mut self, now_us: Micros, services: &HallsOfServices) {
+    pub fn refresh_means(&mut self, now_us: Micros, services: &EndpointsByServiceAndHall) {
         let age_us = now_us.saturating_sub(self.means_at_us);
-        if self.group == Group::Small || age_us < MEANS_US {
+        if self.cluster_size == ClusterSize::Small || age_us < MEANS_INTERVAL_US {
             return;
         }
         self.means_at_us = now_us;
-        let mut means: HashMap<Name, HashMap<Name, Believed>> = HashMap::new();
+        let mut means: HashMap<Name, HashMap<Name, LoadEstimate>> = HashMap::new();
         for (service, halls) in services {
             let of_service = means.entry(service.clone()).or_default();
             for (hall, keys) in halls {
@@ -97,15 +99,15 @@
         self.means = means;
     }
 
-    fn mean(&self, keys: &[EndpointKey]) -> Believed {
+    fn mean(&self, keys: &[EndpointKey]) -> LoadEstimate {
         let loads = keys.iter().filter_map(|key| self.loads.get(key));
-        let mut sum = Believed::default();
-        for others in loads.map(EndpointLoad::others) {
-            sum.requests += f64::from(others.requests);
-            sum.prompt_tokens += f64::from(others.prompt_tokens);
+        let mut sum = LoadEstimate::default();
+        for peers in loads.map(EndpointLoad::peers) {
+            sum.requests += f64::from(peers.requests);
+            sum.prompt_tokens += f64::from(peers.prompt_tokens);
         }
         let count = keys.len().max(1) as f64;
-        Believed {
+        LoadEstimate {
             requests: sum.requests / count,
             prompt_tokens: sum.prompt_tokens / count,
         }
@@ -113,39 +115,43 @@
 
     /// Sets whether this instance gives places at its hall's endpoints to the others, and so hears from
     /// each of them what it has there.
-    pub fn set_ledger(&mut self, is_ledger: bool) {
-        if std::mem::replace(&mut self.is_ledger, is_ledger) != is_ledger {
+    pub fn set_hall_aggregator(&mut self, is_hall_aggregator: bool) {
+        if std::mem::replace(&mut self.is_hall_aggregator, is_hall_aggregator) != is_hall_aggregator
+        {
             // Sums of the hall, or of its instances one by one, are not told from now on.
-            self.told.clear(&mut self.loads);
+            self.peer_loads.clear(&mut self.loads);
         }
     }
 
     /// Returns whether this instance gives places at its hall's endpoints to the others.
-    pub fn is_ledger(&self) -> bool {
-        self.is_ledger
+    pub fn is_hall_aggregator(&self) -> bool {
+        self.is_hall_aggregator
     }
 
     /// Adds a place given to another instance.
-    pub fn grant(&mut self, key: EndpointKey, uncached_tokens: u32) {
-        self.loads.entry(key).or_default().grant(uncached_tokens);
+    pub fn add_grant(&mut self, key: EndpointKey, uncached_tokens: u32) {
+        self.loads
+            .entry(key)
+            .or_default()
+            .add_grant(uncached_tokens);
     }
 
     /// Takes away a place given to another instance.
-    pub fn settle(&mut self, key: EndpointKey, uncached_tokens: u32) {
+    pub fn release_grant(&mut self, key: EndpointKey, uncached_tokens: u32) {
         if let Some(load) = self.loads.get_mut(&key) {
-            load.settle(uncached_tokens);
+            load.release_grant(uncached_tokens);
         }
     }
 
     /// Adds a request of this instance at an endpoint.
-    pub fn sent(&mut self, key: EndpointKey, uncached_tokens: u32) {
+    pub fn record_sent(&mut self, key: EndpointKey, uncached_tokens: u32) {
         let own = &mut self.loads.entry(key).or_default().own;
         own.requests += 1;
         own.prompt_tokens += uncached_tokens;
     }
 
     /// Notes that the prompt of a request of this instance was read.
-    pub fn was_read(&mut self, key: EndpointKey, uncached_tokens: u32) {
+    pub fn record_prompt_processed(&mut self, key: EndpointKey, uncached_tokens: u32) {
         if let Some(load) = self.loads.get_mut(&key) {
             let tokens = &mut load.own.prompt_tokens;
             *tokens = tokens.saturating_sub(uncached_tokens);
@@ -153,7 +159,7 @@
     }
 
     /// Takes a request of this instance away, with the tokens of its prompt that were not read.
-    pub fn ended(&mut self, key: EndpointKey, waiting_tokens: u32) {
+    pub fn record_ended(&mut self, key: EndpointKey, waiting_tokens: u32) {
         if let Some(load) = self.loads.get_mut(&key) {
             load.own.requests = load.own.requests.saturating_sub(1);
             load.own.prompt_tokens = load.own.prompt_tokens.saturating_sub(waiting_tokens);
@@ -166,29 +172,37 @@
     }
 
     /// Returns whether others have requests at an endpoint, as far as they told.
-    pub fn has_others(&self, key: EndpointKey) -> bool {
+    pub fn has_peer_requests(&self, key: EndpointKey) -> bool {
         let load = self.loads.get(&key);
-        load.is_some_and(|load| load.others().requests > 0)
+        load.is_some_and(|load| load.peers().requests > 0)
     }
 
     /// Takes an endpoint's own word on its load.
-    pub fn report(&mut self, now_us: Micros, key: EndpointKey, word: OwnWord) {
-        self.loads.entry(key).or_default().report(now_us, word);
+    pub fn record_load_report(
+        &mut self,
+        now_us: Micros,
+        key: EndpointKey,
+        report: EndpointLoadReport,
+    ) {
+        self.loads
+            .entry(key)
+            .or_default()
+            .record_report(now_us, report);
     }
 
     /// Returns what endpoints said of their load since this was asked last, beside the requests that
     /// are known of.
-    pub fn take_reports(&mut self) -> Vec<(EndpointKey, i8)> {
+    pub fn take_unaccounted_load(&mut self) -> Vec<(EndpointKey, i8)> {
         let loads = self.loads.iter_mut();
-        let reports = loads.filter_map(|(key, load)| Some((*key, load.take_report()?)));
+        let reports = loads.filter_map(|(key, load)| Some((*key, load.take_unaccounted()?)));
         reports.collect()
     }
 
     /// Takes what other instances heard from endpoints of their load.
-    pub fn told_reports(&mut self, now_us: Micros, reports: &[(EndpointKey, i8)]) {
+    pub fn apply_unaccounted_load(&mut self, now_us: Micros, reports: &[(EndpointKey, i8)]) {
         for (key, unaccounted) in reports {
             let load = self.loads.entry(*key).or_default();
-            load.correct(now_us, f64::from(*unaccounted));
+            load.set_unaccounted(now_us, f64::from(*unaccounted));
         }
     }
 
@@ -202,24 +216,24 @@
 
     /// Takes what another instance, or another hall under a key of its own, told of its requests at
     /// the endpoints of `span`.
-    pub fn told_loads(
+    pub fn apply_peer_loads(
         &mut self,
         now_us: Micros,
         from: Incarnation,
-        span: KeySpan,
+        span: KeyRange,
         loads: &[(EndpointKey, InFlight)],
     ) {
-        self.told
+        self.peer_loads
             .replace(now_us, from, span, loads, &mut self.loads);
     }
 
     /// Forgets the instances that fell silent; returns them.
     pub fn expire(&mut self, now_us: Micros) -> Vec<Incarnation> {
-        self.told.expire(now_us, &mut self.loads)
+        self.peer_loads.expire(now_us, &mut self.loads)
     }
 
     /// Returns how many other instances are heard.
-    pub fn heard(&self) -> usize {
-        self.told.heard()
+    pub fn reporting_peers(&self) -> usize {
+        self.peer_loads.reporting_peers()
     }
 }
--- a/src/balance/mod.rs
+++ b/src/balance/mod.rs
@@ -2,17 +2,17 @@
 //! over a picture of all endpoints that the instances share.
 
 pub mod balancer;
-mod choosing;
 pub mod cold;
 pub mod cost;
+mod delegation;
 pub mod discovery;
 pub mod grants;
-pub mod homes;
 pub mod index;
 pub mod load;
-pub mod picture;
-mod places;
+pub mod load_view;
 pub mod prefixes;
+pub mod readiness;
+pub mod regions;
+mod selection;
 pub mod speed;
-pub mod standing;
-mod telling;
+mod sync;
--- a/src/balance/prefixes.rs
+++ b/src/balance/prefixes.rs
@@ -14,7 +14,7 @@
 /// Chains remembered, about 100 bytes each.
 const MAX_CHAINS: usize = 8_192;
 /// A holder not used for this long is taken to have dropped the chain.
-const HOLD_US: Micros = 60_000_000;
+const HOLDER_TTL_US: Micros = 60_000_000;
 
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,9 +56,9 @@
 
 impl PrefixHolders {
     /// Notes that an endpoint has read a chain.
-    pub fn note(&mut self, now_us: Micros, chain: ChainKey, endpoint: EndpointKey) {
+    pub fn record(&mut self, now_us: Micros, chain: ChainKey, endpoint: EndpointKey) {
         if self.chains.len() >= MAX_CHAINS && !self.chains.contains_key(&chain) {
-            self.forget_unused(now_us);
+            self.evict_unused(now_us);
         }
         let holders = self.chains.entry(chain).or_default();
         holders.retain(|h| h.endpoint != endpoint);
@@ -80,8 +80,8 @@
     ) -> u32 {
         let held = chains.iter().take_while(|(chain, _)| {
             let holders = self.chains.get(chain).into_iter().flatten();
-            let mut here = holders.filter(|h| h.endpoint == endpoint);
-            here.any(|h| now_us.saturating_sub(h.used_us) < HOLD_US)
+            let mut matching = holders.filter(|h| h.endpoint == endpoint);
+            matching.any(|h| now_us.saturating_sub(h.used_us) < HOLDER_TTL_US)
         });
         held.last().map_or(0, |(_, tokens)| *tokens)
     }
@@ -97,7 +97,7 @@
     }
 
     /// Forgets an endpoint that is gone.
-    pub fn forget_endpoint(&mut self, endpoint: EndpointKey) {
+    pub fn evict_endpoint(&mut self, endpoint: EndpointKey) {
         self.chains.retain(|_, holders| {
             holders.retain(|h| h.endpoint != endpoint);
             !holders.is_empty()
@@ -105,8 +105,8 @@
     }
 
     /// Drops the chains that were not used for long, or else an arbitrary half.
-    fn forget_unused(&mut self, now_us: Micros) {
-        let fresh = |h: &Holder| now_us.saturating_sub(h.used_us) < HOLD_US / 2;
+    fn evict_unused(&mut self, now_us: Micros) {
+        let fresh = |h: &Holder| now_us.saturating_sub(h.used_us) < HOLDER_TTL_US / 2;
         self.chains.retain(|_, holders| holders.iter().any(fresh));
         if self.chains.len() >= MAX_CHAINS {
             let mut keep = false;
--- a/src/balance/homes.rs
+++ b/src/balance/regions.rs
@@ -9,29 +9,32 @@
 
 /// The regions in which a request may be served; none binds it if nobody named any.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Homes {
+pub struct AllowedRegions {
     regions: Option<Vec<Name>>,
 }
 
-impl Homes {
-    /// Returns where a request may be served that each of `named` binds: in the regions that all of them name.
-    pub fn of<'n>(named: impl IntoIterator<Item = Option<&'n [Name]>>) -> Self {
+impl AllowedRegions {
+    /// Returns where a request may be served that each of `restrictions` binds: in the regions that all of them name.
+    pub fn intersection<'n>(restrictions: impl IntoIterator<Item = Option<&'n [Name]>>) -> Self {
         let mut regions: Option<Vec<Name>> = None;
-        for named in named.into_iter().flatten() {
+        for restrictions in restrictions.into_iter().flatten() {
             regions = Some(match regions {
-                Some(regions) => regions.into_iter().filter(|r| named.contains(r)).collect(),
-                None => named.to_vec(),
+                Some(regions) => regions
+                    .into_iter()
+                    .filter(|r| restrictions.contains(r))
+                    .collect(),
+                None => restrictions.to_vec(),
             });
         }
         Self { regions }
     }
 
     /// Returns whether some regions are named.
-    pub fn are_named(&self) -> bool {
+    pub fn is_restricted(&self) -> bool {
         self.regions.is_some()
     }
 
-    fn allow(&self, region: Option<&Name>) -> bool {
+    fn allows(&self, region: Option<&Name>) -> bool {
         match &self.regions {
             Some(regions) => region.is_some_and(|region| regions.contains(region)),
             None => true,
@@ -46,7 +49,7 @@
     }
 
     /// Returns whether a request may be served by an endpoint.
-    pub(super) fn is_at_home(&self, homes: &Homes, endpoint: &Endpoint) -> bool {
-        homes.allow(self.regions.get(&endpoint.entry.hall))
+    pub(super) fn is_in_allowed_region(&self, homes: &AllowedRegions, endpoint: &Endpoint) -> bool {
+        homes.allows(self.regions.get(&endpoint.entry.hall))
     }
 }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -15,7 +15,7 @@
 use tokio::time::{self, Instant};
 
 use crate::{
-    balance::{balancer::Choice, cost::Ask},
+    balance::{balancer::Choice, cost::PlacementRequest},
     clock::Clock,
     endpoint::kept::EndpointConnection,
     gateway::{
@@ -52,7 +52,7 @@
     /// The caller's organisation.
     pub organisation: Option<Name>,
     /// What the balancer is asked.
-    pub ask: Ask,
+    pub ask: PlacementRequest,
     /// When the caller or the route gives up.
     pub until_us: Micros,
     /// What it is known by when it comes again, once somebody asked.
@@ -186,14 +186,14 @@
         self.counts_hold = true;
         let now_us = self.gateway.clock.now_us();
         let mut balancer = self.gateway.balancer();
-        balancer.learn(self.choice.key, |s| s.ended(now_us, false));
+        balancer.update_speed(self.choice.key, |s| s.record_outcome(now_us, false));
     }
 
     /// Notes a failure of the endpoint.
     pub fn failed(&self) {
         let now_us = self.gateway.clock.now_us();
         let mut balancer = self.gateway.balancer();
-        balancer.learn(self.choice.key, |s| s.ended(now_us, true));
+        balancer.update_speed(self.choice.key, |s| s.record_outcome(now_us, true));
     }
 
     /// Ends the account of it before it is dropped.
@@ -210,7 +210,7 @@
         let mut balancer = self.gateway.balancer();
         balancer.end(self.choice.key, waiting_tokens, held_ms);
         if !self.is_answered {
-            balancer.note_unanswered(self.choice.key, self.at_us);
+            balancer.record_unanswered(self.choice.key, self.at_us);
         }
         drop(balancer);
         self.gateway.reconsider();
@@ -280,8 +280,8 @@
         let now_us = gateway.clock.now_us();
         gateway
             .balancer()
-            .picture_mut()
-            .report(now_us, sent.choice.key, word);
+            .load_view_mut()
+            .record_load_report(now_us, sent.choice.key, word);
     }
     Ok(Answered {
         response,
@@ -308,7 +308,7 @@
     EndpointConnection::open(addr).await.map_err(|_| {
         let now_us = gateway.clock.now_us();
         let mut balancer = gateway.balancer();
-        balancer.learn(sent.choice.key, |s| s.unreachable(now_us));
+        balancer.update_speed(sent.choice.key, |s| s.unreachable(now_us));
         Failed::NotSent("unreachable")
     })
 }
--- a/src/gateway/copies.rs
+++ b/src/gateway/copies.rs
@@ -27,7 +27,7 @@
 use tokio::{net::TcpListener, time};
 
 use crate::{
-    balance::discovery::{EndpointsCopy, Revision},
+    balance::discovery::{EndpointsDelta, Revision},
     clock::Clock,
     gateway::{
         config::{ConfigVersion, GatewayConfig},
@@ -215,7 +215,7 @@
     }
 
     fn pack(&self, since: Revision) -> io::Result<PackedEndpoints> {
-        let copy = self.giver.gateway.balancer().endpoints_since(since);
+        let copy = self.giver.gateway.balancer().endpoints_delta_since(since);
         let packed = PackedEndpoints {
             since,
             revision: copy.revision,
@@ -376,7 +376,7 @@
     codec: SealedCodec,
     revision: Revision,
     clock: Clock,
-) -> Result<Option<Taken<EndpointsCopy>>, CopyError> {
+) -> Result<Option<Taken<EndpointsDelta>>, CopyError> {
     let client = connect(addr, codec).await?;
     let mut coming = Coming::default();
     loop {
--- a/src/gateway/endings.rs
+++ b/src/gateway/endings.rs
@@ -16,7 +16,7 @@
 use tokio::{net::TcpStream, sync::watch, time};
 
 use crate::{
-    balance::{balancer::Choice, load::EndpointKey, standing::Standing},
+    balance::{balancer::Choice, load::EndpointKey, readiness::Readiness},
     gateway::{attempt::Job, protocol::Protocol, report::log_ending, state::Gateway},
     prelude::Micros,
 };
@@ -133,7 +133,7 @@
 async fn look<P: Protocol>(gateway: &Gateway<P>, key: EndpointKey, addr: SocketAddr) -> Verdict {
     // One that has said that it leaves, or has left the set, ends as planned.
     let now_us = gateway.clock.now_us();
-    if gateway.balancer().standing(now_us, key) == Standing::Leaves {
+    if gateway.balancer().readiness(now_us, key) == Readiness::Leaving {
         return Verdict::Lives;
     }
     let mut refusals = 0;
@@ -146,7 +146,7 @@
             Ok(Err(_)) | Err(_) => continue,
         }
         // What a caller does not read seems to go on; each look tells the same by then.
-        let goes_on = gateway.balancer().picture().own_requests(key) > 0;
+        let goes_on = gateway.balancer().load_view().own_requests(key) > 0;
         if !goes_on || refusals == LOOKS.len() {
             return Verdict::Ended;
         }
--- a/src/gateway/endpoint_words.rs
+++ b/src/gateway/endpoint_words.rs
@@ -45,7 +45,7 @@
 /// Notes that a request goes to an endpoint; returns the version of what is known of its limit.
 pub(super) fn note_sent<P: Protocol>(gateway: &Gateway<P>, key: EndpointKey, at_us: Micros) -> u32 {
     let mut balancer = gateway.balancer();
-    balancer.note_sent(at_us, key);
+    balancer.record_sent(at_us, key);
     if balancer.rate(at_us, key).is_some() {
         gateway.metrics.sent_to_limited.inc();
     }
@@ -67,20 +67,23 @@
         RestWord::Asked(rest_us) => heard_rest(gateway, &sent.choice, *rest_us),
         RestWord::Unreadable(text) => {
             gateway.metrics.rest_words_unreadable.inc();
-            if gateway.balancer().note_unreadable_rest(sent.choice.key) {
+            if gateway
+                .balancer()
+                .record_unreadable_backoff(sent.choice.key)
+            {
                 log_unreadable("endpoint_rest_unreadable", &sent.choice.id, text);
             }
         }
         RestWord::None => {
             let mut balancer = gateway.balancer();
-            balancer.note_answered(sent.choice.key, sent.at_us);
+            balancer.record_answered(sent.choice.key, sent.at_us);
         }
     }
 }
 
 fn heard_leaving<P: Protocol>(gateway: &Gateway<P>, choice: &Choice) {
     let now_us = gateway.clock.now_us();
-    if gateway.balancer().heard_leaving(now_us, choice.key) {
+    if gateway.balancer().record_leaving(now_us, choice.key) {
         log_leaving(&choice.id, "endpoint");
     }
 }
@@ -91,7 +94,7 @@
     let instances = gateway.sharers().all;
     let draw = rand::rng().random_range(0.0..1.0);
     let mut balancer = gateway.balancer();
-    let is_new = balancer.heard_rest(now_us, choice.key, rest_us, instances, draw);
+    let is_new = balancer.record_backoff(now_us, choice.key, rest_us, instances, draw);
     drop(balancer);
     if is_new {
         log::info!(
@@ -111,14 +114,14 @@
     let change = match &head.words.limit {
         LimitWord::Unreadable(text) => {
             gateway.metrics.limit_words_unreadable.inc();
-            if balancer.note_unreadable_limit(choice.key) {
+            if balancer.record_unreadable_limit(choice.key) {
                 log_unreadable("endpoint_limit_unreadable", &choice.id, text);
             }
             return;
         }
         // Spoiled bytes without proof do not say that a limit is over.
         LimitWord::Free if !head.is_signed => return,
-        word => balancer.heard_limit(now_us, choice.key, sent.limit_version, word),
+        word => balancer.record_limit(now_us, choice.key, sent.limit_version, word),
     };
     let version = balancer.standings().version(choice.key);
     drop(balancer);
@@ -134,7 +137,7 @@
     }
     let now_us = gateway.clock.now_us();
     let mut balancer = gateway.balancer();
-    let changes = balancer.told_standings(now_us, told);
+    let changes = balancer.apply_peer_standings(now_us, told);
     let lines = changes.into_iter().filter_map(|change| {
         let endpoint = change.endpoint();
         let id = balancer.entry(endpoint)?.id.clone();
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -19,7 +19,7 @@
 use crate::{
     balance::{
         load::{EndpointKey, InFlight},
-        picture::Group,
+        load_view::ClusterSize,
     },
     gateway::{
         aggregators::{Aggregators, hall_key},
@@ -241,7 +241,7 @@
         let group = self.count_sharers(now_us, &view);
         let has_news = self.take_state_news();
         let is_suspected = self.gateway.suspects().take_news();
-        let has_limits = self.gateway.balancer().take_standing_news();
+        let has_limits = self.gateway.balancer().take_standings_changed();
         let changed = self.gateway.balancer().take_changed() || is_suspected || has_limits;
         let is_due = {
             let mut state = self.lock();
@@ -258,12 +258,15 @@
             is_due
         };
         match group {
-            Group::Small => {
-                self.gateway.balancer().picture_mut().set_ledger(false);
+            ClusterSize::Small => {
+                self.gateway
+                    .balancer()
+                    .load_view_mut()
+                    .set_hall_aggregator(false);
                 self.gateway.reserver.set_ledgers(Vec::new());
                 self.tell_all(now_us, &view, is_due).await;
             }
-            Group::Large => {
+            ClusterSize::Large => {
                 self.appoint_ledger(now_us);
                 self.ask_if_old(now_us, &view).await;
                 if is_due {
@@ -301,8 +304,8 @@
         self.gateway.reserver.set_ledgers(ledgers);
         self.gateway
             .balancer()
-            .picture_mut()
-            .set_ledger(is_aggregator);
+            .load_view_mut()
+            .set_hall_aggregator(is_aggregator);
     }
 
     /// Works out from a new view what this instance does for others.
@@ -327,7 +330,7 @@
     }
 
     /// Counts the sharers, and notes who fell silent.
-    fn count_sharers(&self, now_us: Micros, view: &View) -> Group {
+    fn count_sharers(&self, now_us: Micros, view: &View) -> ClusterSize {
         let (group, silent, sharers, known_sharers) = {
             let mut state = self.lock();
             let silent = state.heard.expire(now_us);
@@ -335,13 +338,18 @@
             let known = state.known(now_us, view);
             if known < SMALL_GROUP {
                 let known = state.heard.spoken_sharers(now_us);
-                (Group::Small, silent, state.heard.sharers(now_us), known)
+                (
+                    ClusterSize::Small,
+                    silent,
+                    state.heard.sharers(now_us),
+                    known,
+                )
             } else {
                 let halls = silent_halls.into_iter().map(teller_of_hall).collect();
                 let heard = state.halls.sharers(now_us).heard.max(1);
                 let all = (known + 1).max(heard);
                 let sharers = Sharers { all, heard };
-                (Group::Large, halls, sharers, sharers)
+                (ClusterSize::Large, halls, sharers, sharers)
             }
         };
         self.gateway.permits.set_heard_share(known_sharers.share());
@@ -353,7 +361,7 @@
                 .set_addresses(self.addresses(view).into_iter());
         }
         for teller in silent {
-            if group == Group::Large {
+            if group == ClusterSize::Large {
                 let whose = self.whose(teller);
                 log::warn!(
                     target: "ryevalve::process",
@@ -364,7 +372,10 @@
         }
         self.show(now_us, sharers);
         self.gateway.set_sharers(sharers);
-        self.gateway.balancer().picture_mut().set_group(group);
+        self.gateway
+            .balancer()
+            .load_view_mut()
+            .set_cluster_size(group);
         group
     }
 
--- a/src/gateway/far_book.rs
+++ b/src/gateway/far_book.rs
@@ -10,7 +10,7 @@
 use crate::{
     balance::{
         load::{EndpointKey, InFlight},
-        speed::ToldSpeed,
+        speed::SpeedSummary,
     },
     gateway::halls::Halls,
     peers::update::HallSummary,
@@ -29,7 +29,7 @@
     halls: Halls,
     loads: HashMap<u32, BTreeMap<EndpointKey, InFlight>>,
     reports: BTreeMap<EndpointKey, i8>,
-    speeds: BTreeMap<EndpointKey, ToldSpeed>,
+    speeds: BTreeMap<EndpointKey, SpeedSummary>,
 }
 
 impl FarBook {
--- a/src/gateway/gate.rs
+++ b/src/gateway/gate.rs
@@ -4,7 +4,7 @@
 //! Between the choice and here a request waits for a connection, and words of endpoints come meanwhile.
 
 use crate::{
-    balance::{load::EndpointKey, standing::Standing},
+    balance::{load::EndpointKey, readiness::Readiness},
     gateway::{protocol::Protocol, staleness::Standing as Known, state::Gateway},
 };
 
@@ -29,12 +29,12 @@
             return Err(ENDPOINT_EVACUATED);
         }
         let now_us = self.clock.now_us();
-        match self.balancer().standing(now_us, key) {
-            Standing::Leaves => Err(ENDPOINT_LEFT),
-            Standing::Evacuated => Err(ENDPOINT_EVACUATED),
-            Standing::RestsUntil(_) => Err(ENDPOINT_RESTS),
+        match self.balancer().readiness(now_us, key) {
+            Readiness::Leaving => Err(ENDPOINT_LEFT),
+            Readiness::Evacuated => Err(ENDPOINT_EVACUATED),
+            Readiness::BackoffUntil(_) => Err(ENDPOINT_RESTS),
             // Whoever chose it has a permit, if one was needed then.
-            Standing::Serves | Standing::NeedsPermit => Ok(()),
+            Readiness::Ready | Readiness::NeedsPermit => Ok(()),
         }
     }
 }
--- a/src/gateway/hall_book.rs
+++ b/src/gateway/hall_book.rs
@@ -11,7 +11,7 @@
     balance::{
         load::{EndpointKey, InFlight},
         prefixes::ChainKey,
-        speed::Evidence,
+        speed::SpeedSamples,
     },
     gateway::heard::{HEARD_US, SHARER_US},
     peers::update::{HallSummary, Update, address_key},
@@ -35,7 +35,7 @@
     /// As in [`Update::read`].
     pub read: Vec<(ChainKey, EndpointKey)>,
     /// As in [`Update::seen`], summed by endpoint.
-    pub seen: Vec<(EndpointKey, Evidence)>,
+    pub seen: Vec<(EndpointKey, SpeedSamples)>,
     /// As in [`Update::dead`].
     pub dead: Vec<EndpointKey>,
 }
@@ -62,7 +62,7 @@
 pub struct HallBook {
     members: HashMap<IpAddr, Member>,
     news: News,
-    seen: BTreeMap<EndpointKey, Evidence>,
+    seen: BTreeMap<EndpointKey, SpeedSamples>,
     /// What endpoints said and other halls were not told.
     far_reports: HashMap<EndpointKey, i8>,
     to_pass_on: Vec<HallSummary>,
@@ -89,7 +89,7 @@
         &mut self,
         reports: &[(EndpointKey, i8)],
         read: &[(ChainKey, EndpointKey)],
-        seen: &[(EndpointKey, Evidence)],
+        seen: &[(EndpointKey, SpeedSamples)],
         dead: &[EndpointKey],
     ) {
         self.news.reports.extend(reports);
--- a/src/gateway/hearing.rs
+++ b/src/gateway/hearing.rs
@@ -9,7 +9,7 @@
 use crate::{
     balance::{
         load::{EndpointKey, InFlight},
-        picture::Group,
+        load_view::ClusterSize,
     },
     gateway::{
         endpoint_words, exchange::Exchange, far_book::FAR_HALLS, fetching::Wanted,
@@ -46,11 +46,11 @@
         }
         self.gateway.suspects().told(now_us, &update.suspects);
         endpoint_words::told(&self.gateway, &update.standings);
-        let group = self.gateway.balancer().picture().group();
+        let group = self.gateway.balancer().load_view().cluster_size();
         match (group, update.purpose) {
-            (Group::Small, _) => self.take_direct(now_us, &update),
-            (Group::Large, Purpose::Summary) => self.take_summaries(now_us, update, echo),
-            (Group::Large, _) => self.take_report(now_us, update, from.ip()),
+            (ClusterSize::Small, _) => self.take_direct(now_us, &update),
+            (ClusterSize::Large, Purpose::Summary) => self.take_summaries(now_us, update, echo),
+            (ClusterSize::Large, _) => self.take_report(now_us, update, from.ip()),
         }
         self.gateway.reconsider();
     }
@@ -59,7 +59,7 @@
     fn take_direct(&self, now_us: Micros, update: &Update) {
         self.take_news(now_us, update);
         let mut balancer = self.gateway.balancer();
-        balancer.told(now_us, update.from, &update.loads, &[], &[]);
+        balancer.apply_peer_update(now_us, update.from, &update.loads, &[], &[]);
     }
 
     /// Takes a report of an instance of the own hall.
@@ -70,8 +70,8 @@
         self.take_news(now_us, &update);
         self.lock().book.note(now_us, from, &update);
         let mut balancer = self.gateway.balancer();
-        if balancer.picture().is_ledger() {
-            balancer.reported(now_us, update.from, &update.loads, update.settled);
+        if balancer.load_view().is_hall_aggregator() {
+            balancer.apply_grantee_report(now_us, update.from, &update.loads, update.settled);
         }
         drop(balancer);
         for summary in update.halls {
@@ -130,24 +130,26 @@
             log::info!(target: "ryevalve::process", whose; "summaries_regained");
         }
         let mut balancer = self.gateway.balancer();
-        let is_known_singly = is_own && balancer.picture().is_ledger();
+        let is_known_singly = is_own && balancer.load_view().is_hall_aggregator();
         if taken.takes_loads && !is_known_singly {
             let loads = without(&summary.loads, &sent.loads);
             balancer
-                .picture_mut()
-                .told_loads(now_us, teller, summary.span, &loads);
+                .load_view_mut()
+                .apply_peer_loads(now_us, teller, summary.span, &loads);
         }
         balancer
-            .picture_mut()
-            .told_reports(now_us, &summary.reports);
-        balancer.told_speeds(&summary.speeds);
+            .load_view_mut()
+            .apply_unaccounted_load(now_us, &summary.reports);
+        balancer.apply_speed_summaries(&summary.speeds);
     }
 
     fn take_news(&self, now_us: Micros, update: &Update) {
         let mut balancer = self.gateway.balancer();
-        balancer.told_dead(&update.dead);
-        balancer.told_news(now_us, &update.read, &update.seen);
-        balancer.picture_mut().told_reports(now_us, &update.reports);
+        balancer.remove_dead_endpoints(&update.dead);
+        balancer.apply_peer_observations(now_us, &update.read, &update.seen);
+        balancer
+            .load_view_mut()
+            .apply_unaccounted_load(now_us, &update.reports);
     }
 
     /// Takes what the sender knows of the store. What it told is no older than the sending of the
--- a/src/gateway/intake.rs
+++ b/src/gateway/intake.rs
@@ -8,7 +8,9 @@
 use rand::RngExt;
 
 use crate::{
-    balance::{balancer::come_back_ms, cost::Ask, homes::Homes, prefixes},
+    balance::{
+        balancer::retry_delay_ms, cost::PlacementRequest, prefixes, regions::AllowedRegions,
+    },
     entry::refusal::Refusal,
     gateway::{
         config::{Organisation, Route},
@@ -139,7 +141,7 @@
         let wait_ms = u32::try_from(denied.wait_us / 1_000).unwrap_or(u32::MAX);
         let wait_ms = wait_ms.clamp(MIN_WAIT_MS, MAX_WAIT_MS);
         // There may be room for this one sooner, but not for all that were refused with it.
-        refuse::over_limit(wait_ms.max(come_back_ms(allowed_us)))
+        refuse::over_limit(wait_ms.max(retry_delay_ms(allowed_us)))
     })
 }
 
@@ -168,12 +170,12 @@
     service: Name,
     tokens_per_event: u32,
     times: RequestTimes,
-    homes: Homes,
-) -> Ask {
+    homes: AllowedRegions,
+) -> PlacementRequest {
     let prompt_tokens = head.tokens.map_or(0, |t| t.prompt);
     let most = head.tokens.map_or(u32::MAX, |t| t.max_output);
     let output_tokens = head.output_guess.unwrap_or(PRIOR_OUTPUT_TOKENS).min(most);
-    Ask {
+    PlacementRequest {
         service,
         is_stream: route.kind.is_stream(),
         prompt_tokens,
--- a/src/gateway/patience.rs
+++ b/src/gateway/patience.rs
@@ -12,7 +12,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use crate::{
-    balance::balancer::come_back_ms,
+    balance::balancer::retry_delay_ms,
     prelude::{Micros, Name},
 };
 
@@ -57,7 +57,7 @@
         let Some(longest_us) = sorted.len().checked_sub(2).map(|at| sorted[at]) else {
             return;
         };
-        let away_us = u64::from(come_back_ms(longest_us)) * 1_000;
+        let away_us = u64::from(retry_delay_ms(longest_us)) * 1_000;
         let least_us = longest_us.saturating_sub(away_us);
         let mistaken = sorted.iter().take_while(|us| **us < least_us).count();
         let is_known = sorted.len() >= MIN_FIRST_TRIES
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -191,7 +191,9 @@
         None => UNANSWERED_WAIT_US,
     };
     let until_us = gateway.clock.now_us() + wait_us;
-    gateway.balancer().note_no_permit(endpoint, rank, until_us);
+    gateway
+        .balancer()
+        .record_permit_denial(endpoint, rank, until_us);
     false
 }
 
@@ -206,8 +208,8 @@
     let now_us = gateway.clock.now_us();
     let (limit, cold_us) = {
         let balancer = gateway.balancer();
-        let limit = balancer.told_standing(now_us, endpoint);
-        (limit, balancer.cold_us(now_us, endpoint))
+        let limit = balancer.standing_to_send(now_us, endpoint);
+        (limit, balancer.remaining_cold_us(now_us, endpoint))
     };
     let word = Word::Permits(PermitWord::Ask {
         limit,
@@ -250,7 +252,7 @@
             let endpoint = limit.endpoint;
             if cold_us > 0 {
                 let now_us = gateway.clock.now_us();
-                gateway.balancer().note_cold(now_us, endpoint, cold_us);
+                gateway.balancer().mark_cold(now_us, endpoint, cold_us);
             }
             let permit = match gateway.permits.keeper(endpoint) {
                 Some(Keeper::Me) => give(gateway, endpoint, rank),
@@ -259,7 +261,7 @@
                 },
             };
             let now_us = gateway.clock.now_us();
-            let limit = gateway.balancer().told_standing(now_us, endpoint);
+            let limit = gateway.balancer().standing_to_send(now_us, endpoint);
             let answer = Word::Permits(PermitWord::Answer { limit, permit });
             channel.send(from, number, answer).await;
         }
--- a/src/gateway/placing.rs
+++ b/src/gateway/placing.rs
@@ -5,10 +5,10 @@
 
 use crate::{
     balance::{
-        balancer::{BUSY, ENDPOINT_LIMITS, Placement, WaitKey, refused},
-        cost::Ask,
+        balancer::{BUSY, ENDPOINT_LIMITS, Placement, WaitKey, refuse_for_capacity},
+        cost::PlacementRequest,
         load::EndpointKey,
-        standing::back_ms,
+        readiness::retry_delay_until_ms,
     },
     gateway::{
         permits,
@@ -30,11 +30,11 @@
 
 impl<P: Protocol> Gateway<P> {
     /// Decides on a request, waiting for a slot if it must. Those in `tried` are not chosen.
-    pub async fn place(&self, ask: &Ask, tried: &[EndpointKey]) -> Placement {
+    pub async fn place(&self, ask: &PlacementRequest, tried: &[EndpointKey]) -> Placement {
         self.endpoints_settled().await;
         self.evacuations_settled().await;
         let now_us = self.clock.now_us();
-        let refusal = self.balancer().refuse_at_rest(now_us, ask);
+        let refusal = self.balancer().refuse_while_backing_off(now_us, ask);
         if let Some(refusal) = refusal {
             return refusal;
         }
@@ -46,9 +46,9 @@
 
     /// Asks the instance that gives places at the hall's endpoints for one; none if there is none, it does
     /// not answer in time, or knows an endpoint that this instance does not.
-    async fn reserve(&self, ask: &Ask, tried: &[EndpointKey]) -> Option<Placement> {
+    async fn reserve(&self, ask: &PlacementRequest, tried: &[EndpointKey]) -> Option<Placement> {
         // Whoever gives places does not know the regions in which a request may be served.
-        if !ask.is_stream || ask.homes.are_named() {
+        if !ask.is_stream || ask.homes.is_restricted() {
             return None;
         }
         let ledger = self.reserver.ledger(self.clock.now_us())?;
@@ -74,12 +74,14 @@
     /// Returns when a caller may come back whose request endpoints turned away.
     pub fn turned_away_back_ms(&self, service: &Name) -> u32 {
         let now_us = self.clock.now_us();
-        let back_us = self.balancer().first_back_us(now_us, service);
-        back_us.map_or(TURNED_AWAY_BACK_MS, |back_us| back_ms(now_us, back_us))
+        let back_us = self.balancer().earliest_available_us(now_us, service);
+        back_us.map_or(TURNED_AWAY_BACK_MS, |back_us| {
+            retry_delay_until_ms(now_us, back_us)
+        })
     }
 
     /// Does what another instance decided on a request; none if it knows an endpoint that is not known here.
-    fn take_answer(&self, ask: &Ask, answer: PlaceAnswer) -> Option<Placement> {
+    fn take_answer(&self, ask: &PlacementRequest, answer: PlaceAnswer) -> Option<Placement> {
         let now_us = self.clock.now_us();
         match answer {
             PlaceAnswer::Granted {
@@ -92,19 +94,25 @@
                     // Whoever gave the place has not heard of the limit.
                     return None;
                 }
-                balancer.take_place(now_us, ask, key, expected)
+                balancer.place_granted(now_us, ask, key, expected)
+            }
+            PlaceAnswer::Refused => Some(refuse_for_capacity(now_us, ask, BUSY)),
+            PlaceAnswer::OverEndpointLimits => {
+                Some(refuse_for_capacity(now_us, ask, ENDPOINT_LIMITS))
             }
-            PlaceAnswer::Refused => Some(refused(now_us, ask, BUSY)),
-            PlaceAnswer::OverEndpointLimits => Some(refused(now_us, ask, ENDPOINT_LIMITS)),
         }
     }
 
     /// Asks for a permit, if a request had best go to an endpoint that takes only so many a second; one after the
     /// other for some such endpoints.
-    async fn permit_for(&self, ask: &Ask, tried: &[EndpointKey]) -> Option<EndpointKey> {
+    async fn permit_for(
+        &self,
+        ask: &PlacementRequest,
+        tried: &[EndpointKey],
+    ) -> Option<EndpointKey> {
         for _ in 0..MOST_PERMITS_ASKED {
             let now_us = self.clock.now_us();
-            let wanted = self.balancer().wanted_permit(now_us, ask, tried)?;
+            let wanted = self.balancer().permit_candidate(now_us, ask, tried)?;
             if permits::ask(self, wanted, ask.rank).await {
                 return Some(wanted);
             }
@@ -113,10 +121,12 @@
     }
 
     /// Decides on a request by what this instance knows, waiting for a slot if it must.
-    pub async fn place_here(&self, ask: &Ask, tried: &[EndpointKey]) -> Placement {
+    pub async fn place_here(&self, ask: &PlacementRequest, tried: &[EndpointKey]) -> Placement {
         let permit = self.permit_for(ask, tried).await;
         let now_us = self.clock.now_us();
-        let placement = self.balancer().place_with(now_us, ask, tried, permit);
+        let placement = self
+            .balancer()
+            .place_with_permit(now_us, ask, tried, permit);
         if let Some(permit) = permit.filter(|permit| !is_sent_to(&placement, *permit)) {
             permits::give_back(self, permit).await;
         }
@@ -127,7 +137,7 @@
     }
 
     /// Waits for a place for a request, or until it may wait no longer.
-    pub async fn wait_for_place(&self, ask: &Ask) -> Placement {
+    pub async fn wait_for_place(&self, ask: &PlacementRequest) -> Placement {
         let (sender, receiver) = oneshot::channel();
         let key = self.balancer().enqueue(ask.clone());
         lock(&self.waiters).insert(key, sender);
--- a/src/gateway/protocol.rs
+++ b/src/gateway/protocol.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    balance::{load::OwnWord, prefixes::PromptPart},
+    balance::{load::EndpointLoadReport, prefixes::PromptPart},
     limits::{rate::LimitWord, rest::RestWord},
     prelude::Name,
 };
@@ -69,7 +69,7 @@
     /// It says that the request was not run.
     pub not_executed: bool,
     /// The endpoint's load.
-    pub load: Option<OwnWord>,
+    pub load: Option<EndpointLoadReport>,
     /// What it says of itself.
     pub words: EndpointWords,
     /// Headers that nothing here reads.
--- a/src/gateway/reservations.rs
+++ b/src/gateway/reservations.rs
@@ -91,7 +91,7 @@
     let Some(channel) = gateway.reserver.channel() else {
         return;
     };
-    if !gateway.balancer().picture().is_ledger() {
+    if !gateway.balancer().load_view().is_hall_aggregator() {
         channel.send(from, number, Word::Unable).await;
         return;
     }
@@ -100,7 +100,7 @@
     let now_us = gateway.clock.now_us();
     let needs_permit = gateway
         .balancer()
-        .wanted_permit(now_us, &ask, &tried)
+        .permit_candidate(now_us, &ask, &tried)
         .is_some();
     if !needs_permit {
         let placement = gateway.balancer().place(now_us, &ask, &tried);
@@ -135,7 +135,7 @@
         Placement::Send(choice) => {
             let now_us = gateway.clock.now_us();
             let mut balancer = gateway.balancer();
-            balancer.hand_over(now_us, &choice, taker, number);
+            balancer.grant_to_peer(now_us, &choice, taker, number);
             Word::Decided(PlaceAnswer::Granted {
                 key: choice.key,
                 expected: choice.expected,
--- a/src/gateway/reserver.rs
+++ b/src/gateway/reserver.rs
@@ -24,11 +24,11 @@
 
 use crate::{
     balance::{
-        balancer::hold_us,
-        cost::{Ask, Expected},
-        homes::Homes,
+        balancer::max_wait_us,
+        cost::{Expected, PlacementRequest},
         load::EndpointKey,
         prefixes::ChainKey,
+        regions::AllowedRegions,
     },
     clock::Clock,
     gateway::permits::PermitWord,
@@ -50,34 +50,34 @@
 /// What is asked for, with times relative to the sending: clocks of instances differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PlaceAsk {
-    /// As in [`Ask::service`].
+    /// As in [`PlacementRequest::service`].
     pub service: Name,
-    /// As in [`Ask::prompt_tokens`].
+    /// As in [`PlacementRequest::prompt_tokens`].
     pub prompt_tokens: u32,
-    /// As in [`Ask::chains`].
+    /// As in [`PlacementRequest::chains`].
     pub chains: Vec<(ChainKey, u32)>,
-    /// As in [`Ask::output_events`].
+    /// As in [`PlacementRequest::output_events`].
     pub output_events: f32,
-    /// As in [`Ask::target_us`].
+    /// As in [`PlacementRequest::target_us`].
     pub target_us: Micros,
-    /// Time since [`Ask::arrived_us`].
+    /// Time since [`PlacementRequest::arrived_us`].
     pub spent_us: Micros,
-    /// As in [`Ask::waited_us`].
+    /// As in [`PlacementRequest::waited_us`].
     pub waited_us: Micros,
-    /// Time until [`Ask::deadline_us`].
+    /// Time until [`PlacementRequest::deadline_us`].
     pub left_us: Micros,
-    /// As in [`Ask::rank`].
+    /// As in [`PlacementRequest::rank`].
     pub rank: Rank,
-    /// As in [`Ask::other_hall_cost`].
+    /// As in [`PlacementRequest::other_hall_cost`].
     pub other_hall_cost: f32,
-    /// As in [`Ask::draw`].
+    /// As in [`PlacementRequest::draw`].
     pub draw: u64,
     /// Endpoints that are not to be chosen.
     pub tried: Vec<EndpointKey>,
 }
 
 impl PlaceAsk {
-    fn new(now_us: Micros, ask: &Ask, tried: &[EndpointKey]) -> Self {
+    fn new(now_us: Micros, ask: &PlacementRequest, tried: &[EndpointKey]) -> Self {
         Self {
             service: ask.service.clone(),
             prompt_tokens: ask.prompt_tokens,
@@ -95,8 +95,8 @@
     }
 
     /// Returns it by the clock of whoever was asked.
-    pub fn into_ask(self, now_us: Micros) -> (Ask, Vec<EndpointKey>) {
-        let ask = Ask {
+    pub fn into_ask(self, now_us: Micros) -> (PlacementRequest, Vec<EndpointKey>) {
+        let ask = PlacementRequest {
             service: self.service,
             is_stream: true,
             prompt_tokens: self.prompt_tokens,
@@ -108,7 +108,7 @@
             deadline_us: now_us + self.left_us,
             rank: self.rank,
             other_hall_cost: f64::from(self.other_hall_cost),
-            homes: Homes::default(),
+            homes: AllowedRegions::default(),
             draw: self.draw,
         };
         (ask, self.tried)
@@ -253,7 +253,7 @@
         &self,
         clock: Clock,
         ledger: IpAddr,
-        ask: &Ask,
+        ask: &PlacementRequest,
         tried: &[EndpointKey],
     ) -> Option<PlaceAnswer> {
         let channel = self.channel.get()?;
@@ -262,7 +262,7 @@
         let word = Word::Ask(Box::new(PlaceAsk::new(now_us, ask, tried)));
         channel.send(ledger, pending.number, word).await;
         let held_us = now_us.saturating_sub(ask.arrived_us);
-        let hold = Duration::from_micros(hold_us(ask).saturating_sub(held_us));
+        let hold = Duration::from_micros(max_wait_us(ask).saturating_sub(held_us));
         let mut until = Instant::now() + FIRST_ANSWER;
         loop {
             match time::timeout_at(until, pending.words.recv()).await {
--- a/src/gateway/rounds.rs
+++ b/src/gateway/rounds.rs
@@ -375,7 +375,7 @@
         let seq = self.next_seq();
         // Before the loads are read: those that are settled are in them.
         let settled = self.gateway.reserver.settled();
-        let loads = self.gateway.balancer().picture().own_loads();
+        let loads = self.gateway.balancer().load_view().own_loads();
         self.lock().remember(Sent {
             seq,
             at_us: now_us,
@@ -403,9 +403,9 @@
         let turn = self.lock().turn;
         let mut balancer = self.gateway.balancer();
         News {
-            reports: balancer.picture_mut().take_reports(),
-            read: balancer.take_news(READS_TOLD),
-            seen: balancer.take_evidence(turn, SEEN_TOLD),
+            reports: balancer.load_view_mut().take_unaccounted_load(),
+            read: balancer.take_cached_chains(READS_TOLD),
+            seen: balancer.take_speed_samples(turn, SEEN_TOLD),
             dead: balancer.take_dead(),
         }
     }
@@ -416,7 +416,7 @@
         update.standings = self
             .gateway
             .balancer()
-            .take_told_standings(now_us, audience);
+            .take_standings_to_send(now_us, audience);
     }
 
     fn add_news(&self, update: &mut Update, news: News) {
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -16,9 +16,9 @@
 use crate::{
     balance::{
         balancer::{Choice, Placement},
-        cost::Ask,
-        homes::Homes,
+        cost::PlacementRequest,
         load::EndpointKey,
+        regions::AllowedRegions,
     },
     entry::{
         answer::{Body, full},
@@ -137,7 +137,7 @@
     let patience_us = head.deadline_ms.map(|ms| ms.saturating_mul(1_000));
     let waited_us = patience_us.map_or(0, |us| gateway.waited_us(&route.name, us));
     trace.waited_ms = waited_us / 1_000;
-    let homes = Homes::of([
+    let homes = AllowedRegions::intersection([
         route.homes.as_deref(),
         organisation.as_ref().and_then(|o| o.homes.as_deref()),
     ]);
@@ -208,7 +208,7 @@
     gateway: Arc<Gateway<P>>,
     job: Arc<Job>,
     /// What the balancer is asked; an attempt after another has its own time to wait.
-    ask: Ask,
+    ask: PlacementRequest,
     tried: Vec<EndpointKey>,
     runs: u32,
     not_run: usize,
@@ -418,7 +418,7 @@
         let reason = match answered.response.status() {
             StatusCode::MISDIRECTED_REQUEST => {
                 let key = answered.sent.choice.key;
-                self.gateway.balancer().endpoint_replaced(key);
+                self.gateway.balancer().mark_endpoint_replaced(key);
                 "another_endpoint_there"
             }
             StatusCode::SERVICE_UNAVAILABLE => "endpoint_full",
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -15,7 +15,7 @@
     balance::{
         balancer::{Balancer, Placement, WaitKey},
         cold::ColdRate,
-        discovery::{Change, EndpointsCopy},
+        discovery::{Change, EndpointsDelta},
     },
     clock::Clock,
     endpoint::kept::KeptConnections,
@@ -221,7 +221,7 @@
             let cold = service.cold?;
             let rate = ColdRate {
                 rate: tolerance.rate(cold.per_s),
-                lasts_us: cold.lasts.as_micros() as Micros,
+                duration_us: cold.lasts.as_micros() as Micros,
             };
             Some((service.name.clone(), rate))
         });
@@ -337,12 +337,12 @@
 
     /// Takes another instance's copy of the endpoints, which were the store's when a question was sent at
     /// `asked_us`, if that is known.
-    pub fn take_endpoints(&self, copy: EndpointsCopy, asked_us: Option<Micros>) {
+    pub fn take_endpoints(&self, copy: EndpointsDelta, asked_us: Option<Micros>) {
         let now_us = self.clock.now_us();
         let revision = copy.revision;
         let changes = {
             let mut balancer = self.balancer();
-            let changes = balancer.take_endpoints(now_us, copy);
+            let changes = balancer.apply_endpoints_delta(now_us, copy);
             if let (Some(asked_us), true) = (asked_us, balancer.endpoints_revision() == revision) {
                 self.endpoints.confirm(asked_us);
             }
@@ -368,7 +368,7 @@
             return;
         };
         let now_us = self.clock.now_us();
-        self.balancer().change_evacuated(now_us, &change);
+        self.balancer().apply_evacuation_change(now_us, &change);
         for data_centre in &change.begun {
             log::warn!(
                 target: "ryevalve::process",
--- a/src/peers/update.rs
+++ b/src/peers/update.rs
@@ -7,9 +7,9 @@
 use crate::{
     balance::{
         discovery::Revision,
-        load::{EndpointKey, InFlight, KeySpan},
+        load::{EndpointKey, InFlight, KeyRange},
         prefixes::ChainKey,
-        speed::{Evidence, ToldSpeed},
+        speed::{SpeedSamples, SpeedSummary},
     },
     gateway::evacuations::EvacuationSet,
     limits::{standings::ToldStanding, suspects::ToldSuspect},
@@ -46,13 +46,13 @@
     /// Those of them that it hears, itself included.
     pub heard: u32,
     /// Endpoints that `loads` are of: what is not listed has no requests of this hall.
-    pub span: KeySpan,
+    pub span: KeyRange,
     /// Requests of all instances of the hall at endpoints; replaces what was told before.
     pub loads: Vec<(EndpointKey, InFlight)>,
     /// What endpoints said to any of its instances, as in [`Update::reports`].
     pub reports: Vec<(EndpointKey, i8)>,
     /// How fast it believes some of its endpoints to be.
-    pub speeds: Vec<(EndpointKey, ToldSpeed)>,
+    pub speeds: Vec<(EndpointKey, SpeedSummary)>,
 }
 
 /// One datagram.
@@ -94,7 +94,7 @@
     /// Chains of prompts that were read lately, and where.
     pub read: Vec<(ChainKey, EndpointKey)>,
     /// What was seen of the speed of some endpoints since it was told last.
-    pub seen: Vec<(EndpointKey, Evidence)>,
+    pub seen: Vec<(EndpointKey, SpeedSamples)>,
     /// Endpoints whose address another start has taken.
     pub dead: Vec<EndpointKey>,
     /// Requests under which endpoints ended.
--- a/src/platform/follow.rs
+++ b/src/platform/follow.rs
@@ -433,7 +433,7 @@
         let seen = self
             .gateway
             .balancer()
-            .endpoint_seen(entry, metadata.revision);
+            .upsert_endpoint(entry, metadata.revision);
         if let Some(change) = seen {
             self.gateway.endpoint_changed(&id, change, "store");
         }
@@ -442,7 +442,7 @@
     fn removed(&self, name: &str, revision: u64) {
         let now_us = self.gateway.clock.now_us();
         let mut balancer = self.gateway.balancer();
-        let change = balancer.endpoint_removed(now_us, name, revision);
+        let change = balancer.remove_endpoint(now_us, name, revision);
         drop(balancer);
         if let Some(change) = change {
             self.gateway.endpoint_changed(name, change, "store");
@@ -463,7 +463,7 @@
     }
 
     fn reached(&self, revision: u64, asked_us: Micros) {
-        self.gateway.balancer().endpoints_reached(revision);
+        self.gateway.balancer().advance_endpoints_revision(revision);
         self.gateway.endpoints.confirm(asked_us);
         self.gateway.reconsider();
     }
@@ -493,10 +493,10 @@
             self.seen(object);
         }
         let now_us = self.gateway.clock.now_us();
-        let changes = self
-            .gateway
-            .balancer()
-            .endpoints_listed(now_us, listing.revision, |id| names.contains(id));
+        let changes =
+            self.gateway
+                .balancer()
+                .retain_listed_endpoints(now_us, listing.revision, |id| names.contains(id));
         for (id, change) in changes {
             self.gateway.endpoint_changed(&id, change, "store");
         }
@@ -525,7 +525,7 @@
             return;
         }
         let now_us = self.gateway.clock.now_us();
-        self.gateway.balancer().store_was_away(now_us);
+        self.gateway.balancer().store_was_unreachable(now_us);
     }
 }
 
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::{
-    balance::{load::OwnWord, prefixes::PromptPart},
+    balance::{load::EndpointLoadReport, prefixes::PromptPart},
     gateway::protocol::{AnswerHead, CallHead, EndpointWords, Forward, Protocol, TokenCounts},
     limits::{
         rate::{LimitWord, RequestRate},
@@ -256,9 +256,9 @@
     lowest
 }
 
-fn load(text: &str) -> Option<OwnWord> {
+fn load(text: &str) -> Option<EndpointLoadReport> {
     let mut numbers = text.split(',').map(|n| n.trim().parse().ok());
-    Some(OwnWord {
+    Some(EndpointLoadReport {
         running: numbers.next()??,
         waiting: numbers.next()??,
         slots: numbers.next()??,
--- a/tests/edge/ending_requests.rs
+++ b/tests/edge/ending_requests.rs
@@ -313,7 +313,7 @@
     site.runners[2].end();
     let gateway = &site.instances[0].gateway;
     let key = gateway.balancer().key_of("e2-0").expect("it is known");
-    gateway.balancer().picture_mut().sent(key, 0);
+    gateway.balancer().load_view_mut().record_sent(key, 0);
     assert!(has_ended(&site, "e2-0").await);
     let mut spec = entry(site.runners[3].addr);
     spec["state"] = "draining".into();
--- a/tests/edge/endpoint_limits.rs
+++ b/tests/edge/endpoint_limits.rs
@@ -276,7 +276,7 @@
         let instance = Instance::start(place).await;
         for id in ["one", "other"] {
             let seen = endpoint(id);
-            instance.gateway.balancer().endpoint_seen(seen, 1);
+            instance.gateway.balancer().upsert_endpoint(seen, 1);
         }
         all.push(instance);
     }
@@ -296,7 +296,7 @@
         let now_us = all[instance].gateway.clock.now_us();
         assert!(
             balancer
-                .heard_limit(now_us, key(), version, &word)
+                .record_limit(now_us, key(), version, &word)
                 .is_some()
         );
     };
@@ -341,7 +341,7 @@
     // It goes the same way that an endpoint leaves.
     let said = Instant::now();
     let now_us = all[9].gateway.clock.now_us();
-    assert!(all[9].gateway.balancer().heard_leaving(now_us, key()));
+    assert!(all[9].gateway.balancer().record_leaving(now_us, key()));
     let leaves = |i: &Instance| i.gateway.balancer().standings().leaves(key());
     until("all to know that it leaves", || all.iter().all(leaves)).await;
     assert!(said.elapsed() < DRAIN, "{:?}", said.elapsed());
--- a/tests/edge/group.rs
+++ b/tests/edge/group.rs
@@ -8,7 +8,8 @@
 
 use ryevalve::{
     balance::{
-        balancer::Placement, cost::Ask, discovery::EndpointEntry, homes::Homes, load::EndpointKey,
+        balancer::Placement, cost::PlacementRequest, discovery::EndpointEntry, load::EndpointKey,
+        regions::AllowedRegions,
     },
     clock::Clock,
     gateway::{
@@ -232,8 +233,8 @@
 }
 
 /// A request that any endpoint of the service may take.
-pub fn ask(now_us: Micros) -> Ask {
-    Ask {
+pub fn ask(now_us: Micros) -> PlacementRequest {
+    PlacementRequest {
         service: "plain".into(),
         is_stream: false,
         prompt_tokens: 0,
@@ -245,7 +246,7 @@
         deadline_us: now_us + 10_000_000,
         rank: 0,
         other_hall_cost: 0.0,
-        homes: Homes::default(),
+        homes: AllowedRegions::default(),
         draw: 7,
     }
 }
--- a/tests/edge/large_copies.rs
+++ b/tests/edge/large_copies.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, sync::Arc};
 
-use ryevalve::{balance::discovery::EndpointsCopy, clock::Clock, gateway::copies};
+use ryevalve::{balance::discovery::EndpointsDelta, clock::Clock, gateway::copies};
 use tokio::{net::TcpListener, task::JoinSet, time};
 
 use crate::{
@@ -15,7 +15,7 @@
 const TAKERS: usize = 24;
 
 /// Takes a whole copy, coming back for as long as the giver is busy; returns how often it was put off, too.
-async fn take(addr: SocketAddr, giver: &Instance) -> (EndpointsCopy, usize) {
+async fn take(addr: SocketAddr, giver: &Instance) -> (EndpointsDelta, usize) {
     let mut put_off = 0;
     loop {
         let codec = giver.codec.clone();
@@ -41,9 +41,12 @@
     let mut giver = Instance::start(place).await;
     for number in 0..ENDPOINTS {
         let entry = endpoint(&format!("i-{number:05}"));
-        giver.gateway.balancer().endpoint_seen(entry, number + 1);
+        giver.gateway.balancer().upsert_endpoint(entry, number + 1);
     }
-    giver.gateway.balancer().endpoints_reached(ENDPOINTS + 1);
+    giver
+        .gateway
+        .balancer()
+        .advance_endpoints_revision(ENDPOINTS + 1);
     let listener = TcpListener::bind((address(NET, 0), 0))
         .await
         .expect("a port");
--- a/tests/edge/large_group.rs
+++ b/tests/edge/large_group.rs
@@ -20,10 +20,10 @@
 fn believed(instance: &Instance) -> f64 {
     let now_us = instance.gateway.clock.now_us();
     let balancer = instance.gateway.balancer();
-    let picture = balancer.picture();
+    let picture = balancer.load_view();
     let (service, hall) = ("plain".into(), Name::from("a"));
     picture
-        .believed(now_us, key(), &service, &hall, true)
+        .estimate(now_us, key(), &service, &hall, true)
         .requests
 }
 
@@ -52,7 +52,7 @@
         instance
             .gateway
             .balancer()
-            .endpoint_seen(endpoint("one"), 1);
+            .upsert_endpoint(endpoint("one"), 1);
         all.push(instance);
     }
     let heard = |all: &[Instance], heard: usize| {
--- a/tests/edge/late_news.rs
+++ b/tests/edge/late_news.rs
@@ -93,9 +93,9 @@
         giver.gateway.offer(large_config(1, 1), "test");
         {
             let mut balancer = giver.gateway.balancer();
-            balancer.endpoint_seen(endpoint("leaving"), 1);
-            balancer.endpoint_seen(endpoint("staying"), 2);
-            balancer.endpoints_reached(2);
+            balancer.upsert_endpoint(endpoint("leaving"), 1);
+            balancer.upsert_endpoint(endpoint("staying"), 2);
+            balancer.advance_endpoints_revision(2);
         }
         let taker = Instance::start(place(1)).await;
         until("the taker to know all", || {
@@ -113,8 +113,8 @@
         let mut leaving = endpoint("leaving");
         leaving.draining = true;
         let mut balancer = gateway.balancer();
-        balancer.endpoint_seen(leaving, 9);
-        balancer.endpoints_reached(9);
+        balancer.upsert_endpoint(leaving, 9);
+        balancer.advance_endpoints_revision(9);
     }
 }
 
--- a/tests/edge/places.rs
+++ b/tests/edge/places.rs
@@ -7,7 +7,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use ryevalve::{
-    balance::{balancer::Placement, cost::Ask, discovery::EndpointEntry},
+    balance::{balancer::Placement, cost::PlacementRequest, discovery::EndpointEntry},
     prelude::Name,
 };
 use tokio::time::{self, Instant};
@@ -18,9 +18,9 @@
 const ENDPOINTS: usize = 12;
 const SLOTS: u32 = 3;
 
-fn stream(instance: &Instance, number: u64) -> Ask {
+fn stream(instance: &Instance, number: u64) -> PlacementRequest {
     let ask = group::ask(instance.gateway.clock.now_us());
-    Ask {
+    PlacementRequest {
         is_stream: true,
         output_events: 20.0,
         target_us: 800_000,
@@ -49,12 +49,12 @@
                 slots: SLOTS,
                 ..endpoint(&format!("e{number}"))
             };
-            instance.gateway.balancer().endpoint_seen(entry, 1);
+            instance.gateway.balancer().upsert_endpoint(entry, 1);
         }
         all.push(instance);
     }
     until("all to report to two, who give places", || {
-        let gives = |i: &&Instance| i.gateway.balancer().picture().is_ledger();
+        let gives = |i: &&Instance| i.gateway.balancer().load_view().is_hall_aggregator();
         let heard = all.iter().all(|i| i.gateway.sharers().heard == ALL);
         heard && all.iter().filter(gives).count() == 2
     })
@@ -102,11 +102,11 @@
 async fn the_loss_of_whoever_gives_places_costs_some_milliseconds() {
     let mut all = start(15).await;
     for instance in &mut all {
-        if instance.gateway.balancer().picture().is_ledger() {
+        if instance.gateway.balancer().load_view().is_hall_aggregator() {
             instance.stop();
         }
     }
-    all.retain(|i| !i.gateway.balancer().picture().is_ledger());
+    all.retain(|i| !i.gateway.balancer().load_view().is_hall_aggregator());
     let started = Instant::now();
     let placed = surge(&all).await;
     let took = started.elapsed();
@@ -114,7 +114,7 @@
     assert!(took < Duration::from_millis(200), "it took {took:?}");
     let heard = || {
         all.iter()
-            .any(|i| i.gateway.balancer().picture().is_ledger())
+            .any(|i| i.gateway.balancer().load_view().is_hall_aggregator())
     };
     until("others to give places", heard).await;
 }
--- a/tests/edge/store_lists.rs
+++ b/tests/edge/store_lists.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use ryevalve::balance::discovery::EndpointsCopy;
+use ryevalve::balance::discovery::EndpointsDelta;
 use serde_json::{Value, json};
 use standins::platform::Platform;
 
@@ -99,7 +99,7 @@
 
 /// Lets an instance know all endpoints as they are, from another one.
 fn bring_all(platform: &Platform, instance: &Instance) {
-    let copy = EndpointsCopy {
+    let copy = EndpointsDelta {
         revision: platform.set("servers", &id(0), entry("ready")),
         entries: (0..ENDPOINTS)
             .map(|number| (endpoint(&id(number)), false))
--- a/tests/gateway/balancer.rs
+++ b/tests/gateway/balancer.rs
@@ -5,10 +5,10 @@
 use ryevalve::{
     balance::{
         balancer::{Balancer, Choice, Placement},
-        cost::Ask,
-        load::{EndpointKey, InFlight, OwnWord},
-        picture::Group,
-        speed::{Evidence, ToldSpeed},
+        cost::PlacementRequest,
+        load::{EndpointKey, EndpointLoadReport, InFlight},
+        load_view::ClusterSize,
+        speed::{SpeedSamples, SpeedSummary},
     },
     prelude::Incarnation,
 };
@@ -20,7 +20,7 @@
 fn balancer(endpoints: &[(&str, &str)]) -> Balancer {
     let mut balancer = Balancer::new("here".into());
     for (id, hall) in endpoints {
-        balancer.endpoint_seen(entry(id, hall, SLOTS), 1);
+        balancer.upsert_endpoint(entry(id, hall, SLOTS), 1);
     }
     balancer
 }
@@ -52,7 +52,7 @@
             prompt_tokens: 4_000,
         };
         let loads = names[1..].iter().map(|n| (EndpointKey::of(n), half));
-        balancer.told(0, Incarnation(1), &loads.collect::<Vec<_>>(), &[], &[]);
+        balancer.apply_peer_update(0, Incarnation(1), &loads.collect::<Vec<_>>(), &[], &[]);
         sent(balancer.place(0, &ask(instance * 7, 100, 0, 0), &[])).key
     });
     let chosen: Vec<EndpointKey> = chosen.collect();
@@ -97,8 +97,8 @@
 fn a_long_answer_goes_where_it_can_end_in_time() {
     let mut balancer = balancer(&[("slow", "here"), ("fast", "there")]);
     for _ in 0..2_000 {
-        balancer.learn(EndpointKey::of("slow"), |s| s.event(60.0));
-        balancer.learn(EndpointKey::of("fast"), |s| s.event(12.0));
+        balancer.update_speed(EndpointKey::of("slow"), |s| s.event(60.0));
+        balancer.update_speed(EndpointKey::of("fast"), |s| s.event(12.0));
     }
     let short = ask(1, 100, 0, 0);
     assert_eq!(&*sent(balancer.place(0, &short, &[])).id, "slow");
@@ -113,13 +113,13 @@
     let mut there = balancer(&[("slow", "here"), ("fast", "here")]);
     let (slow, fast) = (EndpointKey::of("slow"), EndpointKey::of("fast"));
     for _ in 0..5 {
-        there.learn(slow, |s| s.first_event(920.0, 6_000.0));
-        there.learn(fast, |s| s.first_event(80.0, 6_000.0));
+        there.update_speed(slow, |s| s.first_event(920.0, 6_000.0));
+        there.update_speed(fast, |s| s.first_event(80.0, 6_000.0));
     }
-    let seen = there.take_evidence(0, 4);
-    assert!(there.take_evidence(0, 4).is_empty(), "told once");
+    let seen = there.take_speed_samples(0, 4);
+    assert!(there.take_speed_samples(0, 4).is_empty(), "told once");
     let mut here = balancer(&[("slow", "here"), ("fast", "here")]);
-    here.told(0, Incarnation(1), &[], &[], &seen);
+    here.apply_peer_update(0, Incarnation(1), &[], &[], &seen);
     let choice = sent(here.place(0, &ask(1, 6_000, 0, 0), &[]));
     assert_eq!(choice.key, fast);
     assert!(
@@ -134,7 +134,7 @@
         other.expected.first_ms
     );
     // What was only told is not told on.
-    assert!(here.take_evidence(0, 4).is_empty());
+    assert!(here.take_speed_samples(0, 4).is_empty());
 }
 
 #[test]
@@ -159,17 +159,17 @@
 #[test]
 fn what_a_hall_believes_of_its_endpoints_counts_in_the_others_only() {
     let mut there = Balancer::new("there".into());
-    there.endpoint_seen(entry("far", "there", SLOTS), 1);
-    there.endpoint_seen(entry("near", "here", SLOTS), 1);
+    there.upsert_endpoint(entry("far", "there", SLOTS), 1);
+    there.upsert_endpoint(entry("near", "here", SLOTS), 1);
     for key in [EndpointKey::of("far"), EndpointKey::of("near")] {
         for _ in 0..10 {
-            there.learn(key, |s| s.first_event(1_220.0, 6_000.0));
+            there.update_speed(key, |s| s.first_event(1_220.0, 6_000.0));
         }
     }
     let told = there.hall_speeds(0, 4);
     assert_eq!(told.len(), 1, "of its own only");
     let mut here = balancer(&[("near", "here"), ("far", "there")]);
-    here.told_speeds(&told);
+    here.apply_speed_summaries(&told);
     let near = EndpointKey::of("near");
     let far = sent(here.place(0, &ask(1, 3_000, 0, 0), &[near]));
     assert!(far.expected.first_ms > 500.0, "{}", far.expected.first_ms);
@@ -177,9 +177,9 @@
     let before = sent(there.place(0, &ask(1, 600, 0, 0), &[near]))
         .expected
         .first_ms;
-    there.told_speeds(&[(
+    there.apply_speed_summaries(&[(
         own,
-        ToldSpeed {
+        SpeedSummary {
             read_ms: 1,
             event_tenths_ms: 1,
             hold_ms: 1,
@@ -200,10 +200,10 @@
     let endpoints: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "here")).collect();
     let mut balancer = balancer(&endpoints);
     for name in &names {
-        balancer.learn(EndpointKey::of(name), |s| s.event(20.0));
+        balancer.update_speed(EndpointKey::of(name), |s| s.event(20.0));
     }
     let told: Vec<_> = (0..3)
-        .flat_map(|turn| balancer.take_evidence(turn, 4))
+        .flat_map(|turn| balancer.take_speed_samples(turn, 4))
         .collect();
     assert_eq!(told.len(), names.len());
 }
@@ -213,19 +213,19 @@
     let mut balancer = balancer(&[("fast", "here"), ("slow", "here")]);
     let (fast, slow) = (EndpointKey::of("fast"), EndpointKey::of("slow"));
     // Both are known well; the service is as fast as the slow one on the whole.
-    let seen = |read_ms: u32, event_ms: u32| Evidence {
+    let seen = |read_ms: u32, event_ms: u32| SpeedSamples {
         prompt_tokens: 60_000,
         prompt_ms: 60 * read_ms,
         events: 1_000,
         events_ms: 1_000 * event_ms,
-        ..Evidence::default()
+        ..SpeedSamples::default()
     };
     let told = vec![
         (fast, seen(15, 10)),
         (slow, seen(25, 40)),
         (slow, seen(25, 40)),
     ];
-    balancer.told(0, Incarnation(1), &[], &[], &told);
+    balancer.apply_peer_update(0, Incarnation(1), &[], &[], &told);
     for tokens in [300, 6_000, 20_000] {
         let choice = sent(balancer.place(0, &ask(1, tokens, 0, 0), &[]));
         assert_eq!(choice.key, fast, "{tokens} tokens");
@@ -241,25 +241,27 @@
         requests: SLOTS,
         prompt_tokens: 30_000,
     };
-    balancer.told(0, Incarnation(1), &[(a, busy)], &[], &[]);
+    balancer.apply_peer_update(0, Incarnation(1), &[(a, busy)], &[], &[]);
     assert_eq!(sent(balancer.place(0, &ask(1, 100, 0, 0), &[])).key, b);
     // The next word replaces the one before; silence ends it.
-    balancer.told(MS, Incarnation(1), &[(b, busy)], &[], &[]);
+    balancer.apply_peer_update(MS, Incarnation(1), &[(b, busy)], &[], &[]);
     assert_eq!(sent(balancer.place(MS, &ask(2, 100, 0, MS), &[])).key, a);
     let (_, silent) = balancer.tick(10 * SECOND);
     assert_eq!(silent, vec![Incarnation(1)]);
-    assert_eq!(balancer.picture().heard(), 0);
+    assert_eq!(balancer.load_view().reporting_peers(), 0);
 }
 
 #[test]
 fn an_endpoints_own_word_counts_above_what_is_known_and_fades() {
     let mut balancer = balancer(&[("a", "here"), ("b", "here")]);
-    let word = OwnWord {
+    let word = EndpointLoadReport {
         running: SLOTS,
         waiting: 6,
         slots: SLOTS,
     };
-    balancer.picture_mut().report(0, EndpointKey::of("a"), word);
+    balancer
+        .load_view_mut()
+        .record_load_report(0, EndpointKey::of("a"), word);
     let choice = sent(balancer.place(0, &ask(1, 100, 0, 0), &[]));
     assert_eq!(&*choice.id, "b");
     let later = sent(balancer.place(2 * SECOND, &ask(1, 100, 0, 2 * SECOND), &[choice.key]));
@@ -270,20 +272,20 @@
 fn what_an_endpoint_said_of_its_load_is_told_once_and_counts_for_the_others() {
     let mut hearer = balancer(&[("a", "here"), ("b", "here")]);
     let a = EndpointKey::of("a");
-    let word = OwnWord {
+    let word = EndpointLoadReport {
         running: SLOTS,
         waiting: 6,
         slots: SLOTS,
     };
-    hearer.picture_mut().report(0, a, word);
-    let told = hearer.picture_mut().take_reports();
+    hearer.load_view_mut().record_load_report(0, a, word);
+    let told = hearer.load_view_mut().take_unaccounted_load();
     assert_eq!(told, vec![(a, SLOTS as i8 + 6)]);
-    assert!(hearer.picture_mut().take_reports().is_empty());
+    assert!(hearer.load_view_mut().take_unaccounted_load().is_empty());
     let mut other = balancer(&[("a", "here"), ("b", "here")]);
-    other.picture_mut().told_reports(0, &told);
+    other.load_view_mut().apply_unaccounted_load(0, &told);
     assert_eq!(&*sent(other.place(0, &ask(1, 100, 0, 0), &[])).id, "b");
     assert!(
-        other.picture_mut().take_reports().is_empty(),
+        other.load_view_mut().take_unaccounted_load().is_empty(),
         "told on by nobody else"
     );
 }
@@ -293,14 +295,14 @@
     let mut balancer = balancer(&[("a", "here"), ("b", "here")]);
     let mut draining = entry("a", "here", SLOTS);
     draining.draining = true;
-    balancer.endpoint_seen(draining, 2);
+    balancer.upsert_endpoint(draining, 2);
     let b = EndpointKey::of("b");
     assert_eq!(sent(balancer.place(0, &ask(1, 100, 0, 0), &[])).key, b);
     assert_matches!(
         balancer.place(0, &ask(1, 100, 0, 0), &[b]),
         Placement::Refuse { .. }
     );
-    balancer.endpoint_replaced(b);
+    balancer.mark_endpoint_replaced(b);
     assert_eq!(balancer.take_dead(), vec![b]);
     assert_matches!(
         balancer.place(0, &ask(1, 100, 0, 0), &[]),
@@ -312,7 +314,7 @@
 fn an_endpoint_that_fails_is_avoided_and_tried_again() {
     let mut balancer = balancer(&[("a", "here"), ("b", "here")]);
     let first = sent(balancer.place(0, &ask(1, 100, 0, 0), &[]));
-    balancer.learn(first.key, |s| s.unreachable(0));
+    balancer.update_speed(first.key, |s| s.unreachable(0));
     balancer.end(first.key, 100, None);
     for step in 0..SLOTS {
         let choice = sent(balancer.place(MS, &ask(u64::from(step), 100, 0, MS), &[]));
@@ -414,13 +416,13 @@
                     balancer.end(choice.key, left, Some(500.0));
                 }
                 _ => {
-                    balancer.endpoint_seen(entry("b", "here", SLOTS), now_us);
+                    balancer.upsert_endpoint(entry("b", "here", SLOTS), now_us);
                 }
             }
-            let sent: u32 = balancer.picture().own_loads().iter().map(|(_, l)| l.requests).sum();
+            let sent: u32 = balancer.load_view().own_loads().iter().map(|(_, l)| l.requests).sum();
             prop_assert_eq!(sent as usize, running.len());
             let unseen: u32 = running.iter().filter(|(_, s)| !*s).map(|(c, _)| c.expected.uncached_tokens).sum();
-            let pending: u32 = balancer.picture().own_loads().iter().map(|(_, l)| l.prompt_tokens).sum();
+            let pending: u32 = balancer.load_view().own_loads().iter().map(|(_, l)| l.prompt_tokens).sum();
             prop_assert_eq!(pending, unseen);
         }
     }
@@ -432,11 +434,11 @@
     for subject in 0..5_000 {
         let choice = sent(balancer.place(0, &ask(subject, 400, 0, 0), &[]));
         // The longest that fits: sums of what nobody takes must not run over.
-        balancer.learn(choice.key, |s| s.first_event(f64::from(u32::MAX), 1e9));
-        balancer.learn(choice.key, |s| s.held(1e9));
+        balancer.update_speed(choice.key, |s| s.first_event(f64::from(u32::MAX), 1e9));
+        balancer.update_speed(choice.key, |s| s.record_slot_hold(1e9));
         balancer.end(choice.key, 400, None);
     }
-    assert!(balancer.take_news(usize::MAX).len() <= 1_024);
+    assert!(balancer.take_cached_chains(usize::MAX).len() <= 1_024);
 }
 
 #[test]
@@ -445,8 +447,8 @@
     let mut plain = ask(1, 0, 0, 0);
     plain.is_stream = false;
     for _ in 0..30 {
-        balancer.learn(EndpointKey::of("slow"), |s| s.whole(300.0));
-        balancer.learn(EndpointKey::of("fast"), |s| s.whole(15.0));
+        balancer.update_speed(EndpointKey::of("slow"), |s| s.record_unary(300.0));
+        balancer.update_speed(EndpointKey::of("fast"), |s| s.record_unary(15.0));
     }
     for _ in 0..3 {
         let choice = sent(balancer.place(0, &plain, &[]));
@@ -459,7 +461,7 @@
 #[test]
 fn one_that_is_late_in_any_case_gives_way_to_one_that_can_be_in_time() {
     let mut balancer = balancer(&[("near", "here")]);
-    let of = |subject, waited_us| Ask {
+    let of = |subject, waited_us| PlacementRequest {
         waited_us,
         ..ask(subject, 100, 1, 0)
     };
@@ -484,7 +486,7 @@
 #[test]
 fn one_that_is_late_is_served_where_there_is_room() {
     let mut balancer = balancer(&[("near", "here")]);
-    let late = Ask {
+    let late = PlacementRequest {
         waited_us: 3 * SECOND,
         ..ask(1, 400, 1, 0)
     };
@@ -498,24 +500,24 @@
     let share_of_idle = |group| {
         let chosen = (0..90).map(|instance| {
             let mut balancer = balancer(&endpoints);
-            balancer.picture_mut().set_group(group);
+            balancer.load_view_mut().set_cluster_size(group);
             // One is idle, as all were told; the others are half full.
             let half = InFlight {
                 requests: SLOTS / 2,
                 prompt_tokens: 4_000,
             };
             let loads = names[1..].iter().map(|n| (EndpointKey::of(n), half));
-            balancer.told(0, Incarnation(1), &loads.collect::<Vec<_>>(), &[], &[]);
+            balancer.apply_peer_update(0, Incarnation(1), &loads.collect::<Vec<_>>(), &[], &[]);
             sent(balancer.place(0, &ask(instance * 7, 100, 0, 0), &[])).key
         });
         chosen.filter(|k| *k == EndpointKey::of("near0")).count()
     };
     assert_eq!(
-        share_of_idle(Group::Small),
+        share_of_idle(ClusterSize::Small),
         90,
         "all is known to all at once"
     );
-    let large = share_of_idle(Group::Large);
+    let large = share_of_idle(ClusterSize::Large);
     assert!(
         (5..=40).contains(&large),
         "{large} of 90 chose the idle one"
@@ -530,20 +532,22 @@
         prompt_tokens: 8_000,
     };
     let told = [(EndpointKey::of("busy"), load)];
-    balancer.told(0, Incarnation(1), &told, &[], &[]);
+    balancer.apply_peer_update(0, Incarnation(1), &told, &[], &[]);
     let there = |balancer: &mut Balancer, now_us| {
         let choice = sent(balancer.place(now_us, &ask(7, 100, 0, now_us), &[]));
         balancer.end(choice.key, choice.expected.uncached_tokens, None);
         (choice.id, choice.expected.there)
     };
     assert_eq!(there(&mut balancer, 100 * MS), ("idle".into(), 0.0));
-    balancer.picture_mut().set_group(Group::Large);
+    balancer
+        .load_view_mut()
+        .set_cluster_size(ClusterSize::Large);
     let (_, forgotten) = there(&mut balancer, 150 * MS);
     assert_eq!(
         forgotten, 0.0,
         "single instances' words are in the sums to come"
     );
-    balancer.told(160 * MS, Incarnation(1), &told, &[], &[]);
+    balancer.apply_peer_update(160 * MS, Incarnation(1), &told, &[], &[]);
     let (id, requests) = there(&mut balancer, 200 * MS);
     assert_eq!(&*id, "idle");
     // The mean is two; four tenths of it are believed.
@@ -559,7 +563,9 @@
         ("y2", "calm"),
     ];
     let mut balancer = balancer(&endpoints);
-    balancer.picture_mut().set_group(Group::Large);
+    balancer
+        .load_view_mut()
+        .set_cluster_size(ClusterSize::Large);
     let load = |id: &str, requests: u32| {
         let load = InFlight {
             requests,
@@ -569,7 +575,7 @@
     };
     // x1 looks idle to all that were told so, and will not be for long.
     let told = [load("x1", 0), load("x2", 8), load("y1", 1), load("y2", 1)];
-    balancer.told(0, Incarnation(1), &told, &[], &[]);
+    balancer.apply_peer_update(0, Incarnation(1), &told, &[], &[]);
     let choice = sent(balancer.place(100 * MS, &ask(7, 100, 0, 100 * MS), &[]));
     assert_eq!(&*choice.hall, "calm", "{}", choice.id);
 }
--- a/tests/gateway/cold.rs
+++ b/tests/gateway/cold.rs
@@ -9,7 +9,7 @@
         cold::ColdRate,
         discovery::EndpointEntry,
         load::EndpointKey,
-        standing::Standing,
+        readiness::Readiness,
     },
     gateway::evacuations::{EvacuationChange, EvacuationSet, Evacuations},
     limits::{
@@ -90,7 +90,7 @@
     let mut balancer = Balancer::new("a".into());
     let rate = ColdRate {
         rate: RequestRate::of(4.0),
-        lasts_us: 3 * SECOND,
+        duration_us: 3 * SECOND,
     };
     balancer.set_cold_rates(HashMap::from([(Name::from("model"), rate)]));
     balancer
@@ -100,18 +100,19 @@
 fn an_endpoint_that_its_entry_calls_cold_needs_permits_till_its_time_is_over() {
     let mut balancer = balancer();
     let key = cold_entry("one", "a", 2_000).key();
-    balancer.endpoint_seen(cold_entry("one", "a", 2_000), 1);
-    assert_eq!(balancer.standing(SECOND, key), Standing::NeedsPermit);
+    balancer.upsert_endpoint(cold_entry("one", "a", 2_000), 1);
+    assert_eq!(balancer.readiness(SECOND, key), Readiness::NeedsPermit);
     balancer.tick(SECOND);
-    assert_eq!(balancer.standing(2_900 * MS, key), Standing::NeedsPermit);
-    assert_eq!(balancer.standing(3 * SECOND, key), Standing::Serves);
+    assert_eq!(balancer.readiness(2_900 * MS, key), Readiness::NeedsPermit);
+    assert_eq!(balancer.readiness(3 * SECOND, key), Readiness::Ready);
     // It may go cold again at any time.
-    balancer.endpoint_seen(cold_entry("one", "a", 500), 2);
-    assert_eq!(balancer.standing(5 * SECOND, key), Standing::NeedsPermit);
+    balancer.upsert_endpoint(cold_entry("one", "a", 500), 2);
+    assert_eq!(balancer.readiness(5 * SECOND, key), Readiness::NeedsPermit);
     // Without a permit nothing is sent there, with one it is.
     let placed = balancer.place(5 * SECOND, &ask(1, 100, 0, 5 * SECOND), &[]);
     assert!(matches!(placed, Placement::Refuse { .. }), "{placed:?}");
-    let placed = balancer.place_with(5 * SECOND, &ask(1, 100, 0, 5 * SECOND), &[], Some(key));
+    let placed =
+        balancer.place_with_permit(5 * SECOND, &ask(1, 100, 0, 5 * SECOND), &[], Some(key));
     assert!(matches!(placed, Placement::Send(_)), "{placed:?}");
 }
 
@@ -119,46 +120,46 @@
 fn a_service_whose_cold_endpoints_take_all_needs_no_permits() {
     let mut balancer = balancer();
     balancer.set_cold_rates(HashMap::new());
-    balancer.endpoint_seen(cold_entry("one", "a", 2_000), 1);
+    balancer.upsert_endpoint(cold_entry("one", "a", 2_000), 1);
     let key = cold_entry("one", "a", 0).key();
-    assert_eq!(balancer.standing(SECOND, key), Standing::Serves);
+    assert_eq!(balancer.readiness(SECOND, key), Readiness::Ready);
 }
 
 /// Its entry may not say yet that it went cold while nothing was sent to it.
 #[test]
 fn endpoints_of_a_data_centre_that_is_used_again_are_taken_for_cold() {
     let mut balancer = balancer();
-    balancer.endpoint_seen(entry("one", "a", 8), 1);
-    balancer.endpoint_seen(entry("two", "b", 8), 1);
+    balancer.upsert_endpoint(entry("one", "a", 8), 1);
+    balancer.upsert_endpoint(entry("two", "b", 8), 1);
     let keys = ["one", "two"].map(EndpointKey::of);
     let change = EvacuationChange {
         begun: vec!["b".into()],
         ended: vec![],
     };
-    balancer.change_evacuated(SECOND, &change);
-    assert_eq!(balancer.standing(SECOND, keys[0]), Standing::Serves);
-    assert_eq!(balancer.standing(SECOND, keys[1]), Standing::Evacuated);
+    balancer.apply_evacuation_change(SECOND, &change);
+    assert_eq!(balancer.readiness(SECOND, keys[0]), Readiness::Ready);
+    assert_eq!(balancer.readiness(SECOND, keys[1]), Readiness::Evacuated);
     let back = EvacuationChange {
         begun: vec![],
         ended: change.begun,
     };
-    balancer.change_evacuated(9 * SECOND, &back);
+    balancer.apply_evacuation_change(9 * SECOND, &back);
     assert_eq!(
-        balancer.standing(11 * SECOND, keys[1]),
-        Standing::NeedsPermit
+        balancer.readiness(11 * SECOND, keys[1]),
+        Readiness::NeedsPermit
     );
-    assert_eq!(balancer.standing(13 * SECOND, keys[1]), Standing::Serves);
+    assert_eq!(balancer.readiness(13 * SECOND, keys[1]), Readiness::Ready);
 }
 
 #[test]
 fn where_all_data_centres_are_evacuated_callers_are_told_so() {
     let mut balancer = balancer();
-    balancer.endpoint_seen(entry("one", "b", 8), 1);
+    balancer.upsert_endpoint(entry("one", "b", 8), 1);
     let change = EvacuationChange {
         begun: vec!["b".into()],
         ended: vec![],
     };
-    balancer.change_evacuated(0, &change);
+    balancer.apply_evacuation_change(0, &change);
     let placed = balancer.place(SECOND, &ask(1, 100, 0, SECOND), &[]);
     let reason = match placed {
         Placement::Refuse { reason, .. } => reason,
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -8,27 +8,27 @@
 #[test]
 fn an_endpoint_appears_drains_and_goes() {
     let mut set = Discovery::default();
-    assert_eq!(set.seen(entry("a", "h", 4), 1), Some(Change::Appeared));
-    assert_eq!(set.seen(entry("a", "h", 4), 2), None);
+    assert_eq!(set.upsert(entry("a", "h", 4), 1), Some(Change::Appeared));
+    assert_eq!(set.upsert(entry("a", "h", 4), 2), None);
     let mut draining = entry("a", "h", 4);
     draining.draining = true;
-    assert_eq!(set.seen(draining, 3), Some(Change::Updated));
+    assert_eq!(set.upsert(draining, 3), Some(Change::Updated));
     assert!(set.get("a").unwrap().draining);
-    assert_eq!(set.removed(SECOND, "a", 4), Some(Change::Gone));
-    assert_eq!(set.removed(SECOND, "a", 4), None);
+    assert_eq!(set.mark_removed(SECOND, "a", 4), Some(Change::Gone));
+    assert_eq!(set.mark_removed(SECOND, "a", 4), None);
     assert!(set.is_empty());
 }
 
 #[test]
 fn an_entry_that_lapsed_while_the_store_was_away_is_kept_for_two_seconds() {
     let mut set = Discovery::default();
-    set.seen(entry("a", "h", 4), 1);
-    set.seen(entry("b", "h", 4), 1);
-    set.store_was_away(10 * SECOND);
-    assert_eq!(set.removed(10 * SECOND, "a", 1), Some(Change::Lapsed));
-    assert_eq!(set.removed(10 * SECOND, "b", 1), Some(Change::Lapsed));
+    set.upsert(entry("a", "h", 4), 1);
+    set.upsert(entry("b", "h", 4), 1);
+    set.store_was_unreachable(10 * SECOND);
+    assert_eq!(set.mark_removed(10 * SECOND, "a", 1), Some(Change::Lapsed));
+    assert_eq!(set.mark_removed(10 * SECOND, "b", 1), Some(Change::Lapsed));
     assert!(set.get("a").is_some());
-    assert_eq!(set.seen(entry("a", "h", 4), 2), Some(Change::Updated));
+    assert_eq!(set.upsert(entry("a", "h", 4), 2), Some(Change::Updated));
     assert!(set.expire(11 * SECOND).is_empty());
     let expired = set.expire(12 * SECOND);
     assert_eq!(expired, vec!["b".into()]);
@@ -40,16 +40,16 @@
     let mut set = Discovery::default();
     let mut draining = entry("a", "h", 4);
     draining.draining = true;
-    set.seen(draining, 1);
-    set.store_was_away(10 * SECOND);
-    assert_eq!(set.removed(10 * SECOND, "a", 1), Some(Change::Gone));
+    set.upsert(draining, 1);
+    set.store_was_unreachable(10 * SECOND);
+    assert_eq!(set.mark_removed(10 * SECOND, "a", 1), Some(Change::Gone));
 }
 
 #[test]
 fn a_list_removes_what_is_not_on_it() {
     let mut set = Discovery::default();
-    set.seen(entry("a", "h", 4), 1);
-    set.seen(entry("b", "h", 4), 1);
+    set.upsert(entry("a", "h", 4), 1);
+    set.upsert(entry("b", "h", 4), 1);
     let changes = set.retain_listed(SECOND, 2, |id| id == "a");
     assert_eq!(changes, vec![("b".into(), Change::Gone)]);
     assert_eq!(set.len(), 1);
@@ -58,12 +58,12 @@
 #[test]
 fn a_copy_from_behind_changes_nothing() {
     let mut ahead = Discovery::default();
-    ahead.seen(entry("a", "h", 4), 5);
-    ahead.reached(9);
+    ahead.upsert(entry("a", "h", 4), 5);
+    ahead.advance_to(9);
     let mut behind = Discovery::default();
-    behind.seen(entry("b", "h", 4), 2);
-    behind.reached(3);
-    assert!(ahead.take_copy(SECOND, behind.copy_since(0)).is_empty());
+    behind.upsert(entry("b", "h", 4), 2);
+    behind.advance_to(3);
+    assert!(ahead.apply_delta(SECOND, behind.delta_since(0)).is_empty());
     assert!(ahead.get("b").is_none());
 }
 
@@ -80,21 +80,21 @@
             let id = format!("e{index}");
             match what {
                 0 => {
-                    watcher.removed(SECOND, &id, revision);
+                    watcher.mark_removed(SECOND, &id, revision);
                 }
                 1 => {
                     let mut draining = entry(&id, "h", 4);
                     draining.draining = true;
-                    watcher.seen(draining, revision);
+                    watcher.upsert(draining, revision);
                 }
                 slots => {
-                    watcher.seen(entry(&id, "h", u32::from(slots)), revision);
+                    watcher.upsert(entry(&id, "h", u32::from(slots)), revision);
                 }
             }
-            watcher.reached(revision);
+            watcher.advance_to(revision);
             if copies {
-                let copy = watcher.copy_since(follower.revision());
-                follower.take_copy(SECOND, copy);
+                let copy = watcher.delta_since(follower.revision());
+                follower.apply_delta(SECOND, copy);
                 for index in 0..12 {
                     let id = format!("e{index}");
                     prop_assert_eq!(watcher.get(&id), follower.get(&id), "{}", id);
@@ -161,19 +161,19 @@
                             Some(draining) => {
                                 let mut entry = entry(&id, "h", 4);
                                 entry.draining = *draining;
-                                sets[one].seen(entry, *at);
+                                sets[one].upsert(entry, *at);
                             }
                             None => {
-                                sets[one].removed(SECOND, &id, newest);
+                                sets[one].mark_removed(SECOND, &id, newest);
                             }
                         }
                     }
                     watched[one] = newest;
-                    sets[one].reached(newest);
+                    sets[one].advance_to(newest);
                 }
                 _ => {
-                    let copy = sets[other].copy_since(sets[one].revision());
-                    sets[one].take_copy(SECOND, copy);
+                    let copy = sets[other].delta_since(sets[one].revision());
+                    sets[one].apply_delta(SECOND, copy);
                 }
             }
             for set in &sets {
--- a/tests/gateway/endpoint_limits.rs
+++ b/tests/gateway/endpoint_limits.rs
@@ -7,7 +7,7 @@
         balancer::{Balancer, Choice, ENDPOINT_LIMITS, Placement},
         discovery::EndpointEntry,
         load::EndpointKey,
-        picture::Group,
+        load_view::ClusterSize,
     },
     limits::{
         permits::{Permit, PermitGiver},
@@ -228,10 +228,10 @@
 fn balancer() -> Balancer {
     let mut balancer = Balancer::new("here".into());
     for id in ["free", "limited"] {
-        balancer.endpoint_seen(entry(id, "here", 4), 1);
+        balancer.upsert_endpoint(entry(id, "here", 4), 1);
     }
     let key = EndpointKey::of("limited");
-    balancer.heard_limit(0, key, 0, &named("2"));
+    balancer.record_limit(0, key, 0, &named("2"));
     balancer
 }
 
@@ -249,13 +249,17 @@
     }
     // The other is full by now.
     let next = ask(9, 100, 0, 0);
-    assert_eq!(balancer.wanted_permit(0, &next, &[]), Some(limited));
-    let choice = sent(balancer.place_with(0, &next, &[], Some(limited)));
+    assert_eq!(balancer.permit_candidate(0, &next, &[]), Some(limited));
+    let choice = sent(balancer.place_with_permit(0, &next, &[], Some(limited)));
     assert_eq!(choice.key, limited);
     let tried = [EndpointKey::of("free")];
     let refused = balancer.place(0, &next, &tried);
     assert_matches!(refused, Placement::Refuse { reason: ENDPOINT_LIMITS, retry_after_ms } if retry_after_ms >= 150);
-    assert_eq!(balancer.wanted_permit(0, &next, &[limited]), None, "tried");
+    assert_eq!(
+        balancer.permit_candidate(0, &next, &[limited]),
+        None,
+        "tried"
+    );
 }
 
 #[test]
@@ -265,21 +269,24 @@
     let tried = [EndpointKey::of("free")];
     let request = ask(1, 100, 1, 0);
     let urgent = ask(1, 100, 0, 0);
-    balancer.note_no_permit(limited, 1, SECOND);
-    assert_eq!(balancer.wanted_permit(SECOND - 1, &request, &tried), None);
+    balancer.record_permit_denial(limited, 1, SECOND);
+    assert_eq!(
+        balancer.permit_candidate(SECOND - 1, &request, &tried),
+        None
+    );
     assert_eq!(
-        balancer.wanted_permit(SECOND - 1, &urgent, &tried),
+        balancer.permit_candidate(SECOND - 1, &urgent, &tried),
         Some(limited)
     );
     assert_eq!(
-        balancer.wanted_permit(SECOND, &request, &tried),
+        balancer.permit_candidate(SECOND, &request, &tried),
         Some(limited)
     );
-    balancer.note_no_permit(limited, 1, 9 * SECOND);
+    balancer.record_permit_denial(limited, 1, 9 * SECOND);
     // A limit that has changed may be asked for at once.
-    balancer.heard_limit(SECOND, limited, 1, &named("4"));
+    balancer.record_limit(SECOND, limited, 1, &named("4"));
     assert_eq!(
-        balancer.wanted_permit(SECOND, &request, &tried),
+        balancer.permit_candidate(SECOND, &request, &tried),
         Some(limited)
     );
 }
@@ -291,12 +298,12 @@
         born_ms,
         ..entry("limited", "here", 4)
     };
-    balancer.endpoint_seen(born(100), 2);
+    balancer.upsert_endpoint(born(100), 2);
     assert!(!balancer.standings().has_limits());
-    let later = EndpointKey::of_start("limited", 100);
+    let later = EndpointKey::of_incarnation("limited", 100);
     // An answer of the start before comes late.
     assert_eq!(
-        balancer.heard_limit(SECOND, EndpointKey::of("limited"), 0, &named("1")),
+        balancer.record_limit(SECOND, EndpointKey::of("limited"), 0, &named("1")),
         None
     );
     let tried = [EndpointKey::of("free")];
@@ -308,11 +315,11 @@
 #[test]
 fn an_endpoint_whose_entry_lapsed_and_came_back_has_its_limit_still() {
     let mut balancer = balancer();
-    balancer.store_was_away(SECOND);
-    balancer.endpoint_removed(SECOND, "limited", 2);
+    balancer.store_was_unreachable(SECOND);
+    balancer.remove_endpoint(SECOND, "limited", 2);
     let (gone, _) = balancer.tick(5 * SECOND);
     assert_eq!(gone, ["limited".into()]);
-    balancer.endpoint_seen(entry("limited", "here", 4), 3);
+    balancer.upsert_endpoint(entry("limited", "here", 4), 3);
     let tried = [EndpointKey::of("free")];
     let refused = balancer.place(6 * SECOND, &ask(1, 100, 0, 6 * SECOND), &tried);
     assert_matches!(
@@ -327,13 +334,15 @@
 #[test]
 fn in_a_large_group_endpoints_that_need_permits_take_no_place_among_those_looked_at() {
     let mut balancer = Balancer::new("here".into());
-    balancer.picture_mut().set_group(Group::Large);
+    balancer
+        .load_view_mut()
+        .set_cluster_size(ClusterSize::Large);
     for number in 0..40 {
         let id = format!("limited-{number}");
-        balancer.endpoint_seen(entry(&id, "here", 4), 1);
-        balancer.heard_limit(0, EndpointKey::of(&id), 0, &named("1"));
+        balancer.upsert_endpoint(entry(&id, "here", 4), 1);
+        balancer.record_limit(0, EndpointKey::of(&id), 0, &named("1"));
     }
-    balancer.endpoint_seen(entry("free", "here", 4), 1);
+    balancer.upsert_endpoint(entry("free", "here", 4), 1);
     for draw in 0..20 {
         let request = ask(draw, 100, 0, 0);
         let choice = sent(balancer.place(0, &request, &[]));
--- a/tests/gateway/endpoint_rests.rs
+++ b/tests/gateway/endpoint_rests.rs
@@ -7,7 +7,7 @@
         balancer::{Balancer, Placement},
         discovery::EndpointEntry,
         load::EndpointKey,
-        standing::{ENDPOINTS_REST, Standing},
+        readiness::{ENDPOINTS_BACKING_OFF, Readiness},
     },
     limits::{
         rest::{Rest, Rests},
@@ -169,9 +169,9 @@
 fn balancer(ids: &[&str]) -> Balancer {
     let mut balancer = Balancer::new("here".into());
     for id in ids {
-        balancer.endpoint_seen(entry(id, "here", 4), 1);
+        balancer.upsert_endpoint(entry(id, "here", 4), 1);
     }
-    balancer.endpoints_reached(1);
+    balancer.advance_endpoints_revision(1);
     balancer
 }
 
@@ -180,22 +180,22 @@
     let mut balancer = balancer(&["a", "b", "c"]);
     let ask = ask(1, 100, 0, SECOND);
     for (id, rest_us) in [("a", 3 * SECOND), ("b", 2 * SECOND), ("c", 0)] {
-        assert!(balancer.refuse_at_rest(SECOND, &ask).is_none());
-        balancer.heard_rest(SECOND, entry(id, "here", 4).key(), rest_us, 1, 0.0);
+        assert!(balancer.refuse_while_backing_off(SECOND, &ask).is_none());
+        balancer.record_backoff(SECOND, entry(id, "here", 4).key(), rest_us, 1, 0.0);
     }
-    balancer.heard_leaving(SECOND, entry("c", "here", 4).key());
+    balancer.record_leaving(SECOND, entry("c", "here", 4).key());
     let later = crate::support::ask(2, 100, 0, 3 * SECOND);
     assert_matches!(
         balancer.place(SECOND, &ask, &[]),
         Placement::Refuse {
-            reason: ENDPOINTS_REST,
+            reason: ENDPOINTS_BACKING_OFF,
             retry_after_ms: 2_000
         }
     );
     assert_matches!(
-        balancer.refuse_at_rest(SECOND, &ask),
+        balancer.refuse_while_backing_off(SECOND, &ask),
         Some(Placement::Refuse {
-            reason: ENDPOINTS_REST,
+            reason: ENDPOINTS_BACKING_OFF,
             retry_after_ms: 2_000
         })
     );
@@ -206,7 +206,7 @@
 fn where_one_serves_and_was_tried_callers_are_not_told_of_rests() {
     let mut balancer = balancer(&["a", "b"]);
     let (a, b) = (entry("a", "here", 4).key(), entry("b", "here", 4).key());
-    balancer.heard_rest(SECOND, a, 100 * SECOND, 1, 0.0);
+    balancer.record_backoff(SECOND, a, 100 * SECOND, 1, 0.0);
     let placement = balancer.place(SECOND, &ask(1, 100, 0, SECOND), &[b]);
     assert_matches!(placement, Placement::Refuse { retry_after_ms, .. } if retry_after_ms < 1_000);
 }
@@ -215,20 +215,23 @@
 fn an_entry_that_comes_back_is_bound_and_a_later_start_is_not() {
     let mut balancer = balancer(&["a"]);
     let first = entry("a", "here", 4);
-    balancer.heard_rest(SECOND, first.key(), REST_US, 1, 0.0);
-    balancer.endpoint_removed(2 * SECOND, "a", 2);
+    balancer.record_backoff(SECOND, first.key(), REST_US, 1, 0.0);
+    balancer.remove_endpoint(2 * SECOND, "a", 2);
     balancer.tick(2 * SECOND);
-    balancer.endpoint_seen(first.clone(), 3);
+    balancer.upsert_endpoint(first.clone(), 3);
     assert_eq!(
-        balancer.standing(2 * SECOND, first.key()),
-        Standing::RestsUntil(4 * SECOND)
+        balancer.readiness(2 * SECOND, first.key()),
+        Readiness::BackoffUntil(4 * SECOND)
     );
     let later = EndpointEntry {
         born_ms: 7,
         ..first
     };
-    balancer.endpoint_seen(later.clone(), 4);
-    assert_eq!(balancer.standing(2 * SECOND, later.key()), Standing::Serves);
+    balancer.upsert_endpoint(later.clone(), 4);
+    assert_eq!(
+        balancer.readiness(2 * SECOND, later.key()),
+        Readiness::Ready
+    );
 }
 
 #[test]
@@ -238,10 +241,10 @@
     let Placement::Send(choice) = balancer.place(SECOND, &ask, &[]) else {
         panic!("a place");
     };
-    balancer.heard_rest(SECOND, choice.key, REST_US, 1, 0.0);
+    balancer.record_backoff(SECOND, choice.key, REST_US, 1, 0.0);
     assert!(
         balancer
-            .take_place(SECOND, &ask, choice.key, choice.expected)
+            .place_granted(SECOND, &ask, choice.key, choice.expected)
             .is_none()
     );
 }
@@ -263,14 +266,14 @@
 fn what_others_were_asked_for_is_a_sign_of_load() {
     let (mut asked, mut other) = (balancer(&["a", "b"]), balancer(&["a", "b"]));
     let key = entry("a", "here", 4).key();
-    asked.heard_rest(SECOND, key, REST_US, 7, 0.0);
-    assert!(asked.take_standing_news());
-    let words = asked.take_told_standings(SECOND, Audience::Peers);
+    asked.record_backoff(SECOND, key, REST_US, 7, 0.0);
+    assert!(asked.take_standings_changed());
+    let words = asked.take_standings_to_send(SECOND, Audience::Peers);
     assert_eq!(words[0].rest_ms, 3_000);
-    other.told_standings(SECOND, &words);
+    other.apply_peer_standings(SECOND, &words);
     assert_eq!(
-        other.standing(SECOND, key),
-        Standing::Serves,
+        other.readiness(SECOND, key),
+        Readiness::Ready,
         "it was not asked"
     );
     let elsewhere = placed_before(&mut other, "a");
@@ -281,7 +284,7 @@
     let mut none_told = balancer(&["a", "b"]);
     assert!(placed_before(&mut none_told, "a") < 2);
     // It is over for all in the same moment, and is told on with the time that is left.
-    let later = other.take_told_standings(3 * SECOND, Audience::Peers);
+    let later = other.take_standings_to_send(3 * SECOND, Audience::Peers);
     assert_eq!(later[0].rest_ms, 1_000);
     assert!(other.standings().wants_rest(4 * SECOND - 1, key));
     assert!(!other.standings().wants_rest(4 * SECOND, key));
@@ -292,14 +295,14 @@
 fn a_rest_that_is_known_already_is_no_news() {
     let mut balancer = balancer(&["a"]);
     let key = entry("a", "here", 4).key();
-    balancer.heard_rest(SECOND, key, REST_US, 7, 0.0);
-    assert!(balancer.take_standing_news());
+    balancer.record_backoff(SECOND, key, REST_US, 7, 0.0);
+    assert!(balancer.take_standings_changed());
     for step in 1..4 {
-        balancer.heard_rest(SECOND + step * 100 * MS, key, REST_US, 7, 0.0);
-        assert!(!balancer.take_standing_news());
+        balancer.record_backoff(SECOND + step * 100 * MS, key, REST_US, 7, 0.0);
+        assert!(!balancer.take_standings_changed());
     }
-    balancer.heard_rest(2 * SECOND, key, REST_US, 7, 0.0);
-    assert!(balancer.take_standing_news(), "another rest");
+    balancer.record_backoff(2 * SECOND, key, REST_US, 7, 0.0);
+    assert!(balancer.take_standings_changed(), "another rest");
 }
 
 proptest! {
--- a/tests/gateway/far_book.rs
+++ b/tests/gateway/far_book.rs
@@ -1,7 +1,7 @@
 //! What an aggregator sums up of other halls.
 
 use ryevalve::{
-    balance::load::{EndpointKey, InFlight, KeySpan},
+    balance::load::{EndpointKey, InFlight, KeyRange},
     gateway::far_book::FarBook,
     peers::update::HallSummary,
     prelude::Incarnation,
@@ -52,7 +52,7 @@
     let mut book = FarBook::default();
     book.note(0, &summary(1, 1));
     let part = HallSummary {
-        span: KeySpan {
+        span: KeyRange {
             first: EndpointKey(11),
             last: EndpointKey(u32::MAX),
         },
--- a/tests/gateway/grants.rs
+++ b/tests/gateway/grants.rs
@@ -8,7 +8,7 @@
         balancer::{Balancer, Choice, Placement},
         grants::{Grant, Grants},
         load::{EndpointKey, InFlight},
-        picture::Group,
+        load_view::ClusterSize,
     },
     prelude::Incarnation,
 };
@@ -30,23 +30,27 @@
 fn a_report_settles_what_was_asked_for_before_it() {
     let mut grants = Grants::default();
     for number in [2, 3, 5] {
-        grants.note(ONE, grant(number, 0));
+        grants.record(ONE, grant(number, 0));
     }
-    grants.note(Incarnation(2), grant(1, 0));
-    let settled: Vec<u64> = grants.settle(ONE, 3).iter().map(|g| g.number).collect();
+    grants.record(Incarnation(2), grant(1, 0));
+    let settled: Vec<u64> = grants
+        .take_reported(ONE, 3)
+        .iter()
+        .map(|g| g.number)
+        .collect();
     assert_eq!(settled, vec![2, 3]);
-    assert!(grants.settle(ONE, 3).is_empty());
-    assert_eq!(grants.settle(ONE, 9).len(), 1);
+    assert!(grants.take_reported(ONE, 3).is_empty());
+    assert_eq!(grants.take_reported(ONE, 9).len(), 1);
 }
 
 #[test]
 fn a_place_whose_taker_does_not_report_is_free_again() {
     let mut grants = Grants::default();
-    grants.note(ONE, grant(1, 0));
-    grants.note(ONE, grant(2, 300 * MS));
+    grants.record(ONE, grant(1, 0));
+    grants.record(ONE, grant(2, 300 * MS));
     assert!(grants.expire(399 * MS).is_empty());
     assert_eq!(grants.expire(400 * MS), vec![grant(1, 0)]);
-    assert_eq!(grants.settle(ONE, 2), vec![grant(2, 300 * MS)]);
+    assert_eq!(grants.take_reported(ONE, 2), vec![grant(2, 300 * MS)]);
 }
 
 /// What happens between whoever gives places and those that ask.
@@ -109,15 +113,15 @@
     #[test]
     fn whoever_gives_places_counts_no_fewer_than_there_are(steps in steps()) {
         let mut ledger = Balancer::new("h".into());
-        ledger.picture_mut().set_group(Group::Large);
-        ledger.picture_mut().set_ledger(true);
+        ledger.load_view_mut().set_cluster_size(ClusterSize::Large);
+        ledger.load_view_mut().set_hall_aggregator(true);
         for id in ["a", "b"] {
-            ledger.endpoint_seen(entry(id, "h", 100), 1);
+            ledger.upsert_endpoint(entry(id, "h", 100), 1);
         }
         let keys = [EndpointKey::of("a"), EndpointKey::of("b")];
         let mut takers: [Taker; 3] = Default::default();
         let believed = |ledger: &Balancer, key: EndpointKey| {
-            ledger.picture().believed(0, key, &"model".into(), &"h".into(), true).requests as u32
+            ledger.load_view().estimate(0, key, &"model".into(), &"h".into(), true).requests as u32
         };
         let there = |takers: &[Taker; 3], key: EndpointKey| -> u32 {
             takers.iter().map(|t| t.has.get(&key).copied().unwrap_or(0)).sum()
@@ -132,7 +136,7 @@
                     let Choice { key, .. } = choice;
                     takers[who].last_number += 1;
                     let number = takers[who].last_number;
-                    ledger.hand_over(0, &choice, Incarnation(who as u64), number);
+                    ledger.grant_to_peer(0, &choice, Incarnation(who as u64), number);
                     takers[who].on_the_way.push((number, key));
                 }
                 Step::Take(who) => {
@@ -150,7 +154,7 @@
                 }
                 Step::Report(who) => {
                     let (loads, settled) = (takers[who].loads(), takers[who].settled());
-                    ledger.reported(0, Incarnation(who as u64), &loads, settled);
+                    ledger.apply_grantee_report(0, Incarnation(who as u64), &loads, settled);
                 }
             }
             for key in keys {
@@ -159,7 +163,7 @@
         }
         for (who, taker) in takers.iter_mut().enumerate() {
             taker.on_the_way.clear();
-            ledger.reported(0, Incarnation(who as u64), &taker.loads(), taker.settled());
+            ledger.apply_grantee_report(0, Incarnation(who as u64), &taker.loads(), taker.settled());
         }
         for key in keys {
             prop_assert_eq!(believed(&ledger, key), there(&takers, key));
--- a/tests/gateway/growth.rs
+++ b/tests/gateway/growth.rs
@@ -44,7 +44,7 @@
     for number in 0..count {
         let id = format!("i-{number:05}");
         let hall = ["a", "b", "c"][number % 3];
-        balancer.endpoint_seen(entry(&id, hall, 8), number as u64 + 1);
+        balancer.upsert_endpoint(entry(&id, hall, 8), number as u64 + 1);
     }
     balancer
 }
@@ -61,12 +61,12 @@
     check("a copy", |count| {
         let mut giver = Discovery::default();
         for number in 0..count {
-            giver.seen(entry(&format!("i-{number:05}"), "a", 8), number as u64 + 1);
+            giver.upsert(entry(&format!("i-{number:05}"), "a", 8), number as u64 + 1);
         }
-        giver.reached(count as u64 + 1);
+        giver.advance_to(count as u64 + 1);
         let mut taker = Discovery::default();
-        taker.seen(entry("i-gone", "a", 8), 1);
-        taker.take_copy(0, giver.copy_since(0));
+        taker.upsert(entry("i-gone", "a", 8), 1);
+        taker.apply_delta(0, giver.delta_since(0));
         assert!(taker.get("i-gone").is_none());
         taker.len()
     });
@@ -79,7 +79,7 @@
         let mut balancer = listed(count);
         for number in 0..count {
             let id = format!("i-{number:05}");
-            balancer.endpoint_removed(0, &id, (2 * count) as u64);
+            balancer.remove_endpoint(0, &id, (2 * count) as u64);
         }
         assert_eq!(balancer.endpoint_count(), 0);
         count
--- a/tests/gateway/hall_book.rs
+++ b/tests/gateway/hall_book.rs
@@ -4,8 +4,8 @@
 
 use ryevalve::{
     balance::{
-        load::{EndpointKey, InFlight, KeySpan, split_loads},
-        speed::Evidence,
+        load::{EndpointKey, InFlight, KeyRange, split_loads},
+        speed::SpeedSamples,
     },
     gateway::hall_book::{HallBook, Headcount},
     peers::update::{HallSummary, Update},
@@ -83,10 +83,10 @@
 fn what_was_seen_of_one_endpoint_is_told_once_in_one_sum() {
     let mut book = HallBook::default();
     let seen = |events: u32| {
-        let evidence = Evidence {
+        let evidence = SpeedSamples {
             events,
             events_ms: events * 20,
-            ..Evidence::default()
+            ..SpeedSamples::default()
         };
         vec![(EndpointKey(1), evidence)]
     };
@@ -167,6 +167,6 @@
                 .filter(|(span, _)| span.contains(EndpointKey(key)));
             assert_eq!(spans.count(), 1, "{key} of {count}");
         }
-        assert_eq!(parts[0].0.first, KeySpan::ALL.first);
+        assert_eq!(parts[0].0.first, KeyRange::ALL.first);
     }
 }
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -7,7 +7,7 @@
         balancer::{Balancer, Placement},
         discovery::EndpointEntry,
         load::EndpointKey,
-        standing::Standing,
+        readiness::Readiness,
     },
     limits::{rate::LimitWord, standings::ToldStanding, telling::Audience},
 };
@@ -27,14 +27,14 @@
 fn balancer(ids: &[&str]) -> Balancer {
     let mut balancer = Balancer::new("here".into());
     for id in ids {
-        balancer.endpoint_seen(born(id, 1), 1);
+        balancer.upsert_endpoint(born(id, 1), 1);
     }
-    balancer.endpoints_reached(1);
+    balancer.advance_endpoints_revision(1);
     balancer
 }
 
 fn told(balancer: &mut Balancer, now_us: u64) -> Vec<ToldStanding> {
-    balancer.take_told_standings(now_us, Audience::Peers)
+    balancer.take_standings_to_send(now_us, Audience::Peers)
 }
 
 fn chosen(balancer: &mut Balancer, now_us: u64, draw: u64) -> Option<EndpointKey> {
@@ -53,8 +53,8 @@
     let mut balancer = balancer(&["a", "b"]);
     for id in ["a", "b"] {
         let key = born(id, 1).key();
-        assert!(balancer.heard_leaving(SECOND, key));
-        assert!(!balancer.heard_leaving(SECOND, key), "it is known");
+        assert!(balancer.record_leaving(SECOND, key));
+        assert!(!balancer.record_leaving(SECOND, key), "it is known");
     }
     let placement = balancer.place(SECOND, &ask(1, 100, 0, SECOND), &[]);
     assert_matches!(placement, Placement::Refuse { retry_after_ms, .. } if retry_after_ms >= 100);
@@ -64,18 +64,18 @@
 #[test]
 fn a_later_start_and_another_id_at_the_same_address_serve_at_once() {
     let mut balancer = balancer(&["a"]);
-    balancer.heard_leaving(SECOND, born("a", 1).key());
+    balancer.record_leaving(SECOND, born("a", 1).key());
     assert_eq!(chosen(&mut balancer, SECOND, 1), None);
-    balancer.endpoint_seen(born("a", 2), 2);
+    balancer.upsert_endpoint(born("a", 2), 2);
     assert_eq!(chosen(&mut balancer, SECOND, 2), Some(born("a", 2).key()));
 
     let mut other = self::balancer(&["a"]);
-    other.heard_leaving(SECOND, born("a", 1).key());
+    other.record_leaving(SECOND, born("a", 1).key());
     let same_addr = EndpointEntry {
         addr: born("a", 1).addr,
         ..born("b", 1)
     };
-    other.endpoint_seen(same_addr.clone(), 2);
+    other.upsert_endpoint(same_addr.clone(), 2);
     assert_eq!(chosen(&mut other, SECOND, 3), Some(same_addr.key()));
 }
 
@@ -86,20 +86,20 @@
     let Placement::Send(choice) = balancer.place(SECOND, &ask, &[]) else {
         panic!("a place");
     };
-    balancer.heard_leaving(SECOND, choice.key);
-    let taken = balancer.take_place(SECOND, &ask, choice.key, choice.expected);
+    balancer.record_leaving(SECOND, choice.key);
+    let taken = balancer.place_granted(SECOND, &ask, choice.key, choice.expected);
     assert!(taken.is_none(), "{taken:?}");
-    assert_eq!(balancer.standing(SECOND, choice.key), Standing::Leaves);
+    assert_eq!(balancer.readiness(SECOND, choice.key), Readiness::Leaving);
 }
 
 #[test]
 fn a_full_table_forgets_starts_that_are_in_no_list_first() {
     let mut balancer = balancer(&["a", "b"]);
     let key = born("a", 1).key();
-    balancer.heard_leaving(SECOND, key);
+    balancer.record_leaving(SECOND, key);
     for number in 0..CROWD {
         let now_us = SECOND + u64::from(number) * MS;
-        balancer.heard_leaving(now_us, EndpointKey(number));
+        balancer.record_leaving(now_us, EndpointKey(number));
         if number % 100 == 0 {
             balancer.tick(now_us);
         }
@@ -108,35 +108,38 @@
         balancer.standings().leaving() < CROWD as usize,
         "it is bounded"
     );
-    assert_eq!(balancer.standing(20 * SECOND, key), Standing::Leaves);
+    assert_eq!(balancer.readiness(20 * SECOND, key), Readiness::Leaving);
 }
 
 #[test]
 fn it_is_told_for_as_long_as_it_is_in_a_list_and_to_whoever_knows_less() {
     let (mut one, mut other) = (balancer(&["a", "b"]), balancer(&["a", "b"]));
     let key = born("a", 1).key();
-    one.heard_leaving(SECOND, key);
-    assert!(one.take_standing_news());
+    one.record_leaving(SECOND, key);
+    assert!(one.take_standings_changed());
     let news = told(&mut one, SECOND);
-    assert_eq!(other.told_standings(SECOND, &news).len(), 1);
-    assert!(other.told_standings(SECOND, &news).is_empty(), "known");
-    assert_eq!(other.standing(SECOND, key), Standing::Leaves);
+    assert_eq!(other.apply_peer_standings(SECOND, &news).len(), 1);
+    assert!(
+        other.apply_peer_standings(SECOND, &news).is_empty(),
+        "known"
+    );
+    assert_eq!(other.readiness(SECOND, key), Readiness::Leaving);
     // An instance that starts much later hears it.
     while !told(&mut one, SECOND).is_empty() {}
     assert_eq!(told(&mut one, 100 * SECOND), news);
     // One that asks for a permit and does not know is told.
     let fresh = balancer(&["a", "b"]);
-    let asked = fresh.told_standing(SECOND, key);
+    let asked = fresh.standing_to_send(SECOND, key);
     assert!(!asked.leaves);
-    one.heard_limit(
+    one.record_limit(
         SECOND,
         key,
         0,
         &LimitWord::Named(ryevalve::limits::rate::RequestRate::parse("2").expect("a rate")),
     );
-    one.told_standings(101 * SECOND, &[asked]);
-    assert!(one.take_standing_news());
-    assert!(one.told_standing(101 * SECOND, key).leaves);
+    one.apply_peer_standings(101 * SECOND, &[asked]);
+    assert!(one.take_standings_changed());
+    assert!(one.standing_to_send(101 * SECOND, key).leaves);
 }
 
 proptest! {
@@ -149,7 +152,7 @@
         let key = born("a", 1).key();
         let mut now_us = SECOND;
         let mut revision = 2;
-        both[0].heard_leaving(now_us, key);
+        both[0].record_leaving(now_us, key);
         let mut knows = [true, false];
         for (what, which, pause_ms) in steps {
             now_us += pause_ms * MS;
@@ -157,29 +160,29 @@
             let balancer = &mut both[which];
             match what {
                 // The entry is written anew as ready, goes, or lapses; a list is made anew with or without it.
-                0 | 1 => { balancer.endpoint_seen(born("a", 1), revision); }
-                2 => { balancer.endpoint_removed(now_us, "a", revision); }
-                3 => balancer.store_was_away(now_us),
-                4 => { balancer.endpoints_listed(now_us, revision, |id| id == "b"); }
-                5 => { balancer.endpoints_listed(now_us, revision, |_| true); }
+                0 | 1 => { balancer.upsert_endpoint(born("a", 1), revision); }
+                2 => { balancer.remove_endpoint(now_us, "a", revision); }
+                3 => balancer.store_was_unreachable(now_us),
+                4 => { balancer.retain_listed_endpoints(now_us, revision, |id| id == "b"); }
+                5 => { balancer.retain_listed_endpoints(now_us, revision, |_| true); }
                 // An answer without the word that overtook.
-                6 => balancer.note_answered(key, now_us),
-                7 => { balancer.heard_limit(now_us, key, 0, &LimitWord::Free); }
+                6 => balancer.record_answered(key, now_us),
+                7 => { balancer.record_limit(now_us, key, 0, &LimitWord::Free); }
                 // What the other has is copied, and what it was told.
                 8 => {
-                    let copy = both[1 - which].endpoints_since(both[which].endpoints_revision());
-                    both[which].take_endpoints(now_us, copy);
+                    let copy = both[1 - which].endpoints_delta_since(both[which].endpoints_revision());
+                    both[which].apply_endpoints_delta(now_us, copy);
                 }
                 _ => {
                     let words = told(&mut both[which], now_us);
-                    both[1 - which].told_standings(now_us, &words);
+                    both[1 - which].apply_peer_standings(now_us, &words);
                     knows[1 - which] |= words.iter().any(|w| w.endpoint == key && w.leaves);
                 }
             }
             for (balancer, knows) in both.iter_mut().zip(knows) {
                 balancer.tick(now_us);
                 if knows {
-                    prop_assert_eq!(balancer.standing(now_us, key), Standing::Leaves);
+                    prop_assert_eq!(balancer.readiness(now_us, key), Readiness::Leaving);
                     prop_assert_ne!(chosen(balancer, now_us, now_us), Some(key));
                 }
             }
--- a/tests/gateway/prefixes.rs
+++ b/tests/gateway/prefixes.rs
@@ -17,7 +17,7 @@
     let read: Vec<_> = chains(&[part(1, 60), part(2, 400)]).collect();
     let mut holders = PrefixHolders::default();
     for (chain, _) in &read {
-        holders.note(0, *chain, here);
+        holders.record(0, *chain, here);
     }
     let cached = |parts: &[PromptPart], at| {
         let chains: Vec<_> = chains(parts).collect();
@@ -38,10 +38,10 @@
     let here = EndpointKey(1);
     let read: Vec<_> = chains(&[part(1, 60)]).collect();
     let mut holders = PrefixHolders::default();
-    holders.note(0, read[0].0, here);
+    holders.record(0, read[0].0, here);
     assert_eq!(holders.cached_tokens(SECOND, &read, here), 60);
     assert_eq!(holders.cached_tokens(600 * SECOND, &read, here), 0);
-    holders.forget_endpoint(here);
+    holders.evict_endpoint(here);
     assert_eq!(holders.cached_tokens(SECOND, &read, here), 0);
 }
 
@@ -50,7 +50,7 @@
     let mut holders = PrefixHolders::default();
     for id in 0..100_000 {
         let read: Vec<_> = chains(&[part(id, 60)]).collect();
-        holders.note(id, read[0].0, EndpointKey((id % 7) as u32));
+        holders.record(id, read[0].0, EndpointKey((id % 7) as u32));
     }
     assert!(holders.len() <= 8_192, "{}", holders.len());
 }
--- a/tests/gateway/restarts.rs
+++ b/tests/gateway/restarts.rs
@@ -27,59 +27,59 @@
 #[test]
 fn a_later_start_replaces_an_earlier_one_which_never_comes_back() {
     let mut set = Discovery::default();
-    assert_eq!(set.seen(start("a", 100), 5), Some(Change::Appeared));
-    assert_eq!(set.seen(start("a", 200), 6), Some(Change::Restarted));
+    assert_eq!(set.upsert(start("a", 100), 5), Some(Change::Appeared));
+    assert_eq!(set.upsert(start("a", 200), 6), Some(Change::Restarted));
     // The start before wrote this, and it landed late.
     let mut late = start("a", 100);
     late.draining = true;
-    assert_eq!(set.seen(late.clone(), 7), None);
+    assert_eq!(set.upsert(late.clone(), 7), None);
     assert_eq!(set.get("a").unwrap().born_ms, 200);
-    assert_eq!(set.removed(SECOND, "a", 8), Some(Change::Gone));
-    assert_eq!(set.seen(late, 9), None);
+    assert_eq!(set.mark_removed(SECOND, "a", 8), Some(Change::Gone));
+    assert_eq!(set.upsert(late, 9), None);
     assert!(set.get("a").is_none());
-    assert_eq!(set.seen(start("a", 300), 10), Some(Change::Appeared));
+    assert_eq!(set.upsert(start("a", 300), 10), Some(Change::Appeared));
 }
 
 #[test]
 fn a_later_start_is_taken_though_news_of_it_comes_late() {
     let mut set = Discovery::default();
-    set.seen(start("a", 100), 9);
-    assert_eq!(set.seen(start("a", 200), 6), Some(Change::Restarted));
+    set.upsert(start("a", 100), 9);
+    assert_eq!(set.upsert(start("a", 200), 6), Some(Change::Restarted));
 }
 
 #[test]
 fn a_later_start_whose_entry_had_lapsed_is_no_lapsed_one() {
     let mut set = Discovery::default();
-    set.seen(start("a", 100), 1);
-    set.store_was_away(SECOND);
-    assert_eq!(set.removed(SECOND, "a", 2), Some(Change::Lapsed));
-    assert_eq!(set.seen(start("a", 200), 3), Some(Change::Restarted));
+    set.upsert(start("a", 100), 1);
+    set.store_was_unreachable(SECOND);
+    assert_eq!(set.mark_removed(SECOND, "a", 2), Some(Change::Lapsed));
+    assert_eq!(set.upsert(start("a", 200), 3), Some(Change::Restarted));
     assert!(set.expire(60 * SECOND).is_empty());
 }
 
 #[test]
 fn what_was_learned_and_believed_of_one_start_says_nothing_of_the_next() {
     let mut balancer = Balancer::new("h".into());
-    balancer.endpoint_seen(start("a", 100), 1);
+    balancer.upsert_endpoint(start("a", 100), 1);
     let before = balancer.key_of("a").unwrap();
     let busy = InFlight {
         requests: 3,
         prompt_tokens: 9_000,
     };
-    balancer.told(
+    balancer.apply_peer_update(
         0,
         ryevalve::prelude::Incarnation(7),
         &[(before, busy)],
         &[],
         &[],
     );
-    balancer.learn(before, |s| s.unreachable(0));
+    balancer.update_speed(before, |s| s.unreachable(0));
     let asked = ask(1, 4_000, 0, 0);
     let news: Vec<_> = asked.chains.iter().map(|(c, _)| (*c, before)).collect();
-    balancer.told_news(0, &news, &[]);
+    balancer.apply_peer_observations(0, &news, &[]);
 
     assert_eq!(
-        balancer.endpoint_seen(start("a", 200), 2),
+        balancer.upsert_endpoint(start("a", 200), 2),
         Some(Change::Restarted)
     );
     assert!(balancer.entry(before).is_none());
@@ -92,14 +92,17 @@
     assert!(choice.expected.there < 0.5, "{:?}", choice.expected);
     assert!(choice.expected.cost < 0.5, "{:?}", choice.expected);
     // Word of the start before, found dead by another instance, comes late.
-    balancer.told_dead(&[before]);
+    balancer.remove_dead_endpoints(&[before]);
     assert_eq!(balancer.key_of("a"), Some(choice.key));
 }
 
 #[test]
 fn starts_of_endpoints_that_do_not_say_when_they_began_have_the_key_of_their_id() {
-    assert_eq!(EndpointKey::of_start("a", 0), EndpointKey::of("a"));
-    assert_ne!(EndpointKey::of_start("a", 1), EndpointKey::of_start("a", 2));
+    assert_eq!(EndpointKey::of_incarnation("a", 0), EndpointKey::of("a"));
+    assert_ne!(
+        EndpointKey::of_incarnation("a", 1),
+        EndpointKey::of_incarnation("a", 2)
+    );
 }
 
 /// An entry that went and was made again between two answers of a watch was taken for gone: the removal bore the
@@ -181,16 +184,16 @@
                     for (at, index, born_ms) in news {
                         let id = format!("e{index}");
                         match born_ms {
-                            Some(born_ms) => sets[one].seen(start(&id, *born_ms), *at),
-                            None => sets[one].removed(SECOND, &id, *at),
+                            Some(born_ms) => sets[one].upsert(start(&id, *born_ms), *at),
+                            None => sets[one].mark_removed(SECOND, &id, *at),
                         };
                     }
                     watched[one] = history.len() as u64;
-                    sets[one].reached(watched[one]);
+                    sets[one].advance_to(watched[one]);
                 }
                 Step::Copy(one, other) => {
-                    let copy = sets[other].copy_since(sets[one].revision());
-                    sets[one].take_copy(SECOND, copy);
+                    let copy = sets[other].delta_since(sets[one].revision());
+                    sets[one].apply_delta(SECOND, copy);
                 }
             }
             for (set, highest) in sets.iter().zip(&mut highest) {
--- a/tests/gateway/staleness.rs
+++ b/tests/gateway/staleness.rs
@@ -71,7 +71,7 @@
     let clock = Clock::new(TimeSource::steered());
     let gateway = Gateway::with_clock(PlatformProtocol, "h".into(), bounds(true), true, clock);
     for id in ["leaving", "staying"] {
-        gateway.balancer().endpoint_seen(entry(id, "h", 4), 1);
+        gateway.balancer().upsert_endpoint(entry(id, "h", 4), 1);
     }
     gateway.endpoints.confirm(gateway.clock.now_us().max(1));
     gateway.into()
@@ -80,7 +80,7 @@
 fn leave(gateway: &Gateway<PlatformProtocol>) {
     let mut leaving = entry("leaving", "h", 4);
     leaving.draining = true;
-    gateway.balancer().endpoint_seen(leaving, 2);
+    gateway.balancer().upsert_endpoint(leaving, 2);
 }
 
 #[tokio::test(start_paused = true)]
--- a/tests/gateway/support.rs
+++ b/tests/gateway/support.rs
@@ -4,10 +4,10 @@
 
 use ryevalve::{
     balance::{
-        cost::Ask,
+        cost::PlacementRequest,
         discovery::EndpointEntry,
-        homes::Homes,
         prefixes::{PromptPart, chains},
+        regions::AllowedRegions,
     },
     gateway::config::{
         GatewayConfig, Organisation, Route, RouteKind, Service, Target, UseLimit, UseUnit,
@@ -92,12 +92,12 @@
 }
 
 /// A stream's request with a prompt of one part of its own.
-pub fn ask(subject: u64, prompt_tokens: u32, rank: u8, arrived_us: u64) -> Ask {
+pub fn ask(subject: u64, prompt_tokens: u32, rank: u8, arrived_us: u64) -> PlacementRequest {
     let parts = [PromptPart {
         id: subject,
         tokens: prompt_tokens,
     }];
-    Ask {
+    PlacementRequest {
         service: "model".into(),
         is_stream: true,
         prompt_tokens,
@@ -109,7 +109,7 @@
         deadline_us: arrived_us + 15 * SECOND,
         rank,
         other_hall_cost: 0.05,
-        homes: Homes::default(),
+        homes: AllowedRegions::default(),
         draw: subject,
     }
 }
--- a/tests/gateway/surge.rs
+++ b/tests/gateway/surge.rs
@@ -12,7 +12,7 @@
 use rand_chacha::ChaCha8Rng;
 use ryevalve::balance::{
     balancer::{Balancer, Choice, Placement, WaitKey},
-    cost::Ask,
+    cost::PlacementRequest,
     speed::Speed,
 };
 
@@ -92,7 +92,7 @@
     fn new(seed: u64, load: f64, surge: f64) -> Self {
         let mut balancer = Balancer::new("h".into());
         for index in 0..ENDPOINTS {
-            balancer.endpoint_seen(entry(&format!("e{index}"), "h", SLOTS as u32), 1);
+            balancer.upsert_endpoint(entry(&format!("e{index}"), "h", SLOTS as u32), 1);
         }
         let mut played = Self {
             balancer,
@@ -169,8 +169,8 @@
         self.got
     }
 
-    fn ask(&self, now_us: u64, number: u64, first_us: u64) -> Ask {
-        Ask {
+    fn ask(&self, now_us: u64, number: u64, first_us: u64) -> PlacementRequest {
+        PlacementRequest {
             waited_us: now_us - first_us,
             deadline_us: first_us + 12 * SECOND,
             ..ask(number, PROMPT_TOKENS, 0, now_us)
@@ -181,7 +181,7 @@
         &mut self,
         now_us: u64,
         placement: Placement,
-        ask: Ask,
+        ask: PlacementRequest,
         number: u64,
         first_us: u64,
         is_back: bool,
@@ -319,9 +319,9 @@
         for _ in 0..15 {
             let mut speed = Speed::default();
             for _ in 0..200 {
-                speed.held(hold_ms(&mut random));
+                speed.record_slot_hold(hold_ms(&mut random));
             }
-            best = best.min(speed.hold_ms());
+            best = best.min(speed.slot_hold_ms());
         }
         best_sum += best / mean_ms;
     }
