--- a/src/balance/balancer.rs
+++ b/src/balance/balancer.rs
@@ -1,8 +1,8 @@
-//! Places requests: keeps the picture, the queue of those that wait, and what was sent. What is told
-//! others and taken from them is in [`crate::balance::telling`], places given to others in
-//! [`crate::balance::places`].
+//! Places requests on endpoints: holds the known endpoints, the load view, the wait queue and the
+//! accounting of requests in flight. State exchange with peers is in [`crate::balance::sync`],
+//! placement on behalf of other instances in [`crate::balance::delegation`].
 //!
-//! Free of clock, socket and random source, so that tests drive it step by step.
+//! Uses no clock, socket or random source of its own, so tests can drive it step by step.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -26,91 +26,97 @@
     prelude::{Incarnation, Micros, Name, Rank},
 };
 
-/// How long a request waits for a slot before it is decided, as a share of its target. In a surge most that
-/// wait are refused all the same, later: whoever is told at once comes back sooner or goes elsewhere, and
-/// has the time to. A fifth, an eighth, a twentieth, nothing, of two days of surges over 85 instances (seed 11):
-/// worth .368 .408 .435 .428 and .458 .506 .522 .513; answers on the whole day .620 .625 .648 .659. Over six
-/// instances a fifth and a twentieth are alike: means of eight days on each of three deployments .666 and
-/// .673, .557 and .559, .764 and .763.
+/// Maximum time that a request waits for a slot before it is refused, as a share of its target. In
+/// a surge most waiting requests are refused anyway; a caller that is refused at once retries
+/// sooner or goes elsewhere while it still has time.
+///
+/// Shares of 0.2, 0.125, 0.05 and 0 over two surge days on 85 instances (seed 11): value served
+/// 0.368, 0.408, 0.435, 0.428 and 0.458, 0.506, 0.522, 0.513; share answered over the whole day
+/// 0.620, 0.625, 0.648, 0.659. On six instances 0.2 and 0.05 do not differ: means of eight days on
+/// each of three deployments 0.666 and 0.673, 0.557 and 0.559, 0.764 and 0.763.
 const MAX_WAIT_SHARE: f64 = 0.05;
-/// Up to this share of its target a stream may queue at an endpoint, by rank. Endpoints know no
-/// ranks, so the less urgent leave their queues to the more urgent. What would queue for longer is
-/// refused: it would be late, and make late all that come after it.
+/// Share of its target for which a stream may queue at an endpoint, by rank. Endpoints do not know
+/// ranks, so less urgent requests leave the endpoint queues to more urgent ones. A request that
+/// would queue for longer is refused: it would be late and would delay everything queued after it.
 ///
-/// One that is late in any case has the share of the next rank: it leaves its place to those of its
-/// kind that can be in time, and not to less urgent ones. In a surge of 1.7 times what the slots carry
-/// half of those that came were back for the second time. Gained there, 6 instances, two surges of
-/// three seeds each: worth .516 to .531 and .470 to .478, that of the worst kind .47 to .52 and .49 to
-/// .52. Where lateness costs less, nothing (.755 and .754).
+/// A request that is late in any case gets the share of the next rank, so it yields to requests of
+/// its own rank that can still be in time, but not to less urgent ones. In a surge of 1.7 times the
+/// slot capacity half of the arrivals were second attempts. Effect there on six instances, two
+/// surges of three seeds each: value served from 0.516 to 0.531 and from 0.470 to 0.478, for the
+/// worst kind of request from 0.47 to 0.52 and from 0.49 to 0.52. No effect where lateness costs
+/// less (0.755 and 0.754).
 const STREAM_QUEUE_SHARE: [f64; 4] = [0.6, 0.35, 0.2, 0.1];
-/// The same for requests with one whole answer.
+/// The same share for unary (non-streaming) requests.
 const UNARY_QUEUE_SHARE: f64 = 0.7;
-/// The least urgent rank that is told apart.
+/// The least urgent rank with a share of its own; higher rank numbers are treated like it.
 const LEAST_URGENT_RANK: Rank = 2;
-/// In a large group others are told of no shorter chains: 60 tokens are read in a millisecond, and were
-/// half of what a hall's instances told each other of reads.
+/// In a large cluster, shorter chains are not shared with peers: a prompt of 60 tokens is processed
+/// in a millisecond, and such chains were half of the cache updates that a hall's instances sent.
 const MIN_SHARED_CHAIN_TOKENS: u32 = 128;
-/// What was read lately and nobody was told of, at most: some seconds of a busy instance.
+/// Maximum number of recorded chains that were not sent to peers yet: some seconds of a busy
+/// instance.
 const MAX_UNSENT_CHAINS: usize = 1_024;
-/// The share of the time left to it after which a caller that is refused for want of room may come
-/// back, before spread. Surges last for seconds: whoever comes back at once is refused again. Callers
-/// wait up to a third of what they have left; with the spread this is .2 to .3 of it.
+/// Share of the caller's remaining time after which it may retry a request refused for lack of
+/// capacity, before jitter. Surges last for seconds, so an immediate retry is refused again.
+/// Callers wait for at most a third of their remaining time; with jitter the delay is 0.2 to 0.3 of
+/// it.
 const RETRY_SHARE: f64 = 0.2;
-/// But not before this time, in milliseconds.
+/// Minimum retry delay, in milliseconds.
 const RETRY_MIN_MS: f64 = 150.0;
-/// Nor after this time: a surge at the start of an event is over by then.
+/// Maximum retry delay, in milliseconds: a surge at the start of an event is over by then.
 const RETRY_MAX_MS: f64 = 4_000.0;
 
-/// An endpoint chosen for a request.
+/// The endpoint chosen for a request.
 #[derive(Clone, Debug)]
 pub struct Choice {
     /// The endpoint's id.
     pub id: Name,
-    /// Its key among instances.
+    /// The key that instances use for this incarnation of it.
     pub key: EndpointKey,
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
-    /// The hall it stands in.
+    /// The hall it runs in.
     pub hall: Name,
-    /// What is expected of it.
+    /// The expected cost and timing of the request there.
     pub expected: Expected,
 }
 
-/// What is decided on a request.
+/// The decision on a request.
 #[derive(Clone, Debug)]
 pub enum Placement {
-    /// It is sent; what was sent is accounted for until [`Balancer::end`].
+    /// The request is sent; it counts as in flight until [`Balancer::end`].
     Send(Choice),
-    /// It waits for a slot.
+    /// The request waits for a slot.
     Wait,
-    /// It is refused.
+    /// The request is refused.
     Refuse {
-        /// Why, as a fixed word.
+        /// A fixed reason code.
         reason: &'static str,
-        /// When the caller may come back.
+        /// Time after which the caller may retry, in milliseconds.
         retry_after_ms: u32,
     },
 }
 
-/// Why a request is refused: all endpoints would keep it waiting for too long.
+/// Refusal reason: the request would queue for too long at every endpoint.
 pub const BUSY: &str = "busy";
-/// Why a request is refused: all endpoints that could take it take only so many a second.
+/// Refusal reason: every eligible endpoint has a request rate limit and no permit is available.
 pub const ENDPOINT_LIMITS: &str = "endpoint_limits";
 
-/// Names a waiting request; the most urgent and oldest first.
+/// Key of a waiting request; orders by urgency, then by age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaitKey {
     rank: Rank,
     number: u64,
 }
 
-/// Returns when a caller that has `left_us` may come back after a refusal for want of room.
+/// Returns the time after which a caller with `left_us` left until its deadline may retry a request
+/// that was refused for lack of capacity.
 pub fn retry_delay_ms(left_us: Micros) -> u32 {
     let left_ms = left_us as f64 / 1e3;
     (left_ms * RETRY_SHARE).clamp(RETRY_MIN_MS, RETRY_MAX_MS) as u32
 }
 
-/// Returns for how long a request waits for a slot before it is decided.
+/// Returns how long a request may wait for a slot before it is refused.
 pub fn max_wait_us(request: &PlacementRequest) -> Micros {
     (request.target_us as f64 * MAX_WAIT_SHARE) as Micros
 }
@@ -124,7 +130,7 @@
     STREAM_QUEUE_SHARE[rank]
 }
 
-/// Returns the refusal of a request for which there is no room: its caller may come back later.
+/// Returns a refusal for lack of capacity, with the delay after which the caller may retry.
 pub fn refuse_for_capacity(
     now_us: Micros,
     request: &PlacementRequest,
@@ -143,32 +149,33 @@
     pub(super) same_hall: bool,
 }
 
-/// The picture of all endpoints, and the requests that wait.
+/// The known endpoints, their load, and the waiting requests.
 #[derive(Debug)]
 pub struct Balancer {
     hall: Name,
     discovery: Discovery,
     pub(super) endpoints: HashMap<EndpointKey, Endpoint>,
-    /// The keys of the starts that are known, by the endpoints' ids.
+    /// Key of the current incarnation of each endpoint, by endpoint id.
     keys: HashMap<Name, EndpointKey>,
     pub(super) index: EndpointIndex,
-    /// How fast the endpoints of a service are together: what is believed of one that is not known.
+    /// Speed averaged over all endpoints of a service; used for endpoints without samples of their
+    /// own.
     pub(super) service_speeds: HashMap<Name, Speed>,
     pub(super) load_view: LoadView,
     pub(super) grants: Grants,
     pub(super) holders: PrefixHolders,
-    /// What was read lately, to be told to the others.
+    /// Chains recorded recently, not sent to peers yet.
     pub(super) unsent_chains: Vec<(ChainKey, EndpointKey)>,
-    /// Endpoints found gone, to be told to the others.
+    /// Endpoints found to be gone, not sent to peers yet.
     dead: Vec<EndpointKey>,
     pub(super) standings: EndpointStandings,
     pub(super) rests: Rests,
     pub(super) cold: ColdEndpoints,
-    /// Data centres whose endpoints get nothing.
+    /// Data centres whose endpoints get no requests.
     pub(super) evacuated: HashSet<Name>,
     /// The region of each data centre.
     pub(super) regions: HashMap<Name, Name>,
-    /// Endpoints for which there was no permit, or no answer.
+    /// Endpoints for which a permit was denied or the permit request was not answered.
     pub(super) permit_denials: HashMap<EndpointKey, PermitDenial>,
     waiting: BTreeMap<WaitKey, PlacementRequest>,
     next_number: u64,
@@ -176,7 +183,7 @@
 }
 
 impl Balancer {
-    /// Starts with nothing known; `hall` is where this instance stands.
+    /// Creates a balancer that knows no endpoints; `hall` is the hall of this instance.
     pub fn new(hall: Name) -> Self {
         Self {
             hall,
@@ -202,7 +209,7 @@
         }
     }
 
-    /// Takes an endpoint's entry as it was at a revision; returns what changed.
+    /// Adds or updates an endpoint from its store entry at a revision; returns what changed.
     pub fn upsert_endpoint(&mut self, entry: EndpointEntry, revision: Revision) -> Option<Change> {
         let id = entry.id.clone();
         let change = self.discovery.upsert(entry, revision)?;
@@ -210,16 +217,16 @@
         Some(change)
     }
 
-    /// Brings what is kept of an endpoint in line with its entry.
+    /// Rebuilds the state of an endpoint from its current entry.
     fn refresh_endpoint(&mut self, id: &str) {
         let Some(entry) = self.discovery.get(id).cloned() else {
             return;
         };
         let key = entry.key();
-        let before = self.keys.insert(entry.id.clone(), key);
-        if let Some(before) = before.filter(|before| *before != key) {
-            self.remove_state(before);
-            self.standings.forget(before);
+        let previous = self.keys.insert(entry.id.clone(), key);
+        if let Some(previous) = previous.filter(|previous| *previous != key) {
+            self.remove_state(previous);
+            self.standings.forget(previous);
         }
         self.cold.set_from_entry(key, entry.warmup_left_ms * 1_000);
         let same_hall = entry.hall == self.hall;
@@ -236,24 +243,24 @@
         self.endpoints.insert(key, endpoint);
     }
 
-    /// Notes that the endpoints are as the store had them at a revision.
+    /// Records that the endpoints are up to date with a revision of the store.
     pub fn advance_endpoints_revision(&mut self, revision: Revision) {
-        let before = self.discovery.revision();
+        let previous = self.discovery.revision();
         self.discovery.advance_to(revision);
-        self.changed |= self.discovery.revision() != before;
+        self.changed |= self.discovery.revision() != previous;
     }
 
-    /// Returns the store's revision that the endpoints are up to.
+    /// Returns the store revision up to which the endpoints are known.
     pub fn endpoints_revision(&self) -> Revision {
         self.discovery.revision()
     }
 
-    /// Returns what whoever is at `revision` lacks of the endpoints.
+    /// Returns the changes of the endpoints after `revision`.
     pub fn endpoints_delta_since(&self, revision: Revision) -> EndpointsDelta {
         self.discovery.delta_since(revision)
     }
 
-    /// Takes another instance's copy of the endpoints, if it is ahead; returns what changed.
+    /// Applies another instance's endpoints if they are newer; returns what changed.
     pub fn apply_endpoints_delta(
         &mut self,
         now_us: Micros,
@@ -270,7 +277,8 @@
         changes
     }
 
-    /// Takes word that an endpoint's entry was gone at a revision, or before; returns what changed.
+    /// Handles the absence of an endpoint's entry, which was missing at or before the revision
+    /// `at`; returns what changed.
     pub fn remove_endpoint(&mut self, now_us: Micros, id: &str, at: Revision) -> Option<Change> {
         let change = self.discovery.mark_removed(now_us, id, at)?;
         if change == Change::Gone {
@@ -279,14 +287,15 @@
         Some(change)
     }
 
-    /// Takes a whole list of entries' ids as it was at a revision; returns what changed.
+    /// Handles all endpoints that are missing from a full listing of the store at a revision;
+    /// returns what changed.
     pub fn retain_listed_endpoints(
         &mut self,
         now_us: Micros,
         at: Revision,
-        listed: impl Fn(&str) -> bool,
+        is_listed: impl Fn(&str) -> bool,
     ) -> Vec<(Name, Change)> {
-        let changes = self.discovery.retain_listed(now_us, at, listed);
+        let changes = self.discovery.retain_listed(now_us, at, is_listed);
         for (id, change) in &changes {
             if *change == Change::Gone {
                 self.drop_endpoint(id);
@@ -295,8 +304,8 @@
         changes
     }
 
-    /// Notes that another start answers at an endpoint's address: it is gone, whatever its entry
-    /// says. Its entry comes in again only with a change.
+    /// Removes an endpoint because another incarnation answered at its address, whatever its entry
+    /// says. It is added again only when its entry changes.
     pub fn mark_endpoint_replaced(&mut self, key: EndpointKey) {
         let Some(endpoint) = self.endpoints.get(&key) else {
             return;
@@ -307,12 +316,12 @@
         self.changed = true;
     }
 
-    /// Returns the endpoints found gone since this was asked last, to tell the others.
+    /// Returns the endpoints found to be gone since the last call, to be sent to peers.
     pub fn take_dead(&mut self) -> Vec<EndpointKey> {
         std::mem::take(&mut self.dead)
     }
 
-    /// Takes word from another instance of endpoints found gone.
+    /// Removes endpoints that another instance found to be gone.
     pub fn remove_dead_endpoints(&mut self, dead: &[EndpointKey]) {
         for key in dead {
             if let Some(endpoint) = self.endpoints.get(key) {
@@ -322,12 +331,13 @@
         }
     }
 
-    /// Notes that the store could not be reached until now.
+    /// Records that the store was unreachable until now.
     pub fn store_was_unreachable(&mut self, now_us: Micros) {
         self.discovery.store_was_unreachable(now_us);
     }
 
-    /// Drops the endpoints whose lapse is over and the instances that fell silent; returns them.
+    /// Removes expired state: endpoints whose grace period after a lapse is over, and loads of
+    /// peers that stopped reporting. Returns both.
     pub fn tick(&mut self, now_us: Micros) -> (Vec<Name>, Vec<Incarnation>) {
         let expired = self.discovery.expire(now_us);
         for id in &expired {
@@ -349,39 +359,39 @@
         }
     }
 
-    /// Forgets what is believed and was learned of a start of an endpoint. What instances still have there
-    /// is told under its key and counts for no other.
+    /// Drops all state of one incarnation of an endpoint. Requests that instances still have there
+    /// are reported under its key and do not count for another incarnation.
     fn remove_state(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.remove(&key) {
             self.index.remove(key, &endpoint.entry);
         }
         self.holders.evict_endpoint(key);
-        // Its limit is not: an entry that lapsed comes back for the same start.
+        // The rate limit is kept: a lapsed entry can return for the same incarnation.
         self.permit_denials.remove(&key);
         self.cold.clear(key);
     }
 
-    /// Returns the load at all endpoints, as far as it is known.
+    /// Returns the load view.
     pub fn load_view(&self) -> &LoadView {
         &self.load_view
     }
 
-    /// Returns the load at all endpoints, to be told of more.
+    /// Returns the load view for updates.
     pub fn load_view_mut(&mut self) -> &mut LoadView {
         &mut self.load_view
     }
 
-    /// Returns the number of endpoints known.
+    /// Returns the number of known endpoints.
     pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Returns the key of the start that is known under an endpoint's id.
+    /// Returns the key of an endpoint's current incarnation.
     pub fn key_of(&self, id: &str) -> Option<EndpointKey> {
         self.keys.get(id).copied()
     }
 
-    /// Returns an endpoint's entry while it is in use.
+    /// Returns an endpoint's entry, if the endpoint is known.
     pub fn entry(&self, key: EndpointKey) -> Option<&EndpointEntry> {
         self.endpoints.get(&key).map(|e| &*e.entry)
     }
@@ -391,8 +401,8 @@
         self.index.of_service(service)
     }
 
-    /// Decides on a request that has just come, or comes back from an endpoint that did not run it.
-    /// Those in `tried` are not chosen.
+    /// Decides on a request that has just arrived, or that an endpoint returned without running it.
+    /// Endpoints in `tried` are excluded.
     pub fn place(
         &mut self,
         now_us: Micros,
@@ -402,8 +412,8 @@
         self.place_with_permit(now_us, request, tried, None)
     }
 
-    /// The same with a permit to send it to an endpoint that takes only so many requests a second, if there is
-    /// one; without, no such endpoint is chosen.
+    /// Like [`Self::place`], with an optional permit for one endpoint that limits its request rate.
+    /// Rate-limited endpoints without a permit are excluded.
     pub fn place_with_permit(
         &mut self,
         now_us: Micros,
@@ -418,11 +428,11 @@
             return selected.refusal(now_us, request);
         };
         let waited_us = now_us.saturating_sub(request.arrived_us) as f64;
-        // One that is late in any case loses nothing more by having waited.
+        // A request that is late in any case loses nothing more by its wait.
         let spent_us = if request.is_late() { 0.0 } else { waited_us };
         let queue_us = spent_us + best.expected.queue_ms * 1e3;
         let fits = queue_us <= request.target_us as f64 * queue_share(request);
-        // One that is late in any case passes nobody.
+        // A request that is late in any case must not overtake waiting ones.
         let may_overtake = best.expected.has_room && !request.is_late();
         if fits && (may_overtake || !self.has_waiting_ahead(request.rank)) {
             return self.dispatch(now_us, request, best);
@@ -437,7 +447,7 @@
         self.waiting.keys().next().is_some_and(|k| k.rank <= rank)
     }
 
-    /// Returns the choice of an endpoint that is known.
+    /// Returns the choice of an endpoint, if it is known.
     pub(super) fn choice(&self, key: EndpointKey, expected: Expected) -> Option<Choice> {
         let entry = self.entry(key)?;
         Some(Choice {
@@ -468,14 +478,14 @@
             }
         }
         if self.unsent_chains.len() > MAX_UNSENT_CHAINS {
-            // An instance that is alone tells nobody.
+            // Without peers the list is never taken, so it is bounded here.
             self.unsent_chains.drain(..MAX_UNSENT_CHAINS / 2);
         }
         self.changed = true;
         Placement::Send(choice)
     }
 
-    /// Adds a request to those that wait.
+    /// Adds a request to the wait queue.
     pub fn enqueue(&mut self, request: PlacementRequest) -> WaitKey {
         let key = WaitKey {
             rank: request.rank,
@@ -486,12 +496,13 @@
         key
     }
 
-    /// Takes a request out of those that wait.
+    /// Removes a request from the wait queue.
     pub fn dequeue(&mut self, key: WaitKey) -> Option<PlacementRequest> {
         self.waiting.remove(&key)
     }
 
-    /// Decides anew on those that wait, the most urgent first; returns those that need not wait.
+    /// Decides again on the waiting requests, the most urgent first; returns those that need not
+    /// wait any longer.
     pub fn reconsider(&mut self, now_us: Micros) -> Vec<(WaitKey, Placement)> {
         let mut decided = Vec::new();
         let keys: Vec<WaitKey> = self.waiting.keys().copied().collect();
@@ -509,31 +520,31 @@
         decided
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Learns that the first event of what was sent came after `took_ms`.
-    pub fn first_event(&mut self, choice: &Choice, took_ms: f64) {
+    /// Records that the first event of a request came `took_ms` after it was sent.
+    pub fn record_first_event(&mut self, choice: &Choice, took_ms: f64) {
         let expected = &choice.expected;
         self.load_view
             .record_prompt_processed(choice.key, expected.uncached_tokens);
-        // Where it waited for a slot, the time says little of the reading.
+        // If the request waited for a slot, the time says little about prompt processing.
         if let Some(endpoint) = self.endpoints.get_mut(&choice.key)
             && expected.has_room
         {
             let tokens = expected.tokens_ahead + f64::from(expected.uncached_tokens);
-            endpoint.speed.first_event(took_ms, tokens);
+            endpoint.speed.record_first_event(took_ms, tokens);
             let service = endpoint.entry.service.clone();
             let service_speed = self.service_speeds.entry(service).or_default();
-            service_speed.first_event(took_ms, tokens);
+            service_speed.record_first_event(took_ms, tokens);
         }
         self.changed = true;
     }
 
-    /// Takes a request out of what was sent. `waiting_tokens` are those whose first event did not
-    /// come.
+    /// Ends the accounting of a request. `waiting_tokens` are the prompt tokens whose first event
+    /// did not come; `held_ms`, if given, is a sample of the slot hold time.
     pub fn end(&mut self, key: EndpointKey, waiting_tokens: u32, held_ms: Option<f64>) {
         self.load_view.record_ended(key, waiting_tokens);
         if let (Some(endpoint), Some(held_ms)) = (self.endpoints.get_mut(&key), held_ms) {
@@ -542,17 +553,17 @@
         self.changed = true;
     }
 
-    /// Learns from the time between two events of a stream.
-    pub fn event(&mut self, key: EndpointKey, gap_ms: f64) {
+    /// Records the time between two events of a stream.
+    pub fn record_event_gap(&mut self, key: EndpointKey, gap_ms: f64) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
-            endpoint.speed.event(gap_ms);
+            endpoint.speed.record_event_gap(gap_ms);
             if let Some(service_speed) = self.service_speeds.get_mut(&endpoint.entry.service) {
-                service_speed.event(gap_ms);
+                service_speed.record_event_gap(gap_ms);
             }
         }
     }
 
-    /// Gives what is learned of an endpoint's speed.
+    /// Updates the speed of an endpoint, if it is known.
     pub fn update_speed(&mut self, key: EndpointKey, update: impl FnOnce(&mut Speed)) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
             update(&mut endpoint.speed);
--- a/src/balance/cold.rs
+++ b/src/balance/cold.rs
@@ -1,8 +1,9 @@
-//! Endpoints that are cold: they take only so many requests a second, over all instances together.
+//! Cold endpoints: limits the request rate of endpoints that have just started or were idle, over
+//! all instances together.
 //!
-//! An endpoint's entry says for how much longer it is cold. Endpoints of a data centre whose evacuation was taken
-//! back may have gone cold shortly before, which their entries may not say yet: they are taken for cold as long as an
-//! endpoint is after its start.
+//! An endpoint's entry says for how much longer it is cold. Endpoints of a data centre whose
+//! evacuation ended may have gone cold shortly before, which their entries may not show yet; they
+//! are treated as cold for as long as a newly started endpoint.
 
 use std::collections::HashMap;
 
@@ -13,24 +14,24 @@
     prelude::{Micros, Name},
 };
 
-/// How many requests a second a cold endpoint of a service gets, and for how long after its start.
+/// Request rate limit of a service's cold endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdRate {
-    /// The rate, for all instances together.
+    /// Requests per second, for all instances together.
     pub rate: RequestRate,
     /// How long an endpoint is cold after its start.
     pub duration_us: Micros,
 }
 
-/// Until when an endpoint is cold.
+/// When an endpoint stops being cold.
 #[derive(Clone, Copy, Debug)]
 enum Cold {
-    /// For this long from the next tick of the clock on.
+    /// After this time, counted from the next tick.
     For(Micros),
     Until(Micros),
 }
 
-/// The endpoints that are cold, and what a cold one takes.
+/// The cold endpoints, and the rate limits by service.
 #[derive(Debug, Default)]
 pub(super) struct ColdEndpoints {
     by_endpoint: HashMap<EndpointKey, Cold>,
@@ -38,8 +39,8 @@
 }
 
 impl ColdEndpoints {
-    /// Takes what an endpoint's entry says; its time counts from the next [`Self::tick`], which is later than
-    /// when the entry was written.
+    /// Sets the remaining cold time from an endpoint's entry. It counts from the next
+    /// [`Self::tick`], which is later than the write of the entry.
     pub(super) fn set_from_entry(&mut self, key: EndpointKey, left_us: Micros) {
         if left_us > 0 {
             self.by_endpoint.insert(key, Cold::For(left_us));
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Begins what counts from now on, and forgets what is over.
+    /// Starts the countdowns that begin now, and drops expired ones.
     pub(super) fn tick(&mut self, now_us: Micros) {
         for cold in self.by_endpoint.values_mut() {
             if let Cold::For(left_us) = *cold {
@@ -79,22 +80,22 @@
 }
 
 impl Balancer {
-    /// Sets what cold endpoints of the services take that bound it.
+    /// Sets the rate limits of cold endpoints, for the services that have one.
     pub fn set_cold_rates(&mut self, rates: HashMap<Name, ColdRate>) {
         self.cold.rates = rates;
     }
 
-    /// Notes that an endpoint is cold for `left_us`, unless it is known to be so for longer.
+    /// Marks an endpoint as cold for `left_us`, unless it is already cold for longer.
     pub fn mark_cold(&mut self, now_us: Micros, key: EndpointKey, left_us: Micros) {
         self.cold.set_cold_for(now_us, key, left_us);
     }
 
-    /// Returns for how much longer an endpoint is cold; 0 if it is not.
+    /// Returns the remaining time for which an endpoint is cold; 0 if it is not.
     pub fn remaining_cold_us(&self, now_us: Micros, key: EndpointKey) -> Micros {
         self.cold.remaining_us(now_us, key)
     }
 
-    /// Returns how many requests a second an endpoint takes from all instances together; none if it has no limit.
+    /// Returns the rate limit of an endpoint, for all instances together; `None` if it has none.
     pub fn rate(&self, now_us: Micros, key: EndpointKey) -> Option<RequestRate> {
         let announced = self.standings.rate(key);
         let cold = self.cold_rate(now_us, key);
@@ -112,7 +113,7 @@
         self.cold.rates.get(service).map(|cold| cold.rate)
     }
 
-    /// Returns whether some endpoint may need permits.
+    /// Returns whether any endpoint may need permits.
     pub(super) fn has_limits(&self) -> bool {
         let has_cold = !self.cold.rates.is_empty() && !self.cold.by_endpoint.is_empty();
         has_cold || self.standings.has_limits()
@@ -123,7 +124,7 @@
         self.evacuated.contains(data_centre)
     }
 
-    /// Takes a change of the evacuated data centres.
+    /// Applies a change of the set of evacuated data centres.
     pub fn apply_evacuation_change(&mut self, now_us: Micros, change: &EvacuationChange) {
         self.evacuated.extend(change.begun.iter().cloned());
         for data_centre in &change.ended {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Takes the endpoints of a data centre for cold.
+    /// Marks the endpoints of a data centre as cold.
     fn mark_data_centre_cold(&mut self, now_us: Micros, data_centre: &Name) {
         let rates = &self.cold.rates;
         let endpoints = self.endpoints.iter();
--- a/src/balance/cost.rs
+++ b/src/balance/cost.rs
@@ -1,4 +1,5 @@
-//! What it costs to send a request to an endpoint, as a share of what its answer is worth.
+//! Cost model: the expected loss when a request is sent to an endpoint, as a share of the value of
+//! its answer.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,103 +8,104 @@
     prelude::{Micros, Name, Rank},
 };
 
-/// Weight of the time to the first event, beside the risk that it is late: it keeps queues short.
+/// Weight of the time to the first event, in addition to the risk of lateness: keeps queues short.
 const TIME_WEIGHT: f64 = 0.15;
-/// The share of the target at which half of the answers are late: what is expected errs by a third.
+/// Share of the target at which half of the answers are late: estimates err by a third.
 const LATE_MIDPOINT: f64 = 0.85;
-/// How steeply the risk of a late answer rises around the midpoint.
+/// Slope of the risk of lateness around the midpoint.
 const LATE_SLOPE: f64 = 9.0;
-/// What a late answer loses of its worth; from the users' sheets of worth.
+/// Share of its value that a late answer loses; follows the value that users assign to late
+/// answers.
 const LATE_LOSS: f64 = 0.7;
-/// The spread of the expected number of events, as the standard deviation of its logarithm; from the
-/// users' sheets of hints.
+/// Standard deviation of the logarithm of the number of events, relative to the expected number;
+/// follows the accuracy that users state for their hints.
 const EVENTS_SPREAD: f64 = 0.5;
-/// What a stream loses that is not at its end when its caller stops waiting: all.
+/// Share of its value that a stream loses if it has not ended at the caller's deadline: all of it.
 const UNFINISHED_LOSS: f64 = 1.0;
-/// What a prompt costs that is read again, a thousand tokens; other requests wait for it.
+/// Cost of processing a thousand uncached prompt tokens; other requests wait for it.
 const UNCACHED_COST_PER_1K: f64 = 0.006;
-/// The share of its worth that a request loses at an endpoint that fails always.
+/// Share of its value that a request loses at an endpoint that always fails.
 const FAILING_LOSS: f64 = 1.5;
 
-/// A request to be placed.
+/// A request to be placed on an endpoint.
 #[derive(Clone, Debug)]
 pub struct PlacementRequest {
-    /// The service that serves it.
+    /// The requested service.
     pub service: Name,
-    /// Its answer is a series of events.
+    /// Whether the answer is a stream of events.
     pub is_stream: bool,
-    /// The whole prompt.
+    /// Length of the whole prompt.
     pub prompt_tokens: u32,
-    /// The prompt's chains of parts, the shortest first.
+    /// The chains of the prompt, the shortest first, each with its length in tokens.
     pub chains: Vec<(ChainKey, u32)>,
-    /// How many events the answer is expected to have: right in the median.
+    /// Expected number of events of the answer, an estimate of the median.
     pub output_events: f64,
-    /// The time from the arrival within which the first event is of full use.
+    /// Time from arrival within which the first event has its full value.
     pub target_us: Micros,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived_us: Micros,
-    /// For how long its caller had waited before, from its first try.
+    /// Time that the caller had waited before, since its first attempt.
     pub waited_us: Micros,
-    /// When its caller stops waiting.
+    /// Time at which the caller stops waiting.
     pub deadline_us: Micros,
-    /// Its rank; 0 is the most urgent.
+    /// Urgency; 0 is the most urgent.
     pub rank: Rank,
-    /// What sending it to another hall costs, as a share of its worth.
+    /// Cost of sending the request to another hall, as a share of its value.
     pub other_hall_cost: f64,
-    /// The regions in which it may be served.
+    /// The regions in which the request may be served.
     pub homes: AllowedRegions,
-    /// A number drawn for it; decides which endpoints of other halls are looked at.
+    /// A random number; determines which endpoints are considered.
     pub draw: u64,
 }
 
 impl PlacementRequest {
-    /// Returns whether its answer is late, however soon it comes.
+    /// Returns whether the answer will be late however soon it comes.
     pub fn is_late(&self) -> bool {
         self.waited_us >= self.target_us
     }
 }
 
-/// What is expected of a request at an endpoint.
+/// The expected cost and timing of a request at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Expected {
-    /// What it costs, as a share of what the answer is worth.
+    /// Cost, as a share of the value of the answer.
     pub cost: f64,
     /// Time to the first event, in milliseconds.
     pub first_ms: f64,
-    /// The part of that time that passes before the endpoint begins with it, in milliseconds.
+    /// The part of `first_ms` before the endpoint starts on the request, in milliseconds.
     pub queue_ms: f64,
-    /// Prompt tokens that the endpoint has to read.
+    /// Prompt tokens that the endpoint has to process.
     pub uncached_tokens: u32,
-    /// Prompt tokens of others that it reads before.
+    /// Prompt tokens of other requests that it processes before.
     pub tokens_ahead: f64,
-    /// Requests that are there already, as far as is known.
+    /// Requests in flight there, as far as known.
     pub there: f64,
     /// Whether a slot is free.
     pub has_room: bool,
-    /// Time between two events of a stream there, in milliseconds.
+    /// Time between two events of a stream, in milliseconds.
     pub event_ms: f64,
-    /// Whether it stands in this instance's hall.
+    /// Whether the endpoint is in this instance's hall.
     pub same_hall: bool,
 }
 
-/// What is known of an endpoint.
+/// The inputs of the cost model for one endpoint.
 #[derive(Clone, Copy)]
 pub struct EndpointState<'e> {
     /// Its load.
     pub load: LoadEstimate,
-    /// Its speed, as far as it is known.
+    /// Its speed, as far as known.
     pub speed: &'e Speed,
-    /// The share of its requests that fail.
+    /// Share of its requests that fail.
     pub failure_share: f64,
-    /// Requests that it runs at a time.
+    /// Requests that it can run at a time.
     pub slots: u32,
-    /// Whether it stands in this instance's hall.
+    /// Whether it is in this instance's hall.
     pub same_hall: bool,
-    /// Prompt tokens that it holds of the request's.
+    /// Tokens of the request's prompt that it has cached.
     pub cached_tokens: u32,
 }
 
-/// Returns what is expected of a request at an endpoint.
+/// Returns the expected cost and timing of a request at an endpoint.
 pub fn estimate_cost(
     now_us: Micros,
     request: &PlacementRequest,
@@ -116,8 +118,8 @@
     let uncached_tokens = request.prompt_tokens.saturating_sub(state.cached_tokens);
     let tokens_ahead = state.load.prompt_tokens;
     let (queue_ms, work_ms) = if request.is_stream {
-        let work_ms = state.speed.prompt_ms(f64::from(uncached_tokens));
-        (wait_ms + state.speed.read_ms(tokens_ahead), work_ms)
+        let work_ms = state.speed.first_event_ms(f64::from(uncached_tokens));
+        (wait_ms + state.speed.process_ms(tokens_ahead), work_ms)
     } else {
         (wait_ms, state.speed.unary_ms() * (1.0 + there / slots))
     };
@@ -128,8 +130,8 @@
     let late = late_risk((waited_ms + first_ms) / target_ms);
     let unfinished = if request.is_stream {
         let left_ms = request.deadline_us.saturating_sub(now_us) as f64 / 1e3;
-        let rest_ms = request.output_events * state.speed.event_ms();
-        unfinished_risk(left_ms - first_ms, rest_ms)
+        let remaining_ms = request.output_events * state.speed.event_ms();
+        unfinished_risk(left_ms - first_ms, remaining_ms)
     } else {
         0.0
     };
@@ -139,14 +141,14 @@
         request.other_hall_cost
     };
     let uncached_cost = f64::from(uncached_tokens) / 1e3 * UNCACHED_COST_PER_1K;
-    let failure_share = state.failure_share * FAILING_LOSS;
+    let failure_cost = state.failure_share * FAILING_LOSS;
     Expected {
         cost: late * LATE_LOSS
             + unfinished * UNFINISHED_LOSS
             + first_ms / target_ms * TIME_WEIGHT
             + hall_cost
             + uncached_cost
-            + failure_share,
+            + failure_cost,
         first_ms,
         queue_ms,
         uncached_tokens,
@@ -158,19 +160,19 @@
     }
 }
 
-/// Returns the risk that an answer is late which is expected after `share` of its target.
+/// Returns the risk that an answer expected after `share` of its target is late.
 pub fn late_risk(share: f64) -> f64 {
     1.0 / (1.0 + (-LATE_SLOPE * (share - LATE_MIDPOINT)).exp())
 }
 
-/// Returns the risk that a stream whose events are expected to take `rest_ms` does not end within
+/// Returns the risk that a stream whose events are expected to take `remaining_ms` does not end within
 /// `left_ms`.
-pub fn unfinished_risk(left_ms: f64, rest_ms: f64) -> f64 {
-    /// A logistic curve with this slope is close to the normal one.
+pub fn unfinished_risk(left_ms: f64, remaining_ms: f64) -> f64 {
+    /// A logistic function with this slope is close to the normal distribution.
     const NORMAL_SLOPE: f64 = 1.7;
     if left_ms <= 0.0 {
         return 1.0;
     }
-    let deviations = (left_ms / rest_ms.max(1.0)).ln() / EVENTS_SPREAD;
+    let deviations = (left_ms / remaining_ms.max(1.0)).ln() / EVENTS_SPREAD;
     1.0 / (1.0 + (NORMAL_SLOPE * deviations).exp())
 }
--- a/src/balance/delegation.rs
+++ b/src/balance/delegation.rs
@@ -1,4 +1,5 @@
-//! Places at endpoints that a balancer gives to other instances, and takes from them.
+//! Placement on behalf of other instances: a hall's aggregator places their requests and grants
+//! them the slots.
 
 use crate::{
     balance::{
@@ -12,7 +13,8 @@
 };
 
 impl Balancer {
-    /// Notes that what was just placed is another instance's, which asked for it under a number.
+    /// Assigns the request that was just placed to another instance, which asked for it with the
+    /// sequence number `number`.
     pub fn grant_to_peer(
         &mut self,
         now_us: Micros,
@@ -32,8 +34,8 @@
         self.grants.record(grantee, grant);
     }
 
-    /// Takes what another instance of the hall has at endpoints, all that it asked for up to a number
-    /// included.
+    /// Applies the load report of another instance of the hall, which includes all its grants up to
+    /// the sequence number `settled`.
     pub fn apply_grantee_report(
         &mut self,
         now_us: Micros,
@@ -49,8 +51,8 @@
         }
     }
 
-    /// Sends a request where another instance found a place for it; none if the endpoint is not known
-    /// here, leaves, or asked this instance for rest.
+    /// Sends a request to the endpoint that another instance chose for it; `None` if the endpoint
+    /// is not known here, is leaving, is evacuated, or asked this instance to back off.
     pub fn place_granted(
         &mut self,
         now_us: Micros,
@@ -63,7 +65,7 @@
             Readiness::Ready | Readiness::NeedsPermit => {}
         }
         let choice = self.choice(key, expected)?;
-        // Whoever gave the place has used a permit if one was needed.
+        // The instance that granted the request has used a permit if one was needed.
         Some(self.dispatch(now_us, request, choice))
     }
 }
--- a/src/balance/discovery.rs
+++ b/src/balance/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoints there are, as the platform's store tells: ready, draining, lapsed or gone.
+//! The set of endpoints in the platform's store, each ready, draining, lapsed or gone.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -13,86 +13,87 @@
     prelude::{Micros, Name},
 };
 
-/// How long an endpoint whose entry lapsed while the store was away is still used: entries of
-/// living endpoints are back within about two seconds of the store's return.
+/// Grace period for an endpoint whose entry lapsed while the store was unreachable: entries of live
+/// endpoints are back within about two seconds of the store's return.
 const LAPSE_GRACE_US: Micros = 1_800_000;
 
-/// Removals remembered for those that lag behind; more than a busy minute has.
+/// Removals kept for instances that lag behind; more than occur in a busy minute.
 const MAX_REMOVALS: usize = 512;
 
-/// Orders the changes of the store.
+/// A revision of the store; orders its changes.
 pub type Revision = u64;
 
-/// What an endpoint's entry in the store says.
+/// The entry of an endpoint in the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// Its name, which a later start of it may bear again.
+    /// Its name, which a later incarnation may reuse.
     pub id: Name,
-    /// When this start of it began, in Unix milliseconds by its own clock; 0 if it does not say. Only
-    /// compared among starts under one id, where the later one is the endpoint.
+    /// Start time of this incarnation, in Unix milliseconds by its own clock; 0 if not known.
+    /// Compared only among incarnations of one id, of which the latest is valid.
     pub born_ms: u64,
     /// The service it belongs to.
     pub service: Name,
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
-    /// The hall it stands in.
+    /// The hall it runs in.
     pub hall: Name,
-    /// Requests that it runs at a time.
+    /// Requests that it can run at a time.
     pub slots: u32,
-    /// Whether it is about to leave and takes no new work.
+    /// Whether it is about to leave and accepts no new requests.
     pub draining: bool,
-    /// How much longer it is slow from its start, in milliseconds.
+    /// Remaining time for which it is cold after its start, in milliseconds.
     pub warmup_left_ms: u64,
 }
 
 impl EndpointEntry {
-    /// Returns the key of this start of the endpoint: what is learned of one start says nothing of the next.
+    /// Returns the key of this incarnation: what is learned about one incarnation does not apply to
+    /// the next.
     pub fn key(&self) -> EndpointKey {
         EndpointKey::of_incarnation(&self.id, self.born_ms)
     }
 }
 
-/// An endpoint as far as it is known.
+/// An endpoint and the state of its entry.
 #[derive(Clone, Debug)]
 pub struct TrackedEndpoint {
-    /// Its newest entry.
+    /// Its latest entry.
     pub entry: Arc<EndpointEntry>,
-    /// Set while its entry is missing though it may live.
+    /// Set while the entry is missing although the endpoint may be alive.
     lapsed_until_us: Option<Micros>,
-    /// The store's revision when this was learned.
+    /// The store revision at which this was learned.
     revision: Revision,
 }
 
-/// What has changed in the set since a revision, or all of it.
+/// The changes of the set after a revision, or the whole set.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EndpointsDelta {
-    /// The store's revision that the copy brings its taker to.
+    /// The store revision of a set to which the delta was applied.
     pub revision: Revision,
-    /// Entries, each with whether it is missing though its endpoint may live.
+    /// Entries, each with whether it has lapsed (is missing although the endpoint may be alive).
     pub entries: Vec<(EndpointEntry, bool)>,
-    /// Endpoints that are gone.
+    /// Ids of removed endpoints.
     pub removed: Vec<Name>,
-    /// Nothing else is in the set.
+    /// Whether `entries` is a full snapshot of the set.
     pub is_whole: bool,
 }
 
-/// A change of the set, for the log and for whoever keeps state by endpoint.
+/// A change of the set, for logs and for state kept by endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// An endpoint that was not known.
+    /// A new endpoint.
     Appeared,
-    /// A known endpoint's entry changed.
+    /// The entry of a known endpoint changed.
     Updated,
-    /// Another start of a known endpoint took its place; it has and knows nothing of before.
+    /// A new incarnation replaced a known one; it has none of the previous one's state.
     Restarted,
-    /// Its entry is gone, but it may live.
+    /// The entry is missing, but the endpoint may be alive.
     Lapsed,
-    /// It is gone.
+    /// The endpoint is gone.
     Gone,
 }
 
 impl Change {
-    /// Returns its name in logs.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Appeared => "appeared",
@@ -104,17 +105,18 @@
     }
 }
 
-/// A removal that those who lag behind are told of.
+/// A removal, kept for instances that lag behind.
 #[derive(Clone, Debug)]
 struct Removal {
     at: Revision,
     id: Name,
-    /// The latest start that was known then.
+    /// Start time of the latest incarnation known at the removal.
     born_ms: u64,
 }
 
 impl Removal {
-    /// Returns whether an entry as it was at a revision is older than this removal, or of an earlier start.
+    /// Returns whether an entry read at `revision` is older than this removal or belongs to an
+    /// earlier incarnation.
     fn supersedes(&self, entry: &EndpointEntry, revision: Revision) -> bool {
         self.id == entry.id && (self.at > revision || self.born_ms > entry.born_ms)
     }
@@ -124,34 +126,35 @@
 #[derive(Debug, Default)]
 pub struct Discovery {
     by_id: HashMap<Name, TrackedEndpoint>,
-    /// Until when a missing entry may have lapsed because the store was away.
+    /// Until this time a missing entry counts as lapsed, because the store was unreachable.
     grace_until_us: Micros,
-    /// The store's revision that the set is up to.
+    /// The store revision up to which the set is known.
     revision: Revision,
-    /// The last removals, and the revision after which none is missing here; who is behind that gets
-    /// the whole set.
+    /// The latest removals, and the revision after which the list is complete; an instance behind
+    /// that revision gets a full snapshot.
     removals: VecDeque<Removal>,
     removals_complete_from: Revision,
 }
 
 impl Discovery {
-    /// Returns the store's revision that the set is up to.
+    /// Returns the store revision up to which the set is known.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Notes that the set is up to a revision of the store.
+    /// Records that the set is up to date with a revision of the store.
     pub fn advance_to(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Notes that the store could not be reached until now.
+    /// Records that the store was unreachable until now.
     pub fn store_was_unreachable(&mut self, now_us: Micros) {
         self.grace_until_us = now_us + LAPSE_GRACE_US;
     }
 
-    /// Takes an entry as it was at a revision; returns what changed. What is known to be newer stays: an
-    /// entry of a later start, whatever the revisions say, since what an earlier one wrote may land late.
+    /// Adds or updates an entry read at a revision; returns what changed. Newer state is kept: a
+    /// later incarnation wins whatever the revisions say, since a late write of an earlier one may
+    /// arrive after it.
     pub fn upsert(&mut self, entry: EndpointEntry, revision: Revision) -> Option<Change> {
         let id = entry.id.clone();
         if self.removals.iter().any(|r| r.supersedes(&entry, revision)) {
@@ -179,11 +182,11 @@
         changed.then_some(Change::Updated)
     }
 
-    /// Takes word that an entry was gone at a revision of the store, or before; returns what changed.
+    /// Handles the absence of an entry at or before the revision `at`; returns what changed.
     pub fn mark_removed(&mut self, now_us: Micros, id: &str, at: Revision) -> Option<Change> {
         let Some(known) = self.by_id.get_mut(id) else {
-            // Others may have it.
-            self.note_removal(id.into(), at, 0);
+            // Instances behind may still have it.
+            self.record_removal(id.into(), at, 0);
             return None;
         };
         if known.revision > at {
@@ -201,15 +204,16 @@
         Some(Change::Lapsed)
     }
 
-    /// Removes an endpoint that was gone at a revision, or before. Whoever is behind that revision is
-    /// told, so it must not be taken too low: others get the same changes in other portions.
+    /// Removes an endpoint that was gone at or before the revision `at`. Instances behind that
+    /// revision are sent the removal, so it must not be too low: other instances get the same
+    /// changes in other batches.
     fn drop_entry(&mut self, id: &str, at: Revision) {
         if let Some((id, known)) = self.by_id.remove_entry(id) {
-            self.note_removal(id, at, known.entry.born_ms);
+            self.record_removal(id, at, known.entry.born_ms);
         }
     }
 
-    fn note_removal(&mut self, id: Name, at: Revision, born_ms: u64) {
+    fn record_removal(&mut self, id: Name, at: Revision, born_ms: u64) {
         self.removals.push_back(Removal { at, id, born_ms });
         if self.removals.len() > MAX_REMOVALS
             && let Some(oldest) = self.removals.pop_front()
@@ -218,13 +222,13 @@
         }
     }
 
-    /// Returns what whoever is at `revision` lacks.
+    /// Returns the changes after `revision`.
     pub fn delta_since(&self, revision: Revision) -> EndpointsDelta {
         let is_whole = revision < self.removals_complete_from || revision == 0;
         let entries = self.by_id.values();
         let entries = entries.filter(|e| is_whole || e.revision > revision);
         let removals = self.removals.iter();
-        // One that came back since is no removal to whoever was not told of either.
+        // An endpoint that came back is not sent as removed: the receiver gets its new entry.
         let removals =
             removals.filter(|r| !is_whole && r.at > revision && !self.by_id.contains_key(&r.id));
         EndpointsDelta {
@@ -237,7 +241,7 @@
         }
     }
 
-    /// Takes another instance's copy, if it is ahead; returns what changed.
+    /// Applies another instance's delta if it is newer; returns what changed.
     pub fn apply_delta(&mut self, now_us: Micros, delta: EndpointsDelta) -> Vec<(Name, Change)> {
         if delta.revision <= self.revision {
             return Vec::new();
@@ -267,7 +271,7 @@
                 self.drop_entry(&id, delta.revision);
                 changes.push((id, Change::Gone));
             } else {
-                self.note_removal(id, delta.revision, 0);
+                self.record_removal(id, delta.revision, 0);
             }
         }
         if delta.is_whole {
@@ -277,29 +281,29 @@
         changes
     }
 
-    /// Takes a whole list as it was at a revision; returns the ids that are not on it and what became
-    /// of each.
+    /// Handles all entries that are missing from a full listing at a revision; returns their ids
+    /// and what changed.
     pub fn retain_listed(
         &mut self,
         now_us: Micros,
         at: Revision,
-        listed: impl Fn(&str) -> bool,
+        is_listed: impl Fn(&str) -> bool,
     ) -> Vec<(Name, Change)> {
-        let ids = self.by_id.keys().filter(|id| !listed(id));
+        let ids = self.by_id.keys().filter(|id| !is_listed(id));
         let missing: Vec<Name> = ids.cloned().collect();
         let changes = missing.into_iter().filter_map(|id| {
             let change = self.mark_removed(now_us, &id, at)?;
             Some((id, change))
         });
         let changes = changes.collect();
-        // What came and went since the set was last up to date is not known.
+        // Endpoints that came and went since the last update of the set are not known.
         if at > self.revision {
             self.removals_complete_from = at;
         }
         changes
     }
 
-    /// Removes those whose lapse is over; returns their ids.
+    /// Removes endpoints whose grace period is over; returns their ids.
     pub fn expire(&mut self, now_us: Micros) -> Vec<Name> {
         let has_expired =
             |e: &TrackedEndpoint| e.lapsed_until_us.is_some_and(|until| until <= now_us);
@@ -311,12 +315,12 @@
         expired
     }
 
-    /// Returns an endpoint's newest entry.
+    /// Returns the latest entry of an endpoint.
     pub fn get(&self, id: &str) -> Option<&Arc<EndpointEntry>> {
         self.by_id.get(id).map(|e| &e.entry)
     }
 
-    /// Returns the number of endpoints known.
+    /// Returns the number of known endpoints.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
--- a/src/balance/grants.rs
+++ b/src/balance/grants.rs
@@ -1,6 +1,7 @@
-//! Places at endpoints that were given to other instances, until their reports show them.
+//! Requests at endpoints that were granted to other instances and are not in their load reports
+//! yet.
 //!
-//! Free of clock and socket, so that tests drive it step by step.
+//! Uses no clock or socket, so tests can drive it step by step.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -9,41 +10,42 @@
     prelude::{Incarnation, Micros},
 };
 
-/// A place whose taker has not reported is believed to be taken for this long: reports come each 40 ms,
-/// and one or two may be lost.
+/// A grant without a report of its grantee counts for this long: reports come every 40 ms, and one
+/// or two may be lost.
 const GRANT_TTL_US: Micros = 400_000;
 
-/// A place given to another instance.
+/// A request at an endpoint that was granted to another instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The taker's number of the request for it; numbers rise.
+    /// The grantee's sequence number of the grant request; increases.
     pub number: u64,
     /// The endpoint.
     pub key: EndpointKey,
-    /// Prompt tokens that the endpoint has to read.
+    /// Prompt tokens that the endpoint has to process.
     pub uncached_tokens: u32,
-    /// When it was given.
+    /// When it was granted.
     pub at_us: Micros,
 }
 
-/// The places given that no report shows yet, by taker.
+/// The unreported grants, by grantee.
 #[derive(Debug, Default)]
 pub struct Grants {
     by_grantee: HashMap<Incarnation, VecDeque<Grant>>,
 }
 
 impl Grants {
-    /// Notes a place.
+    /// Adds a grant.
     pub fn record(&mut self, grantee: Incarnation, grant: Grant) {
         self.by_grantee.entry(grantee).or_default().push_back(grant);
     }
 
-    /// Takes out what a taker's report shows: all that it asked for up to a number.
+    /// Removes and returns the grants that a grantee's report includes: all up to a sequence
+    /// number.
     pub fn take_reported(&mut self, grantee: Incarnation, number: u64) -> Vec<Grant> {
         self.extract(grantee, |grant| grant.number <= number)
     }
 
-    /// Takes out what was given long ago.
+    /// Removes and returns expired grants.
     pub fn expire(&mut self, now_us: Micros) -> Vec<Grant> {
         let grantees: Vec<Incarnation> = self.by_grantee.keys().copied().collect();
         let is_old = |grant: &Grant| now_us.saturating_sub(grant.at_us) >= GRANT_TTL_US;
--- a/src/balance/index.rs
+++ b/src/balance/index.rs
@@ -1,4 +1,4 @@
-//! The endpoints in use by service and data centre, kept as they come and go.
+//! Index of the known endpoints by service and data centre, updated as they come and go.
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
     prelude::Name,
 };
 
-/// Keys of endpoints by service, and by service and data centre; each list sorted.
+/// Endpoint keys by service, and by service and data centre; each list is sorted.
 #[derive(Debug, Default)]
 pub struct EndpointIndex {
     by_service: HashMap<Name, Vec<EndpointKey>>,
@@ -26,7 +26,7 @@
         insert_sorted(data_centres.entry(entry.hall.clone()).or_default(), key);
     }
 
-    /// Takes an endpoint out that was added with this entry.
+    /// Removes an endpoint that was added with this entry.
     pub fn remove(&mut self, key: EndpointKey, entry: &EndpointEntry) {
         if let Some(of_service) = self.by_service.get_mut(&entry.service) {
             remove_sorted(of_service, key);
--- a/src/balance/load.rs
+++ b/src/balance/load.rs
@@ -1,5 +1,5 @@
-//! How busy each endpoint is: this instance's own requests, what the others tell of theirs, and
-//! what the endpoint said of itself.
+//! Load of single endpoints: this instance's own requests, the loads that peers report, and what
+//! the endpoint reports of itself.
 
 use std::collections::HashMap;
 
@@ -7,22 +7,22 @@
 
 use crate::prelude::{Incarnation, Micros, short_hash};
 
-/// What another instance, or another hall, told counts for this long: some messages may be lost.
+/// How long the load reported by another instance or hall counts; covers the loss of some messages.
 const PEER_LOAD_TTL_US: Micros = 2_500_000;
-/// An endpoint's own word counts in full when it comes and for nothing after this time.
+/// An endpoint's own report loses weight linearly and counts for nothing after this time.
 const LOAD_REPORT_TTL_US: f64 = 700_000.0;
 
-/// Names a start of an endpoint among instances; a hash of its id and of when it began.
+/// Identifies one incarnation (process start) of an endpoint: a hash of its id and start time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EndpointKey(pub u32);
 
 impl EndpointKey {
-    /// Returns the key of an endpoint that does not say when it started.
+    /// Returns the key of an endpoint whose start time is not known.
     pub fn of(id: &str) -> Self {
         Self(short_hash(id))
     }
 
-    /// Returns the key of an endpoint's start at `born_ms`, 0 if that is not known.
+    /// Returns the key of an endpoint that started at `born_ms`; 0 if that is not known.
     pub fn of_incarnation(id: &str, born_ms: u64) -> Self {
         match born_ms {
             0 => Self::of(id),
@@ -31,8 +31,8 @@
     }
 }
 
-/// Endpoints by their keys, from the first to the last. A list of loads too long for a datagram is
-/// told in several, each of a part of all keys.
+/// A range of endpoint keys, both ends included. A list of loads too long for one datagram is sent
+/// in several, each for a range of keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyRange {
     /// The lowest key.
@@ -42,13 +42,13 @@
 }
 
 impl KeyRange {
-    /// All endpoints.
+    /// All keys.
     pub const ALL: Self = Self {
         first: EndpointKey(0),
         last: EndpointKey(u32::MAX),
     };
 
-    /// Returns whether the endpoint is one of them.
+    /// Returns whether a key is in the range.
     pub fn contains(self, key: EndpointKey) -> bool {
         (self.first..=self.last).contains(&key)
     }
@@ -60,8 +60,8 @@
     }
 }
 
-/// Cuts loads sorted by endpoint into lists of at most `max`, each with the endpoints that it is
-/// of; together they are of all.
+/// Splits loads sorted by key into lists of at most `max_entries`, each with its range of keys;
+/// together the ranges cover all keys.
 pub fn split_loads(
     loads: &[(EndpointKey, InFlight)],
     max_entries: usize,
@@ -83,58 +83,59 @@
     parts
 }
 
-/// Requests of one instance at one endpoint.
+/// In-flight requests of one instance at one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InFlight {
     /// Requests sent that have not ended.
     pub requests: u32,
-    /// Prompt tokens sent whose first event has not come, without what the endpoint has cached.
+    /// Uncached prompt tokens of requests whose first event has not come.
     pub prompt_tokens: u32,
 }
 
-/// What an endpoint says of its own load.
+/// The load that an endpoint reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointLoadReport {
     /// Requests that it runs.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests in its queue.
     pub waiting: u32,
-    /// Requests that it runs at a time.
+    /// Requests that it can run at a time.
     pub slots: u32,
 }
 
-/// What is believed to be at an endpoint.
+/// Estimated load of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadEstimate {
-    /// Requests sent there that have not ended.
+    /// Requests in flight there.
     pub requests: f64,
-    /// Prompt tokens that it reads before those of a new request.
+    /// Prompt tokens to be processed before those of a new request.
     pub prompt_tokens: f64,
 }
 
-/// The load at one endpoint.
+/// The load at one endpoint, by source.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointLoad {
-    /// Of this instance.
+    /// Requests of this instance.
     pub own: InFlight,
-    /// Of all others together.
+    /// Requests of all other instances together.
     peers: InFlight,
-    /// Given to others that have not told of them yet.
+    /// Requests granted to other instances that their reports do not show yet.
     granted: InFlight,
-    /// Requests that the endpoint told of and nobody else, and when.
+    /// Requests that the endpoint reported beyond those known to the instances, and when.
     unaccounted: f64,
     reported_us: Micros,
-    /// Its word came to this instance, and the others were not told yet.
+    /// The endpoint reported to this instance, and `unaccounted` was not sent to peers yet.
     is_unaccounted_unsent: bool,
 }
 
 impl EndpointLoad {
-    /// Returns how many requests are there and what is to be read before a new one, as far as is known.
+    /// Returns the estimated load.
     pub fn estimate(&self, now_us: Micros) -> LoadEstimate {
         self.shrunk_towards(now_us, LoadEstimate::default(), 1.0)
     }
 
-    /// The same with what others have there drawn to `mean`, of which the share `weight` is believed.
+    /// Like [`Self::estimate`], with the load of peers shrunk towards `mean`: `weight` is the
+    /// weight of the reported value.
     pub fn shrunk_towards(&self, now_us: Micros, mean: LoadEstimate, weight: f64) -> LoadEstimate {
         let shrink = |count: u32, mean: f64| mean + (f64::from(count) - mean) * weight;
         let age_us = now_us.saturating_sub(self.reported_us) as f64;
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Returns what the instances have there, without the endpoint's own word.
+    /// Returns the load known to the instances, without the endpoint's own report.
     pub fn accounted(&self) -> LoadEstimate {
         let all = [self.own, self.peers, self.granted];
         LoadEstimate {
@@ -157,25 +158,25 @@
         }
     }
 
-    /// Returns what others have there, as they told.
+    /// Returns the load reported by other instances.
     pub fn peers(&self) -> InFlight {
         self.peers
     }
 
-    /// Adds a place given to another instance.
+    /// Adds a request granted to another instance.
     pub fn add_grant(&mut self, uncached_tokens: u32) {
         self.granted.requests += 1;
         self.granted.prompt_tokens += uncached_tokens;
     }
 
-    /// Takes away a place given to another instance.
+    /// Removes a request granted to another instance.
     pub fn release_grant(&mut self, uncached_tokens: u32) {
         let granted = &mut self.granted;
         granted.requests = granted.requests.saturating_sub(1);
         granted.prompt_tokens = granted.prompt_tokens.saturating_sub(uncached_tokens);
     }
 
-    /// Takes the endpoint's own word: what it has beside the requests that the instances know of.
+    /// Records the endpoint's own report: what it has beyond the requests known to the instances.
     pub fn record_report(&mut self, now_us: Micros, report: EndpointLoadReport) {
         let known = f64::from(self.own.requests + self.peers.requests);
         let reported = f64::from(report.running + report.waiting);
@@ -183,15 +184,14 @@
         self.is_unaccounted_unsent = true;
     }
 
-    /// Takes what another instance found an endpoint to have beside the requests known of.
+    /// Sets the unaccounted load found by this or another instance.
     pub fn set_unaccounted(&mut self, now_us: Micros, unaccounted: f64) {
-        // Less than is known of is no news: requests are on their way there.
+        // A lower count than known is ignored: requests are on their way there.
         self.unaccounted = unaccounted.max(0.0);
         self.reported_us = now_us;
     }
 
-    /// Returns what the endpoint's own word was beside the requests known of, if it came since this
-    /// was asked last.
+    /// Returns the unaccounted load if the endpoint reported since the last call.
     pub fn take_unaccounted(&mut self) -> Option<i8> {
         let is_unsent = std::mem::take(&mut self.is_unaccounted_unsent);
         is_unsent.then_some(self.unaccounted.min(f64::from(i8::MAX)) as i8)
@@ -204,14 +204,14 @@
     loads: Vec<(EndpointKey, InFlight)>,
 }
 
-/// What the other instances told, by instance.
+/// The loads reported by other instances.
 #[derive(Debug, Default)]
 pub struct PeerLoads {
     by_peer: HashMap<Incarnation, PeerReport>,
 }
 
 impl PeerLoads {
-    /// Replaces what an instance told of its requests at the endpoints of `span`.
+    /// Replaces the load that an instance reported for the endpoints in `span`.
     pub fn replace(
         &mut self,
         now_us: Micros,
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Forgets instances that have said nothing for long; returns them.
+    /// Drops instances that have not reported for long; returns them.
     pub fn expire(
         &mut self,
         now_us: Micros,
@@ -257,7 +257,7 @@
         gone
     }
 
-    /// Forgets all that was told.
+    /// Drops all reports.
     pub fn clear(&mut self, endpoints: &mut HashMap<EndpointKey, EndpointLoad>) {
         self.by_peer.clear();
         for endpoint in endpoints.values_mut() {
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Returns how many instances are heard, beside this one.
+    /// Returns the number of other instances with current reports.
     pub fn reporting_peers(&self) -> usize {
         self.by_peer.len()
     }
--- a/src/balance/load_view.rs
+++ b/src/balance/load_view.rs
@@ -1,4 +1,4 @@
-//! The load at all endpoints, as far as this instance knows it.
+//! This instance's view of the load of all endpoints.
 
 use std::{collections::HashMap, sync::LazyLock};
 
@@ -9,26 +9,27 @@
     prelude::{Incarnation, Micros, Name},
 };
 
-/// In a large group, what was told of endpoints in other halls is believed by this share, and for the
-/// rest they are taken to be like the service's endpoints of their hall in the mean, which changes
-/// slowly: told each 200 ms, it is older
-/// than the requests that meanwhile came to whoever looked idle. Of placements in other halls 40 in
-/// 100 were late in a surge over 78 instances. Worth of that surge, two seeds, by share: 1.0 .486,
-/// 0.6 .515, 0.25 .517; of a calm day .809, .825, .800.
+/// Weight of the reported load of endpoints in other halls in a large cluster. The rest is the mean
+/// over the service's endpoints in that hall, which changes slowly: reports arrive every 200 ms and
+/// are older than the requests that have since gone to whichever endpoint looked idle.
+///
+/// Of the placements in other halls 40 in 100 were late in a surge over 78 instances. Value served
+/// in that surge (two seeds) by weight: 1.0 0.486, 0.6 0.515, 0.25 0.517; on a day without surges
+/// 0.809, 0.825, 0.800.
 const REMOTE_LOAD_WEIGHT: f64 = 0.6;
-/// The means follow what is told within this time: one round of words.
+/// The means are recomputed at this interval, one gossip round.
 const MEANS_INTERVAL_US: Micros = 40_000;
 
 /// Endpoints by service and hall.
 pub type EndpointsByServiceAndHall = HashMap<Name, HashMap<Name, Vec<EndpointKey>>>;
 
-/// How many instances place requests by pictures like this one.
+/// How many instances place requests, which decides how they exchange loads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ClusterSize {
-    /// So few that all tell each other each round.
+    /// Few enough that every instance reports to all others in each round.
     #[default]
     Small,
-    /// More: halls tell each other sums, and many place requests before they hear of each other.
+    /// Halls exchange sums, and many instances place requests before they learn of each other's.
     Large,
 }
 
@@ -39,27 +40,27 @@
     is_hall_aggregator: bool,
     loads: HashMap<EndpointKey, EndpointLoad>,
     peer_loads: PeerLoads,
-    /// What an endpoint of each service and hall has from others in the mean, and when that was worked
-    /// out.
+    /// Mean load from peers on one endpoint, by service and hall, and when it was computed.
     means: HashMap<Name, HashMap<Name, LoadEstimate>>,
     means_at_us: Micros,
 }
 
 impl LoadView {
-    /// Sets how many instances place requests by pictures like this one.
+    /// Sets the size class of the cluster.
     pub fn set_cluster_size(&mut self, cluster_size: ClusterSize) {
         if std::mem::replace(&mut self.cluster_size, cluster_size) != cluster_size {
-            // What single instances told is in the sums of halls from now on, or the other way round.
+            // Loads of single instances are part of the hall sums from now on, or the other way
+            // round.
             self.peer_loads.clear(&mut self.loads);
         }
     }
 
-    /// Returns how many instances place requests by pictures like this one.
+    /// Returns the size class of the cluster.
     pub fn cluster_size(&self) -> ClusterSize {
         self.cluster_size
     }
 
-    /// Returns what is believed to be at an endpoint of `service` in `hall`.
+    /// Returns the estimated load of an endpoint of `service` in `hall`.
     pub fn estimate(
         &self,
         now_us: Micros,
@@ -71,7 +72,8 @@
         static IDLE: LazyLock<EndpointLoad> = LazyLock::new(EndpointLoad::default);
         let load = self.loads.get(&key).unwrap_or(&IDLE);
         if same_hall && self.is_hall_aggregator {
-            // What endpoints have beside what the tellers knew of is mostly what is known here besides.
+            // Here all requests of the hall are counted exactly; the unaccounted load that others
+            // report is mostly part of that count.
             return load.accounted();
         }
         let is_current = same_hall || self.cluster_size == ClusterSize::Small;
@@ -82,7 +84,7 @@
         }
     }
 
-    /// Works out the means of the services anew if they are old.
+    /// Recomputes the means per service and hall if they are older than one interval.
     pub fn refresh_means(&mut self, now_us: Micros, services: &EndpointsByServiceAndHall) {
         let age_us = now_us.saturating_sub(self.means_at_us);
         if self.cluster_size == ClusterSize::Small || age_us < MEANS_INTERVAL_US {
@@ -113,22 +115,23 @@
         }
     }
 
-    /// Sets whether this instance gives places at its hall's endpoints to the others, and so hears from
-    /// each of them what it has there.
+    /// Sets whether this instance is the aggregator of its hall: it grants requests at the hall's
+    /// endpoints to the other instances, and each of them reports its own load to it.
     pub fn set_hall_aggregator(&mut self, is_hall_aggregator: bool) {
         if std::mem::replace(&mut self.is_hall_aggregator, is_hall_aggregator) != is_hall_aggregator
         {
-            // Sums of the hall, or of its instances one by one, are not told from now on.
+            // From now on, reports are per instance instead of sums of the hall, or the other way
+            // round.
             self.peer_loads.clear(&mut self.loads);
         }
     }
 
-    /// Returns whether this instance gives places at its hall's endpoints to the others.
+    /// Returns whether this instance is the aggregator of its hall.
     pub fn is_hall_aggregator(&self) -> bool {
         self.is_hall_aggregator
     }
 
-    /// Adds a place given to another instance.
+    /// Adds a request granted to another instance.
     pub fn add_grant(&mut self, key: EndpointKey, uncached_tokens: u32) {
         self.loads
             .entry(key)
@@ -136,7 +139,7 @@
             .add_grant(uncached_tokens);
     }
 
-    /// Takes away a place given to another instance.
+    /// Removes a request granted to another instance.
     pub fn release_grant(&mut self, key: EndpointKey, uncached_tokens: u32) {
         if let Some(load) = self.loads.get_mut(&key) {
             load.release_grant(uncached_tokens);
@@ -150,7 +153,7 @@
         own.prompt_tokens += uncached_tokens;
     }
 
-    /// Notes that the prompt of a request of this instance was read.
+    /// Records that the endpoint has processed the prompt of a request of this instance.
     pub fn record_prompt_processed(&mut self, key: EndpointKey, uncached_tokens: u32) {
         if let Some(load) = self.loads.get_mut(&key) {
             let tokens = &mut load.own.prompt_tokens;
@@ -158,7 +161,7 @@
         }
     }
 
-    /// Takes a request of this instance away, with the tokens of its prompt that were not read.
+    /// Removes a request of this instance, with its prompt tokens that were not processed.
     pub fn record_ended(&mut self, key: EndpointKey, waiting_tokens: u32) {
         if let Some(load) = self.loads.get_mut(&key) {
             load.own.requests = load.own.requests.saturating_sub(1);
@@ -166,18 +169,18 @@
         }
     }
 
-    /// Returns how many requests of this instance are at an endpoint.
+    /// Returns the number of in-flight requests of this instance at an endpoint.
     pub fn own_requests(&self, key: EndpointKey) -> u32 {
         self.loads.get(&key).map_or(0, |load| load.own.requests)
     }
 
-    /// Returns whether others have requests at an endpoint, as far as they told.
+    /// Returns whether other instances reported requests at an endpoint.
     pub fn has_peer_requests(&self, key: EndpointKey) -> bool {
         let load = self.loads.get(&key);
         load.is_some_and(|load| load.peers().requests > 0)
     }
 
-    /// Takes an endpoint's own word on its load.
+    /// Records the load that an endpoint reported of itself.
     pub fn record_load_report(
         &mut self,
         now_us: Micros,
@@ -190,15 +193,15 @@
             .record_report(now_us, report);
     }
 
-    /// Returns what endpoints said of their load since this was asked last, beside the requests that
-    /// are known of.
+    /// Returns the load that endpoints reported beyond the requests known to the instances, since
+    /// the last call.
     pub fn take_unaccounted_load(&mut self) -> Vec<(EndpointKey, i8)> {
         let loads = self.loads.iter_mut();
         let reports = loads.filter_map(|(key, load)| Some((*key, load.take_unaccounted()?)));
         reports.collect()
     }
 
-    /// Takes what other instances heard from endpoints of their load.
+    /// Applies unaccounted load that other instances learned from endpoints.
     pub fn apply_unaccounted_load(&mut self, now_us: Micros, reports: &[(EndpointKey, i8)]) {
         for (key, unaccounted) in reports {
             let load = self.loads.entry(*key).or_default();
@@ -206,7 +209,7 @@
         }
     }
 
-    /// Returns this instance's requests by endpoint, to tell the others.
+    /// Returns this instance's load by endpoint, to be sent to peers.
     pub fn own_loads(&self) -> Vec<(EndpointKey, InFlight)> {
         let own = self.loads.iter().map(|(k, l)| (*k, l.own));
         let mut own: Vec<_> = own.filter(|(_, l)| l.requests > 0).collect();
@@ -214,8 +217,8 @@
         own
     }
 
-    /// Takes what another instance, or another hall under a key of its own, told of its requests at
-    /// the endpoints of `span`.
+    /// Replaces the load reported by another instance, or by another hall under a key of its own,
+    /// for the endpoints in `span`.
     pub fn apply_peer_loads(
         &mut self,
         now_us: Micros,
@@ -227,12 +230,12 @@
             .replace(now_us, from, span, loads, &mut self.loads);
     }
 
-    /// Forgets the instances that fell silent; returns them.
+    /// Drops the loads of instances that stopped reporting; returns those instances.
     pub fn expire(&mut self, now_us: Micros) -> Vec<Incarnation> {
         self.peer_loads.expire(now_us, &mut self.loads)
     }
 
-    /// Returns how many other instances are heard.
+    /// Returns the number of other instances whose reports are current.
     pub fn reporting_peers(&self) -> usize {
         self.peer_loads.reporting_peers()
     }
--- a/src/balance/mod.rs
+++ b/src/balance/mod.rs
@@ -1,5 +1,6 @@
-//! Which endpoint a request goes to, which waits and which is refused, decided by each instance
-//! over a picture of all endpoints that the instances share.
+//! Load balancing: decides which endpoint serves a request, which request waits and which is
+//! refused. Every instance decides on its own, using a view of endpoint load that the instances
+//! share by gossip.
 
 pub mod balancer;
 pub mod cold;
--- a/src/balance/prefixes.rs
+++ b/src/balance/prefixes.rs
@@ -1,7 +1,8 @@
-//! Which endpoints have read which parts of prompts.
+//! Which endpoints have which prompt prefixes cached.
 //!
-//! A prompt is a chain of parts; an endpoint need not read a part again if it keeps that part and
-//! all before it. What is kept here is a belief: endpoints drop what was not used for long.
+//! A prompt is a chain of parts; an endpoint need not process a part again if it has cached that
+//! part and all before it. The record is an estimate: endpoints evict prefixes that were not used
+//! for long.
 
 use std::collections::HashMap;
 
@@ -9,27 +10,27 @@
 
 use crate::{balance::load::EndpointKey, prelude::Micros};
 
-/// Endpoints remembered for one chain, the most recent last.
+/// Endpoints recorded per chain, the most recent last.
 const MAX_HOLDERS: usize = 6;
-/// Chains remembered, about 100 bytes each.
+/// Maximum number of chains, about 100 bytes each.
 const MAX_CHAINS: usize = 8_192;
-/// A holder not used for this long is taken to have dropped the chain.
+/// An endpoint that has not used a chain for this long is assumed to have evicted it.
 const HOLDER_TTL_US: Micros = 60_000_000;
 
-/// One part of a prompt.
+/// A part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPart {
-    /// Names its text.
+    /// Identifies its text.
     pub id: u64,
-    /// Its length.
+    /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// Names a chain: a part with all before it.
+/// Hash of a chain: a part with all parts before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ChainKey(pub u32);
 
-/// The chains of a prompt, the shortest first, each with its length in tokens.
+/// Returns the chains of a prompt, the shortest first, each with its length in tokens.
 pub fn chains(parts: &[PromptPart]) -> impl Iterator<Item = (ChainKey, u32)> {
     parts
         .iter()
@@ -48,14 +49,14 @@
     used_us: Micros,
 }
 
-/// Which endpoints hold which chains.
+/// The endpoints that hold each chain.
 #[derive(Debug, Default)]
 pub struct PrefixHolders {
     chains: HashMap<ChainKey, Vec<Holder>>,
 }
 
 impl PrefixHolders {
-    /// Notes that an endpoint has read a chain.
+    /// Records that an endpoint has processed a chain.
     pub fn record(&mut self, now_us: Micros, chain: ChainKey, endpoint: EndpointKey) {
         if self.chains.len() >= MAX_CHAINS && !self.chains.contains_key(&chain) {
             self.evict_unused(now_us);
@@ -71,7 +72,7 @@
         });
     }
 
-    /// Returns how many tokens of a prompt an endpoint holds.
+    /// Returns how many tokens of a prompt an endpoint has cached.
     pub fn cached_tokens(
         &self,
         now_us: Micros,
@@ -86,17 +87,17 @@
         held.last().map_or(0, |(_, tokens)| *tokens)
     }
 
-    /// Returns the number of chains remembered.
+    /// Returns the number of recorded chains.
     pub fn len(&self) -> usize {
         self.chains.len()
     }
 
-    /// Returns whether no chain is remembered.
+    /// Returns whether no chain is recorded.
     pub fn is_empty(&self) -> bool {
         self.chains.is_empty()
     }
 
-    /// Forgets an endpoint that is gone.
+    /// Removes an endpoint that is gone.
     pub fn evict_endpoint(&mut self, endpoint: EndpointKey) {
         self.chains.retain(|_, holders| {
             holders.retain(|h| h.endpoint != endpoint);
@@ -104,7 +105,7 @@
         });
     }
 
-    /// Drops the chains that were not used for long, or else an arbitrary half.
+    /// Removes the chains that were not used for long; if that frees nothing, an arbitrary half.
     fn evict_unused(&mut self, now_us: Micros) {
         let fresh = |h: &Holder| now_us.saturating_sub(h.used_us) < HOLDER_TTL_US / 2;
         self.chains.retain(|_, holders| holders.iter().any(fresh));
--- a/src/balance/readiness.rs
+++ b/src/balance/readiness.rs
@@ -1,5 +1,5 @@
-//! What a balancer knows of what endpoints said of themselves: that they leave, want rest, or take only so many
-//! requests a second.
+//! Whether an endpoint accepts requests: departures, back-off requests (Retry-After) and rate
+//! limits that endpoints announced, and evacuations of their data centres.
 
 use crate::{
     balance::{
@@ -16,20 +16,21 @@
     prelude::{Micros, Rank},
 };
 
-/// That there are no permits for an endpoint for a while.
+/// A denial of permits for an endpoint, valid for a limited time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PermitDenial {
-    /// For requests of this rank, and less urgent ones.
+    /// Applies to requests of this rank and less urgent ones.
     rank: Rank,
     until_us: Micros,
 }
 
-/// Why a request is refused: all endpoints that could take it asked this instance for rest.
+/// Refusal reason: all eligible endpoints asked this instance to back off.
 pub const ENDPOINTS_BACKING_OFF: &str = "endpoints_rest";
-/// No caller is told to come back sooner than this, in milliseconds.
+/// Minimum retry delay, in milliseconds.
 const MIN_RETRY_DELAY_MS: u32 = 150;
 
-/// Returns when a caller may come back for whom an endpoint is back at `available_at_us`.
+/// Returns the retry delay for a caller that waits for an endpoint available at `available_at_us`,
+/// in milliseconds.
 pub fn retry_delay_until_ms(now_us: Micros, available_at_us: Micros) -> u32 {
     let left_ms = available_at_us.saturating_sub(now_us).div_ceil(1_000);
     u32::try_from(left_ms)
@@ -37,23 +38,23 @@
         .max(MIN_RETRY_DELAY_MS)
 }
 
-/// What an endpoint takes from this instance now, by what it said.
+/// What an endpoint accepts from this instance now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// Requests.
+    /// Any request.
     Ready,
-    /// Requests for which there is a permit: it takes only so many a second.
+    /// Only requests with a permit: it limits its request rate.
     NeedsPermit,
-    /// Nothing before this time: it asked this instance for rest.
+    /// No requests before this time: it asked this instance to back off.
     BackoffUntil(Micros),
-    /// Nothing for now: its data centre is evacuated.
+    /// No requests for now: its data centre is evacuated.
     Evacuated,
-    /// Nothing more: it leaves or is gone.
+    /// No further requests: it is leaving or gone.
     Leaving,
 }
 
 impl Balancer {
-    /// Returns what an endpoint takes now.
+    /// Returns what an endpoint accepts now.
     pub fn readiness(&self, now_us: Micros, key: EndpointKey) -> Readiness {
         match self.endpoints.get(&key) {
             Some(endpoint) => self.readiness_of(now_us, key, endpoint),
@@ -67,7 +68,8 @@
         key: EndpointKey,
         endpoint: &Endpoint,
     ) -> Readiness {
-        // Its own word is final for this start: the entry may have been written before it, and may come back.
+        // An announced departure is final for this incarnation: the entry may be older, or may be
+        // listed again.
         if endpoint.entry.draining || self.standings.leaves(key) {
             return Readiness::Leaving;
         }
@@ -84,60 +86,63 @@
         Readiness::Ready
     }
 
-    /// Returns what endpoints said that all instances are to know.
+    /// Returns the endpoint announcements that are shared among all instances.
     pub fn standings(&self) -> &EndpointStandings {
         &self.standings
     }
 
-    /// Returns the rests that endpoints asked this instance for.
+    /// Returns the back-off periods that endpoints requested from this instance.
     pub fn rests(&self) -> &Rests {
         &self.rests
     }
 
-    /// Takes an endpoint's own word that it leaves, also of one that is in no list now: its entry may come back.
-    /// Returns whether that is new.
+    /// Records that an endpoint announced its departure, even if it is not listed now, since its
+    /// entry may return. Returns whether that is new.
     pub fn record_leaving(&mut self, now_us: Micros, key: EndpointKey) -> bool {
         self.standings.heard_leaving(now_us, key)
     }
 
-    /// Takes an endpoint's own word that it wants rest, as [`Rests::asked`].
+    /// Records that an endpoint asked this instance to back off, as [`Rests::asked`].
     pub fn record_backoff(
         &mut self,
         now_us: Micros,
         key: EndpointKey,
-        rest_us: Micros,
+        backoff_us: Micros,
         instances: usize,
         draw: f64,
     ) -> bool {
-        self.standings.note_rest(now_us, key, rest_us);
-        self.rests.asked(now_us, key, rest_us, instances, draw)
+        self.standings.note_rest(now_us, key, backoff_us);
+        self.rests.asked(now_us, key, backoff_us, instances, draw)
     }
 
-    /// Notes that an endpoint's word on rest could not be read; returns whether the one before could be.
+    /// Records that an endpoint's back-off header could not be parsed; returns whether the previous
+    /// one could.
     pub fn record_unreadable_backoff(&mut self, key: EndpointKey) -> bool {
         self.rests.note_unreadable(key)
     }
 
-    /// Returns when the first of a service's endpoints may be sent to again; none if one may be now, or all leave.
+    /// Returns when the first of a service's endpoints is available again; `None` if one is
+    /// available now or all are leaving or evacuated.
     pub fn earliest_available_us(&self, now_us: Micros, service: &str) -> Option<Micros> {
         if self.rests.is_empty() {
             return None;
         }
-        let mut first_us: Option<Micros> = None;
+        let mut earliest_us: Option<Micros> = None;
         for key in self.keys_of(service) {
             match self.readiness(now_us, *key) {
                 Readiness::Leaving | Readiness::Evacuated => {}
                 Readiness::BackoffUntil(until_us) => {
-                    first_us = Some(first_us.map_or(until_us, |first_us| first_us.min(until_us)));
+                    earliest_us =
+                        Some(earliest_us.map_or(until_us, |earliest_us| earliest_us.min(until_us)));
                 }
                 Readiness::Ready | Readiness::NeedsPermit => return None,
             }
         }
-        first_us
+        earliest_us
     }
 
-    /// Returns the refusal of a request while all endpoints that could take it are at rest: waiting would not help, and
-    /// whoever is told when the first is back does not come into the same refusal.
+    /// Returns the refusal of a request while all eligible endpoints are backing off. Waiting would
+    /// not help, and a retry when the first endpoint is available avoids the same refusal.
     pub fn refuse_while_backing_off(
         &self,
         now_us: Micros,
@@ -150,27 +155,27 @@
         })
     }
 
-    /// Notes that a request goes to an endpoint.
+    /// Records that a request is sent to an endpoint.
     pub fn record_sent(&mut self, now_us: Micros, key: EndpointKey) {
         self.rests.note_sent(now_us, key);
     }
 
-    /// Notes that what was sent at `sent_us` brought no answer.
+    /// Records that a request sent at `sent_us` got no answer.
     pub fn record_unanswered(&mut self, key: EndpointKey, sent_us: Micros) {
         if !self.rests.is_empty() {
             self.rests.note_unanswered(key, sent_us);
         }
     }
 
-    /// Notes an answer without a word of rest to a request that was sent at `sent_us`.
+    /// Records that a request sent at `sent_us` got an answer without a back-off request.
     pub fn record_answered(&mut self, key: EndpointKey, sent_us: Micros) {
         if !self.rests.is_empty() {
             self.rests.note_answered(key, sent_us);
         }
     }
 
-    /// Returns the endpoint for which a request would need a permit, if one is worth asking for: none that
-    /// needs no permit would be better. Those in `tried` are not chosen.
+    /// Returns the endpoint for which a permit should be requested, if it is no more expensive than
+    /// every endpoint that needs no permit. Endpoints in `tried` are excluded.
     pub fn permit_candidate(
         &self,
         now_us: Micros,
@@ -183,7 +188,8 @@
         self.select(now_us, request, tried, None).limited
     }
 
-    /// Notes that there is no permit for an endpoint before `until_us`, for requests of `rank` and less urgent ones.
+    /// Records that no permit is available for an endpoint before `until_us`, for requests of
+    /// `rank` and less urgent ones.
     pub fn record_permit_denial(&mut self, endpoint: EndpointKey, rank: Rank, until_us: Micros) {
         if self.endpoints.contains_key(&endpoint) {
             self.permit_denials
@@ -197,64 +203,66 @@
         endpoint: EndpointKey,
         rank: Rank,
     ) -> bool {
-        let none = self.permit_denials.get(&endpoint);
-        none.is_none_or(|none| none.until_us <= now_us || rank < none.rank)
+        let denial = self.permit_denials.get(&endpoint);
+        denial.is_none_or(|denial| denial.until_us <= now_us || rank < denial.rank)
     }
 
-    /// Takes an endpoint's own word on its limit, as [`EndpointStandings::heard`]; one that is gone has none.
+    /// Records the rate limit that an endpoint announced, as [`EndpointStandings::heard`]; ignored
+    /// for an unknown endpoint.
     pub fn record_limit(
         &mut self,
         now_us: Micros,
         key: EndpointKey,
         sent_at: u32,
-        word: &LimitWord,
+        limit: &LimitWord,
     ) -> Option<LimitChange> {
         self.entry(key)?;
-        let change = self.standings.heard(now_us, key, sent_at, word)?;
+        let change = self.standings.heard(now_us, key, sent_at, limit)?;
         self.permit_denials.remove(&key);
         Some(change)
     }
 
-    /// Notes that an endpoint's word on its limit could not be read; returns whether the one before could be.
+    /// Records that an endpoint's rate limit could not be parsed; returns whether the previous one
+    /// could.
     pub fn record_unreadable_limit(&mut self, key: EndpointKey) -> bool {
         self.entry(key).is_some() && self.standings.note_unreadable(key)
     }
 
-    /// Takes standings that another instance told; returns what changed.
+    /// Applies announcements relayed by another instance; returns what changed.
     pub fn apply_peer_standings(
         &mut self,
         now_us: Micros,
-        told: &[ToldStanding],
+        announcements: &[ToldStanding],
     ) -> Vec<StandingChange> {
-        let changes = self.standings.told(now_us, told);
+        let changes = self.standings.told(now_us, announcements);
         for change in &changes {
             self.permit_denials.remove(&change.endpoint());
         }
         changes
     }
 
-    /// Returns whether standings are to be told at once, if that was not asked since.
+    /// Returns whether announcements must be sent at once, and clears the mark.
     pub fn take_standings_changed(&mut self) -> bool {
         self.standings.take_news()
     }
 
-    /// Returns the standings that an audience is to be told in this round.
+    /// Returns the announcements to send to an audience in this round.
     pub fn take_standings_to_send(
         &mut self,
         now_us: Micros,
         audience: Audience,
     ) -> Vec<ToldStanding> {
         let endpoints = &self.endpoints;
-        let is_listed = |key: EndpointKey| endpoints.contains_key(&key);
-        self.standings.take_told(now_us, audience, is_listed)
+        let is_known = |key: EndpointKey| endpoints.contains_key(&key);
+        self.standings.take_told(now_us, audience, is_known)
     }
 
-    /// Returns what is known of one endpoint, to be told beside a question on it.
+    /// Returns what is known of one endpoint, to be sent along with a permit request for it.
     pub fn standing_to_send(&self, now_us: Micros, key: EndpointKey) -> ToldStanding {
         self.standings.told_one(now_us, key)
     }
 
-    /// Forgets what is over, and limits of endpoints that are in no list.
+    /// Drops expired state, and rate limits of endpoints that are not listed.
     pub fn expire_standings(&mut self, now_us: Micros) {
         let endpoints = &self.endpoints;
         self.rests
--- a/src/balance/regions.rs
+++ b/src/balance/regions.rs
@@ -1,4 +1,4 @@
-//! Regions in which requests may be served, by the operators' word for their routes and organisations.
+//! Regions in which requests may be served, as configured for routes and organisations.
 
 use std::collections::HashMap;
 
@@ -7,14 +7,14 @@
     prelude::Name,
 };
 
-/// The regions in which a request may be served; none binds it if nobody named any.
+/// The regions in which a request may be served; any region if none are configured.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AllowedRegions {
     regions: Option<Vec<Name>>,
 }
 
 impl AllowedRegions {
-    /// Returns where a request may be served that each of `restrictions` binds: in the regions that all of them name.
+    /// Returns the regions that all `restrictions` allow; `None` is no restriction.
     pub fn intersection<'n>(restrictions: impl IntoIterator<Item = Option<&'n [Name]>>) -> Self {
         let mut regions: Option<Vec<Name>> = None;
         for restrictions in restrictions.into_iter().flatten() {
@@ -29,7 +29,7 @@
         Self { regions }
     }
 
-    /// Returns whether some regions are named.
+    /// Returns whether the regions are restricted.
     pub fn is_restricted(&self) -> bool {
         self.regions.is_some()
     }
@@ -48,7 +48,7 @@
         self.regions = regions;
     }
 
-    /// Returns whether a request may be served by an endpoint.
+    /// Returns whether an endpoint is in a region allowed for a request.
     pub(super) fn is_in_allowed_region(&self, homes: &AllowedRegions, endpoint: &Endpoint) -> bool {
         homes.allows(self.regions.get(&endpoint.entry.hall))
     }
--- a/src/balance/selection.rs
+++ b/src/balance/selection.rs
@@ -1,4 +1,4 @@
-//! Looks for the endpoint that costs a request least.
+//! Selection of the endpoint with the lowest cost for a request.
 
 use crate::{
     balance::{
@@ -11,26 +11,31 @@
     prelude::Micros,
 };
 
-/// Endpoints of other halls that are looked at for a request. What is known of them is some tenths of
-/// a second old: if all instances looked at all, all would send to the same one within that time.
+/// Endpoints in other halls that are considered for one request. Their load is known with a delay
+/// of some tenths of a second: if all instances considered all endpoints, all of them would pick
+/// the same one within that time.
 const MAX_REMOTE_CANDIDATES: usize = 4;
-/// In a large group, endpoints of the own hall that are looked at: some 30 instances of a hall place as
-/// many requests in the 40 ms before they hear of each other, and whoever looked idle to all was not.
-/// Late first events of a calm day over 78 instances and 30 endpoints a hall, of two kinds of request:
-/// all looked at 314 and 325, twelve 217 and 204, six 143 and 151, four 186 and 199.
+/// Endpoints in the own hall that are considered for one request in a large cluster. Some 30
+/// instances of a hall place as many requests in the 40 ms before they learn of each other's, so an
+/// endpoint that looks idle to all of them is overloaded.
+///
+/// Late first events on a day without surges, 78 instances and 30 endpoints per hall, for two kinds
+/// of request: all endpoints considered 314 and 325, twelve 217 and 204, six 143 and 151, four 186
+/// and 199.
 const MAX_LOCAL_CANDIDATES: usize = 6;
-/// Spreads numbers that differ little; 2^64 over the golden ratio.
+/// Multiplier for Fibonacci hashing, 2^64 divided by the golden ratio: spreads inputs that differ
+/// little.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Why a request is refused: no endpoint of its service is known that does not leave.
+/// Refusal reason: the service has no known endpoint that is not leaving.
 const NO_ENDPOINT: &str = "no_endpoint";
-/// Why a request is refused: the data centres of all endpoints that could take it are evacuated.
+/// Refusal reason: the data centres of all eligible endpoints are evacuated.
 const DATA_CENTRES_EVACUATED: &str = "data_centres_evacuated";
-/// Why a request is refused: all endpoints are in regions in which it may not be served.
+/// Refusal reason: all endpoints are outside the regions allowed for the request.
 const NO_ENDPOINT_IN_REGIONS: &str = "no_endpoint_at_home";
-/// When a caller may come back for whom there is no endpoint at all.
+/// Retry delay when there is no eligible endpoint at all, in milliseconds.
 const NO_ENDPOINT_RETRY_MS: u32 = 600;
 
-/// Returns whichever endpoint costs less.
+/// Returns the candidate with the lower cost; a tie goes to the first.
 fn cheaper(
     best: Option<(EndpointKey, Expected)>,
     key: EndpointKey,
@@ -42,27 +47,29 @@
     }
 }
 
-/// What was found for a request.
+/// The result of a search for an endpoint.
 pub(super) struct Selection {
-    /// The endpoint that costs least of those that may be sent to now.
+    /// The cheapest endpoint that may be used now.
     pub(super) best: Option<Choice>,
-    /// One that would cost no more, and for which a permit is needed and may be asked for.
+    /// An endpoint that costs no more than `best`, needs a permit, and for which one may be
+    /// requested.
     pub(super) limited: Option<EndpointKey>,
-    /// There are endpoints for which a permit is needed.
+    /// Some endpoints need a permit.
     has_limited: bool,
-    /// The data centres of some are evacuated.
+    /// Some endpoints are in evacuated data centres.
     has_evacuated: bool,
-    /// Some are in regions in which the request may not be served.
+    /// Some endpoints are outside the regions allowed for the request.
     has_outside_regions: bool,
-    /// All that do not leave are at rest, the first of them until this time.
+    /// Set if all endpoints that are not leaving are backing off: the time at which the first is
+    /// available again.
     earliest_available_us: Option<Micros>,
 }
 
 impl Selection {
-    /// Returns what becomes of a request that no endpoint may be sent.
+    /// Returns the refusal of a request for which no endpoint is available.
     pub(super) fn refusal(&self, now_us: Micros, request: &PlacementRequest) -> Placement {
         if self.has_limited {
-            // Waiting would not help: whoever is told at once comes back sooner.
+            // Waiting would not help: a caller that is refused at once retries sooner.
             return refuse_for_capacity(now_us, request, ENDPOINT_LIMITS);
         }
         if let Some(available_at_us) = self.earliest_available_us {
@@ -84,8 +91,8 @@
 }
 
 impl Balancer {
-    /// Looks for the endpoint that costs a request least. Those in `tried` are not chosen, nor those that need a permit but
-    /// for the one that there is a permit for.
+    /// Finds the cheapest endpoint for a request. Endpoints in `tried` are excluded, and those that
+    /// need a permit, except the one for which `permit` is held.
     pub(super) fn select(
         &self,
         now_us: Micros,
@@ -103,10 +110,10 @@
             ClusterSize::Large if !self.load_view.is_hall_aggregator() => MAX_LOCAL_CANDIDATES,
             _ => usize::MAX,
         };
-        let (mut local, mut remote) = (0, 0);
+        let (mut local_count, mut remote_count) = (0, 0);
         for key in self.rotated_keys(now_us, request) {
-            let is_enough = local >= max_local && remote >= MAX_REMOTE_CANDIDATES;
-            if is_enough && !self.has_limits() {
+            let has_enough = local_count >= max_local && remote_count >= MAX_REMOTE_CANDIDATES;
+            if has_enough && !self.has_limits() {
                 break;
             }
             let Some(endpoint) = self.endpoints.get(&key) else {
@@ -117,9 +124,9 @@
                 continue;
             }
             let is_candidate = if endpoint.same_hall {
-                local < max_local
+                local_count < max_local
             } else {
-                remote < MAX_REMOTE_CANDIDATES
+                remote_count < MAX_REMOTE_CANDIDATES
             };
             let readiness = self.readiness_of(now_us, key, endpoint);
             match readiness {
@@ -150,8 +157,8 @@
                 limited = cheaper(limited, key, expected);
                 continue;
             }
-            remote += usize::from(!endpoint.same_hall);
-            local += usize::from(endpoint.same_hall);
+            remote_count += usize::from(!endpoint.same_hall);
+            local_count += usize::from(endpoint.same_hall);
             best = cheaper(best, key, expected);
         }
         let is_no_worse = |expected: Expected| best.is_none_or(|(_, b)| expected.cost <= b.cost);
@@ -176,8 +183,8 @@
         )
     }
 
-    /// Returns a service's endpoints from a place on that differs by request and time: one that
-    /// waits looks at others the next time.
+    /// Returns a service's endpoints from an offset that depends on the request and the time, so
+    /// that a waiting request considers other endpoints in each round.
     fn rotated_keys(
         &self,
         now_us: Micros,
@@ -198,19 +205,22 @@
         endpoint: &Endpoint,
     ) -> Expected {
         let cached = self.holders.cached_tokens(now_us, &request.chains, key);
-        let own = &endpoint.speed;
-        // Only the reading of prompts tells whether an endpoint is known.
+        let endpoint_speed = &endpoint.speed;
+        // Only the prompt speed shows whether an endpoint has samples, and only streams use it.
         let service_speed = self.service_speeds.get(&endpoint.entry.service);
         let service_speed = service_speed.filter(|_| request.is_stream);
         let mut load = self.load_estimate(now_us, key, endpoint);
         if self.standings.wants_rest(now_us, key) {
-            // It asked others for rest: as one whose slots are taken beside.
+            // It asked other instances to back off: counts as if all its slots were taken in
+            // addition.
             load.requests += f64::from(endpoint.entry.slots);
         }
         let state = EndpointState {
             load,
-            speed: service_speed.filter(|_| !own.has_samples()).unwrap_or(own),
-            failure_share: own.decayed_failure_share(now_us),
+            speed: service_speed
+                .filter(|_| !endpoint_speed.has_samples())
+                .unwrap_or(endpoint_speed),
+            failure_share: endpoint_speed.decayed_failure_share(now_us),
             slots: endpoint.entry.slots,
             same_hall: endpoint.same_hall,
             cached_tokens: cached,
--- a/src/balance/sync.rs
+++ b/src/balance/sync.rs
@@ -1,4 +1,4 @@
-//! What a balancer tells other instances, and takes from them.
+//! State exchange with other instances: what a balancer sends to them and applies from them.
 
 use crate::{
     balance::{
@@ -11,12 +11,12 @@
 };
 
 impl Balancer {
-    /// Returns whether there is something to tell since the last time.
+    /// Returns whether anything has changed that peers should learn, since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Returns what was read lately, at most `max`.
+    /// Returns the chains recorded since the last call, at most `max_entries`, the latest ones.
     pub fn take_cached_chains(&mut self, max_entries: usize) -> Vec<(ChainKey, EndpointKey)> {
         let from = self.unsent_chains.len().saturating_sub(max_entries);
         let chains = self.unsent_chains.split_off(from);
@@ -24,8 +24,8 @@
         chains
     }
 
-    /// Returns what was seen of the speed of endpoints and not told yet, of at most `max` of them;
-    /// the others' turn comes as `round` rises.
+    /// Returns unsent speed observations of at most `max_entries` endpoints; increasing `round`
+    /// rotates through all of them.
     pub fn take_speed_samples(
         &mut self,
         round: usize,
@@ -44,8 +44,8 @@
         samples.collect()
     }
 
-    /// Returns what is believed of the speed of endpoints of the own hall, of at most `max` of them;
-    /// the others' turn comes as `round` rises.
+    /// Returns the speed estimates of at most `max_entries` endpoints in the own hall; increasing
+    /// `round` rotates through all of them.
     pub fn hall_speeds(
         &self,
         round: usize,
@@ -61,48 +61,48 @@
         known
     }
 
-    /// Takes what another hall believes of its endpoints.
+    /// Applies another hall's speed estimates of its own endpoints.
     pub fn apply_speed_summaries(&mut self, speeds: &[(EndpointKey, SpeedSummary)]) {
-        for (key, told) in speeds {
+        for (key, summary) in speeds {
             let endpoint = self.endpoints.get_mut(key);
             if let Some(endpoint) = endpoint.filter(|e| !e.same_hall) {
-                endpoint.speed.apply_summary(*told);
+                endpoint.speed.apply_summary(*summary);
             }
         }
     }
 
-    /// Takes what another instance told.
+    /// Applies an update of another instance.
     pub fn apply_peer_update(
         &mut self,
         now_us: Micros,
         from: Incarnation,
         loads: &[(EndpointKey, InFlight)],
-        read: &[(ChainKey, EndpointKey)],
-        seen: &[(EndpointKey, SpeedSamples)],
+        cached_chains: &[(ChainKey, EndpointKey)],
+        samples: &[(EndpointKey, SpeedSamples)],
     ) {
         self.load_view
             .apply_peer_loads(now_us, from, KeyRange::ALL, loads);
-        self.apply_peer_observations(now_us, read, seen);
+        self.apply_peer_observations(now_us, cached_chains, samples);
     }
 
-    /// Takes what others read where, and how fast they saw endpoints to be.
+    /// Applies the cached chains and speed observations of other instances.
     pub fn apply_peer_observations(
         &mut self,
         now_us: Micros,
-        read: &[(ChainKey, EndpointKey)],
-        seen: &[(EndpointKey, SpeedSamples)],
+        cached_chains: &[(ChainKey, EndpointKey)],
+        samples: &[(EndpointKey, SpeedSamples)],
     ) {
-        for (chain, endpoint) in read {
+        for (chain, endpoint) in cached_chains {
             self.holders.record(now_us, *chain, *endpoint);
         }
-        for (key, seen) in seen {
-            self.update_speed(*key, |s| s.merge_samples(seen));
+        for (key, samples) in samples {
+            self.update_speed(*key, |s| s.merge_samples(samples));
             if let Some(endpoint) = self.endpoints.get(key) {
                 let service = endpoint.entry.service.clone();
                 self.service_speeds
                     .entry(service)
                     .or_default()
-                    .merge_samples(seen);
+                    .merge_samples(samples);
             }
         }
     }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -178,7 +178,9 @@
         }
         self.first_seen = true;
         let took_ms = self.age_ms();
-        self.gateway.balancer().first_event(&self.choice, took_ms);
+        self.gateway
+            .balancer()
+            .record_first_event(&self.choice, took_ms);
     }
 
     /// Notes that the answer is whole; the time it took teaches how long slots are held.
@@ -308,7 +310,7 @@
     EndpointConnection::open(addr).await.map_err(|_| {
         let now_us = gateway.clock.now_us();
         let mut balancer = gateway.balancer();
-        balancer.update_speed(sent.choice.key, |s| s.unreachable(now_us));
+        balancer.update_speed(sent.choice.key, |s| s.record_unreachable(now_us));
         Failed::NotSent("unreachable")
     })
 }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -297,7 +297,7 @@
             let gap_ms = gap_us as f64 / 1e3;
             let per_event = gap_ms / f64::from(count.max(1));
             let mut balancer = self.gateway.balancer();
-            balancer.event(source.sent.choice.key, per_event);
+            balancer.record_event_gap(source.sent.choice.key, per_event);
         }
         source.events_seen += count;
         source.last_event_us = now_us;
--- a/tests/gateway/balancer.rs
+++ b/tests/gateway/balancer.rs
@@ -83,7 +83,7 @@
 fn a_subject_stays_where_it_was_read() {
     let mut balancer = balancer(&[("a", "here"), ("b", "here"), ("c", "here")]);
     let first = sent(balancer.place(0, &ask(7, 6_000, 0, 0), &[]));
-    balancer.first_event(&first, 150.0);
+    balancer.record_first_event(&first, 150.0);
     balancer.end(first.key, 0, Some(900.0));
     for _ in 0..5 {
         let again = sent(balancer.place(SECOND, &ask(7, 6_000, 0, SECOND), &[]));
@@ -97,8 +97,8 @@
 fn a_long_answer_goes_where_it_can_end_in_time() {
     let mut balancer = balancer(&[("slow", "here"), ("fast", "there")]);
     for _ in 0..2_000 {
-        balancer.update_speed(EndpointKey::of("slow"), |s| s.event(60.0));
-        balancer.update_speed(EndpointKey::of("fast"), |s| s.event(12.0));
+        balancer.update_speed(EndpointKey::of("slow"), |s| s.record_event_gap(60.0));
+        balancer.update_speed(EndpointKey::of("fast"), |s| s.record_event_gap(12.0));
     }
     let short = ask(1, 100, 0, 0);
     assert_eq!(&*sent(balancer.place(0, &short, &[])).id, "slow");
@@ -113,8 +113,8 @@
     let mut there = balancer(&[("slow", "here"), ("fast", "here")]);
     let (slow, fast) = (EndpointKey::of("slow"), EndpointKey::of("fast"));
     for _ in 0..5 {
-        there.update_speed(slow, |s| s.first_event(920.0, 6_000.0));
-        there.update_speed(fast, |s| s.first_event(80.0, 6_000.0));
+        there.update_speed(slow, |s| s.record_first_event(920.0, 6_000.0));
+        there.update_speed(fast, |s| s.record_first_event(80.0, 6_000.0));
     }
     let seen = there.take_speed_samples(0, 4);
     assert!(there.take_speed_samples(0, 4).is_empty(), "told once");
@@ -145,7 +145,7 @@
     for subject in 0..5 {
         let choice = sent(balancer.place(0, &ask(subject, 6_000, 0, 0), &[]));
         assert_eq!(choice.key, known);
-        balancer.first_event(&choice, 620.0);
+        balancer.record_first_event(&choice, 620.0);
         balancer.end(choice.key, 0, None);
     }
     let unknown = sent(balancer.place(0, &ask(90, 6_000, 0, 0), &[known]));
@@ -163,7 +163,7 @@
     there.upsert_endpoint(entry("near", "here", SLOTS), 1);
     for key in [EndpointKey::of("far"), EndpointKey::of("near")] {
         for _ in 0..10 {
-            there.update_speed(key, |s| s.first_event(1_220.0, 6_000.0));
+            there.update_speed(key, |s| s.record_first_event(1_220.0, 6_000.0));
         }
     }
     let told = there.hall_speeds(0, 4);
@@ -200,7 +200,7 @@
     let endpoints: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "here")).collect();
     let mut balancer = balancer(&endpoints);
     for name in &names {
-        balancer.update_speed(EndpointKey::of(name), |s| s.event(20.0));
+        balancer.update_speed(EndpointKey::of(name), |s| s.record_event_gap(20.0));
     }
     let told: Vec<_> = (0..3)
         .flat_map(|turn| balancer.take_speed_samples(turn, 4))
@@ -314,7 +314,7 @@
 fn an_endpoint_that_fails_is_avoided_and_tried_again() {
     let mut balancer = balancer(&[("a", "here"), ("b", "here")]);
     let first = sent(balancer.place(0, &ask(1, 100, 0, 0), &[]));
-    balancer.update_speed(first.key, |s| s.unreachable(0));
+    balancer.update_speed(first.key, |s| s.record_unreachable(0));
     balancer.end(first.key, 100, None);
     for step in 0..SLOTS {
         let choice = sent(balancer.place(MS, &ask(u64::from(step), 100, 0, MS), &[]));
@@ -364,7 +364,7 @@
     let low = balancer.enqueue(ask(100, 100, 2, 0));
     let high = balancer.enqueue(ask(101, 100, 0, 0));
     for choice in &held {
-        balancer.first_event(choice, 50.0);
+        balancer.record_first_event(choice, 50.0);
     }
     for choice in held.drain(..).take(3) {
         balancer.end(choice.key, 0, Some(100.0));
@@ -406,7 +406,7 @@
                 }
                 3 => {
                     if let Some((choice, seen)) = running.iter_mut().find(|(_, seen)| !*seen) {
-                        balancer.first_event(choice, 80.0);
+                        balancer.record_first_event(choice, 80.0);
                         *seen = true;
                     }
                 }
@@ -434,7 +434,9 @@
     for subject in 0..5_000 {
         let choice = sent(balancer.place(0, &ask(subject, 400, 0, 0), &[]));
         // The longest that fits: sums of what nobody takes must not run over.
-        balancer.update_speed(choice.key, |s| s.first_event(f64::from(u32::MAX), 1e9));
+        balancer.update_speed(choice.key, |s| {
+            s.record_first_event(f64::from(u32::MAX), 1e9)
+        });
         balancer.update_speed(choice.key, |s| s.record_slot_hold(1e9));
         balancer.end(choice.key, 400, None);
     }
@@ -453,7 +455,7 @@
     for _ in 0..3 {
         let choice = sent(balancer.place(0, &plain, &[]));
         assert_eq!(&*choice.id, "fast");
-        balancer.first_event(&choice, 15.0);
+        balancer.record_first_event(&choice, 15.0);
         balancer.end(choice.key, 0, Some(15.0));
     }
 }
--- a/tests/gateway/restarts.rs
+++ b/tests/gateway/restarts.rs
@@ -73,7 +73,7 @@
         &[],
         &[],
     );
-    balancer.update_speed(before, |s| s.unreachable(0));
+    balancer.update_speed(before, |s| s.record_unreachable(0));
     let asked = ask(1, 4_000, 0, 0);
     let news: Vec<_> = asked.chains.iter().map(|(c, _)| (*c, before)).collect();
     balancer.apply_peer_observations(0, &news, &[]);
--- a/tests/gateway/surge.rs
+++ b/tests/gateway/surge.rs
@@ -239,7 +239,7 @@
     fn first_event(&mut self, now_us: u64, run: u64) {
         let run = &self.runs[&run];
         let took_ms = (now_us - run.sent_us) as f64 / 1e3;
-        self.balancer.first_event(&run.choice, took_ms);
+        self.balancer.record_first_event(&run.choice, took_ms);
         let is_in_time = now_us - run.first_us <= 800 * MS;
         let before_ms = (run.sent_us - run.first_us) as f64 / 1e3;
         let was_expected = before_ms + run.choice.expected.first_ms <= 800.0;
