--- a/tests/gateway/balancer.rs
+++ b/tests/gateway/balancer.rs
@@ -1,4 +1,4 @@
-//! Which endpoint is chosen, what waits, and what is refused.
+//! Which endpoint is selected, and which requests wait or are refused.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn the_own_hall_goes_first_and_others_follow_when_it_is_full() {
+fn own_hall_is_preferred_until_it_is_full() {
     let mut balancer = balancer(&[("near", "here"), ("far", "there")]);
     for subject in 0..SLOTS {
         let choice = sent(balancer.place(0, &ask(u64::from(subject), 100, 0, 0), &[]));
@@ -41,12 +41,12 @@
 }
 
 #[test]
-fn instances_that_know_the_same_do_not_all_choose_the_same_of_another_hall() {
+fn instances_with_the_same_view_spread_over_another_halls_endpoints() {
     let names: Vec<String> = (0..20).map(|n| format!("far{n}")).collect();
     let endpoints: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "there")).collect();
     let chosen = (0..40).map(|instance| {
         let mut balancer = balancer(&endpoints);
-        // One is idle, as all were told; the others are half full.
+        // One endpoint is idle according to the peers' loads, the others are half full.
         let half = InFlight {
             requests: SLOTS / 2,
             prompt_tokens: 4_000,
@@ -60,27 +60,31 @@
         .iter()
         .filter(|k| **k == EndpointKey::of("far0"))
         .count();
-    assert!(idle < chosen.len() / 2, "{idle} of {} to one", chosen.len());
+    assert!(
+        idle < chosen.len() / 2,
+        "{idle} of {} to the idle endpoint",
+        chosen.len()
+    );
 }
 
 #[test]
-fn one_that_waits_looks_at_other_endpoints_the_next_time() {
+fn waiting_request_considers_other_endpoints_in_each_round() {
     let names: Vec<String> = (0..20).map(|n| format!("far{n}")).collect();
     let endpoints: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "there")).collect();
     let mut balancer = balancer(&endpoints);
-    let waits = ask(7, 100, 0, 0);
-    let seen: std::collections::HashSet<_> = (0..12)
+    let request = ask(7, 100, 0, 0);
+    let chosen: std::collections::HashSet<_> = (0..12)
         .map(|step| {
-            let choice = sent(balancer.place(step * 20 * MS, &waits, &[]));
+            let choice = sent(balancer.place(step * 20 * MS, &request, &[]));
             balancer.end(choice.key, choice.expected.uncached_tokens, None);
             choice.key
         })
         .collect();
-    assert!(seen.len() > 4, "{}", seen.len());
+    assert!(chosen.len() > 4, "{}", chosen.len());
 }
 
 #[test]
-fn a_subject_stays_where_it_was_read() {
+fn prompt_returns_to_the_endpoint_that_has_it_cached() {
     let mut balancer = balancer(&[("a", "here"), ("b", "here"), ("c", "here")]);
     let first = sent(balancer.place(0, &ask(7, 6_000, 0, 0), &[]));
     balancer.record_first_event(&first, 150.0);
@@ -94,7 +98,7 @@
 }
 
 #[test]
-fn a_long_answer_goes_where_it_can_end_in_time() {
+fn long_answer_goes_where_it_ends_before_the_deadline() {
     let mut balancer = balancer(&[("slow", "here"), ("fast", "there")]);
     for _ in 0..2_000 {
         balancer.update_speed(EndpointKey::of("slow"), |s| s.record_event_gap(60.0));
@@ -102,24 +106,27 @@
     }
     let short = ask(1, 100, 0, 0);
     assert_eq!(&*sent(balancer.place(0, &short, &[])).id, "slow");
-    // 15 s at 60 ms an event are 250 of them.
+    // 15 s at 60 ms per event are 250 events.
     let mut long = ask(2, 100, 0, 0);
     long.output_events = 400.0;
     assert_eq!(&*sent(balancer.place(0, &long, &[])).id, "fast");
 }
 
 #[test]
-fn what_another_instance_saw_of_a_speed_counts_as_if_seen_here() {
+fn speed_samples_of_peers_count_like_own_ones() {
     let mut there = balancer(&[("slow", "here"), ("fast", "here")]);
     let (slow, fast) = (EndpointKey::of("slow"), EndpointKey::of("fast"));
     for _ in 0..5 {
         there.update_speed(slow, |s| s.record_first_event(920.0, 6_000.0));
         there.update_speed(fast, |s| s.record_first_event(80.0, 6_000.0));
     }
-    let seen = there.take_speed_samples(0, 4);
-    assert!(there.take_speed_samples(0, 4).is_empty(), "told once");
+    let samples = there.take_speed_samples(0, 4);
+    assert!(
+        there.take_speed_samples(0, 4).is_empty(),
+        "samples are sent once"
+    );
     let mut here = balancer(&[("slow", "here"), ("fast", "here")]);
-    here.apply_peer_update(0, Incarnation(1), &[], &[], &seen);
+    here.apply_peer_update(0, Incarnation(1), &[], &[], &samples);
     let choice = sent(here.place(0, &ask(1, 6_000, 0, 0), &[]));
     assert_eq!(choice.key, fast);
     assert!(
@@ -133,15 +140,15 @@
         "{}",
         other.expected.first_ms
     );
-    // What was only told is not told on.
+    // Samples of peers are not sent on.
     assert!(here.take_speed_samples(0, 4).is_empty());
 }
 
 #[test]
-fn one_of_which_nothing_is_known_is_taken_to_be_as_the_others_are() {
+fn endpoint_without_samples_is_assumed_to_have_the_service_speed() {
     let mut balancer = balancer(&[("known", "here"), ("unknown", "there")]);
     let known = EndpointKey::of("known");
-    // 6,000 tokens in 600 ms, slower than what is believed at first.
+    // 6,000 tokens in 600 ms, slower than the initial value.
     for subject in 0..5 {
         let choice = sent(balancer.place(0, &ask(subject, 6_000, 0, 0), &[]));
         assert_eq!(choice.key, known);
@@ -157,7 +164,7 @@
 }
 
 #[test]
-fn what_a_hall_believes_of_its_endpoints_counts_in_the_others_only() {
+fn speed_summaries_of_a_hall_apply_in_other_halls_only() {
     let mut there = Balancer::new("there".into());
     there.upsert_endpoint(entry("far", "there", SLOTS), 1);
     there.upsert_endpoint(entry("near", "here", SLOTS), 1);
@@ -166,10 +173,10 @@
             there.update_speed(key, |s| s.record_first_event(1_220.0, 6_000.0));
         }
     }
-    let told = there.hall_speeds(0, 4);
-    assert_eq!(told.len(), 1, "of its own only");
+    let summaries = there.hall_speeds(0, 4);
+    assert_eq!(summaries.len(), 1, "only endpoints of the own hall");
     let mut here = balancer(&[("near", "here"), ("far", "there")]);
-    here.apply_speed_summaries(&told);
+    here.apply_speed_summaries(&summaries);
     let near = EndpointKey::of("near");
     let far = sent(here.place(0, &ask(1, 3_000, 0, 0), &[near]));
     assert!(far.expected.first_ms > 500.0, "{}", far.expected.first_ms);
@@ -188,44 +195,41 @@
     let after = sent(there.place(0, &ask(2, 600, 0, 0), &[near]))
         .expected
         .first_ms;
-    assert!(
-        after >= before,
-        "what others say of the own hall is passed over"
-    );
+    assert!(after >= before, "summaries of the own hall are ignored");
 }
 
 #[test]
-fn what_was_seen_of_many_endpoints_is_told_in_turn() {
+fn speed_samples_of_many_endpoints_are_sent_in_rotation() {
     let names: Vec<String> = (0..10).map(|n| format!("e{n}")).collect();
     let endpoints: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "here")).collect();
     let mut balancer = balancer(&endpoints);
     for name in &names {
         balancer.update_speed(EndpointKey::of(name), |s| s.record_event_gap(20.0));
     }
-    let told: Vec<_> = (0..3)
-        .flat_map(|turn| balancer.take_speed_samples(turn, 4))
+    let sent_samples: Vec<_> = (0..3)
+        .flat_map(|round| balancer.take_speed_samples(round, 4))
         .collect();
-    assert_eq!(told.len(), names.len());
+    assert_eq!(sent_samples.len(), names.len());
 }
 
 #[test]
-fn the_faster_of_two_idle_endpoints_serves_short_and_long_requests() {
+fn faster_of_two_idle_endpoints_serves_short_and_long_requests() {
     let mut balancer = balancer(&[("fast", "here"), ("slow", "here")]);
     let (fast, slow) = (EndpointKey::of("fast"), EndpointKey::of("slow"));
-    // Both are known well; the service is as fast as the slow one on the whole.
-    let seen = |read_ms: u32, event_ms: u32| SpeedSamples {
+    // Both have many samples; over all of them the service is as fast as the slow one.
+    let samples = |read_ms: u32, event_ms: u32| SpeedSamples {
         prompt_tokens: 60_000,
         prompt_ms: 60 * read_ms,
         events: 1_000,
         events_ms: 1_000 * event_ms,
         ..SpeedSamples::default()
     };
-    let told = vec![
-        (fast, seen(15, 10)),
-        (slow, seen(25, 40)),
-        (slow, seen(25, 40)),
+    let peer_samples = vec![
+        (fast, samples(15, 10)),
+        (slow, samples(25, 40)),
+        (slow, samples(25, 40)),
     ];
-    balancer.apply_peer_update(0, Incarnation(1), &[], &[], &told);
+    balancer.apply_peer_update(0, Incarnation(1), &[], &[], &peer_samples);
     for tokens in [300, 6_000, 20_000] {
         let choice = sent(balancer.place(0, &ask(1, tokens, 0, 0), &[]));
         assert_eq!(choice.key, fast, "{tokens} tokens");
@@ -234,7 +238,7 @@
 }
 
 #[test]
-fn what_the_others_sent_counts() {
+fn loads_of_peers_count_until_replaced_or_expired() {
     let mut balancer = balancer(&[("a", "here"), ("b", "here")]);
     let (a, b) = (EndpointKey::of("a"), EndpointKey::of("b"));
     let busy = InFlight {
@@ -243,7 +247,7 @@
     };
     balancer.apply_peer_update(0, Incarnation(1), &[(a, busy)], &[], &[]);
     assert_eq!(sent(balancer.place(0, &ask(1, 100, 0, 0), &[])).key, b);
-    // The next word replaces the one before; silence ends it.
+    // The next update replaces the previous one; without updates it expires.
     balancer.apply_peer_update(MS, Incarnation(1), &[(b, busy)], &[], &[]);
     assert_eq!(sent(balancer.place(MS, &ask(2, 100, 0, MS), &[])).key, a);
     let (_, silent) = balancer.tick(10 * SECOND);
@@ -252,46 +256,48 @@
 }
 
 #[test]
-fn an_endpoints_own_word_counts_above_what_is_known_and_fades() {
+fn endpoint_load_report_adds_unaccounted_load_and_expires() {
     let mut balancer = balancer(&[("a", "here"), ("b", "here")]);
-    let word = EndpointLoadReport {
+    let report = EndpointLoadReport {
         running: SLOTS,
         waiting: 6,
         slots: SLOTS,
     };
     balancer
         .load_view_mut()
-        .record_load_report(0, EndpointKey::of("a"), word);
+        .record_load_report(0, EndpointKey::of("a"), report);
     let choice = sent(balancer.place(0, &ask(1, 100, 0, 0), &[]));
     assert_eq!(&*choice.id, "b");
     let later = sent(balancer.place(2 * SECOND, &ask(1, 100, 0, 2 * SECOND), &[choice.key]));
-    assert!(later.expected.has_room, "an old word is no word");
+    assert!(later.expected.has_room, "an expired report does not count");
 }
 
 #[test]
-fn what_an_endpoint_said_of_its_load_is_told_once_and_counts_for_the_others() {
-    let mut hearer = balancer(&[("a", "here"), ("b", "here")]);
+fn unaccounted_load_is_sent_once_and_counts_for_peers() {
+    let mut reporter = balancer(&[("a", "here"), ("b", "here")]);
     let a = EndpointKey::of("a");
-    let word = EndpointLoadReport {
+    let report = EndpointLoadReport {
         running: SLOTS,
         waiting: 6,
         slots: SLOTS,
     };
-    hearer.load_view_mut().record_load_report(0, a, word);
-    let told = hearer.load_view_mut().take_unaccounted_load();
-    assert_eq!(told, vec![(a, SLOTS as i8 + 6)]);
-    assert!(hearer.load_view_mut().take_unaccounted_load().is_empty());
+    reporter.load_view_mut().record_load_report(0, a, report);
+    let unaccounted = reporter.load_view_mut().take_unaccounted_load();
+    assert_eq!(unaccounted, vec![(a, SLOTS as i8 + 6)]);
+    assert!(reporter.load_view_mut().take_unaccounted_load().is_empty());
     let mut other = balancer(&[("a", "here"), ("b", "here")]);
-    other.load_view_mut().apply_unaccounted_load(0, &told);
+    other
+        .load_view_mut()
+        .apply_unaccounted_load(0, &unaccounted);
     assert_eq!(&*sent(other.place(0, &ask(1, 100, 0, 0), &[])).id, "b");
     assert!(
         other.load_view_mut().take_unaccounted_load().is_empty(),
-        "told on by nobody else"
+        "only the instance that got the report sends it"
     );
 }
 
 #[test]
-fn draining_tried_and_gone_endpoints_are_never_chosen() {
+fn draining_tried_and_gone_endpoints_are_excluded() {
     let mut balancer = balancer(&[("a", "here"), ("b", "here")]);
     let mut draining = entry("a", "here", SLOTS);
     draining.draining = true;
@@ -311,7 +317,7 @@
 }
 
 #[test]
-fn an_endpoint_that_fails_is_avoided_and_tried_again() {
+fn failing_endpoint_is_avoided_and_tried_again_later() {
     let mut balancer = balancer(&[("a", "here"), ("b", "here")]);
     let first = sent(balancer.place(0, &ask(1, 100, 0, 0), &[]));
     balancer.update_speed(first.key, |s| s.record_unreachable(0));
@@ -326,9 +332,9 @@
 }
 
 #[test]
-fn a_full_service_lets_wait_and_then_refuses_with_a_time_to_come_back() {
+fn full_service_queues_then_refuses_with_a_retry_delay() {
     let mut balancer = balancer(&[("a", "here")]);
-    // Long prompts: what comes after them would be late.
+    // Long prompts: a request queued after them would be late.
     while let Placement::Send(_) = balancer.place(0, &ask(1, 9_000, 0, 0), &[]) {}
     let late = ask(2, 9_000, 0, 0);
     assert_matches!(balancer.place(0, &late, &[]), Placement::Wait);
@@ -337,7 +343,7 @@
 }
 
 #[test]
-fn whoever_is_refused_comes_back_after_a_part_of_the_time_it_has() {
+fn retry_delay_is_a_share_of_the_remaining_time() {
     let mut balancer = balancer(&[("a", "here")]);
     while let Placement::Send(_) = balancer.place(0, &ask(1, 9_000, 0, 0), &[]) {}
     let mut refused = |deadline_us: u64| {
@@ -349,12 +355,12 @@
     let (short_ms, long_ms) = (refused(3 * SECOND), refused(12 * SECOND));
     assert!((500..1_000).contains(&short_ms), "{short_ms}");
     assert!((2_000..4_000).contains(&long_ms), "{long_ms}");
-    // Surges are over before the end of a request that may take minutes.
+    // The delay is capped, since surges end long before a request that may take minutes.
     assert!(refused(300 * SECOND) <= 4_000);
 }
 
 #[test]
-fn the_most_urgent_of_those_that_wait_goes_first() {
+fn most_urgent_waiting_request_is_sent_first() {
     let mut balancer = balancer(&[("a", "here")]);
     let mut held = Vec::new();
     while let Placement::Send(choice) = balancer.place(0, &ask(held.len() as u64, 2_000, 0, 0), &[])
@@ -379,7 +385,7 @@
 }
 
 #[test]
-fn the_less_urgent_leaves_queues_at_endpoints_to_the_more_urgent() {
+fn less_urgent_requests_leave_endpoint_queues_to_more_urgent_ones() {
     let mut balancer = balancer(&[("a", "here")]);
     while let Placement::Send(_) = balancer.place(0, &ask(1, 2_000, 2, 0), &[]) {}
     assert_matches!(
@@ -389,15 +395,15 @@
 }
 
 proptest! {
-    /// Whatever happens, what was sent and has ended is gone from the books.
+    /// After any sequence of requests, the own load contains no request that has ended.
     #[test]
-    fn the_books_balance(steps in prop::collection::vec((0_u8..6, 0_u64..20, 0_u32..8_000), 1..300)) {
+    fn own_load_matches_the_requests_in_flight(steps in prop::collection::vec((0_u8..6, 0_u64..20, 0_u32..8_000), 1..300)) {
         let mut balancer = balancer(&[("a", "here"), ("b", "here"), ("c", "there")]);
         let mut running: Vec<(Choice, bool)> = Vec::new();
         let mut now_us = 0;
-        for (what, subject, tokens) in steps {
+        for (action, subject, tokens) in steps {
             now_us += 7 * MS;
-            match what {
+            match action {
                 0..=2 => {
                     let placement = balancer.place(now_us, &ask(subject, tokens, (subject % 3) as u8, now_us), &[]);
                     if let Placement::Send(choice) = placement {
@@ -405,14 +411,14 @@
                     }
                 }
                 3 => {
-                    if let Some((choice, seen)) = running.iter_mut().find(|(_, seen)| !*seen) {
+                    if let Some((choice, has_first_event)) = running.iter_mut().find(|(_, has_first_event)| !*has_first_event) {
                         balancer.record_first_event(choice, 80.0);
-                        *seen = true;
+                        *has_first_event = true;
                     }
                 }
                 4 if !running.is_empty() => {
-                    let (choice, seen) = running.swap_remove(subject as usize % running.len());
-                    let left = if seen { 0 } else { choice.expected.uncached_tokens };
+                    let (choice, has_first_event) = running.swap_remove(subject as usize % running.len());
+                    let left = if has_first_event { 0 } else { choice.expected.uncached_tokens };
                     balancer.end(choice.key, left, Some(500.0));
                 }
                 _ => {
@@ -429,11 +435,11 @@
 }
 
 #[test]
-fn an_instance_that_tells_nobody_keeps_little_of_what_it_saw() {
+fn unsent_state_is_bounded_without_peers() {
     let mut balancer = balancer(&[("a", "here")]);
     for subject in 0..5_000 {
         let choice = sent(balancer.place(0, &ask(subject, 400, 0, 0), &[]));
-        // The longest that fits: sums of what nobody takes must not run over.
+        // The largest values that fit: sums that are never sent must not overflow.
         balancer.update_speed(choice.key, |s| {
             s.record_first_event(f64::from(u32::MAX), 1e9)
         });
@@ -444,16 +450,16 @@
 }
 
 #[test]
-fn plain_endpoints_are_told_apart_by_their_own_speed() {
+fn unary_requests_go_to_the_faster_endpoint() {
     let mut balancer = balancer(&[("slow", "here"), ("fast", "here")]);
-    let mut plain = ask(1, 0, 0, 0);
-    plain.is_stream = false;
+    let mut unary = ask(1, 0, 0, 0);
+    unary.is_stream = false;
     for _ in 0..30 {
         balancer.update_speed(EndpointKey::of("slow"), |s| s.record_unary(300.0));
         balancer.update_speed(EndpointKey::of("fast"), |s| s.record_unary(15.0));
     }
     for _ in 0..3 {
-        let choice = sent(balancer.place(0, &plain, &[]));
+        let choice = sent(balancer.place(0, &unary, &[]));
         assert_eq!(&*choice.id, "fast");
         balancer.record_first_event(&choice, 15.0);
         balancer.end(choice.key, 0, Some(15.0));
@@ -461,7 +467,7 @@
 }
 
 #[test]
-fn one_that_is_late_in_any_case_gives_way_to_one_that_can_be_in_time() {
+fn late_request_yields_to_requests_that_can_be_in_time() {
     let mut balancer = balancer(&[("near", "here")]);
     let of = |subject, waited_us| PlacementRequest {
         waited_us,
@@ -470,7 +476,8 @@
     for subject in 0..u64::from(SLOTS) {
         sent(balancer.place(0, &of(subject, 0), &[]));
     }
-    // The slots are taken: who can be in time queues at the endpoint, who is late does not.
+    // The slots are taken: a request that can be in time queues at the endpoint, a late one does
+    // not.
     assert_matches!(balancer.place(0, &of(90, 3 * SECOND), &[]), Placement::Wait);
     sent(balancer.place(0, &of(91, 0), &[]));
     let key = EndpointKey::of("near");
@@ -480,13 +487,13 @@
     assert_matches!(
         balancer.place(0, &of(93, 3 * SECOND), &[]),
         Placement::Wait,
-        "the free slot is for the one that waits and can be in time"
+        "the free slot is for the waiting request that can be in time"
     );
     sent(balancer.place(0, &of(94, 0), &[]));
 }
 
 #[test]
-fn one_that_is_late_is_served_where_there_is_room() {
+fn late_request_is_sent_if_a_slot_is_free() {
     let mut balancer = balancer(&[("near", "here")]);
     let late = PlacementRequest {
         waited_us: 3 * SECOND,
@@ -496,14 +503,14 @@
 }
 
 #[test]
-fn in_a_large_group_few_endpoints_of_the_own_hall_are_looked_at() {
+fn large_cluster_considers_few_endpoints_of_the_own_hall() {
     let names: Vec<String> = (0..30).map(|n| format!("near{n}")).collect();
     let endpoints: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "here")).collect();
-    let share_of_idle = |group| {
+    let count_of_idle = |cluster_size| {
         let chosen = (0..90).map(|instance| {
             let mut balancer = balancer(&endpoints);
-            balancer.load_view_mut().set_cluster_size(group);
-            // One is idle, as all were told; the others are half full.
+            balancer.load_view_mut().set_cluster_size(cluster_size);
+            // One endpoint is idle according to the peers' loads, the others are half full.
             let half = InFlight {
                 requests: SLOTS / 2,
                 prompt_tokens: 4_000,
@@ -515,11 +522,11 @@
         chosen.filter(|k| *k == EndpointKey::of("near0")).count()
     };
     assert_eq!(
-        share_of_idle(ClusterSize::Small),
+        count_of_idle(ClusterSize::Small),
         90,
-        "all is known to all at once"
+        "all endpoints are considered"
     );
-    let large = share_of_idle(ClusterSize::Large);
+    let large = count_of_idle(ClusterSize::Large);
     assert!(
         (5..=40).contains(&large),
         "{large} of 90 chose the idle one"
@@ -527,14 +534,14 @@
 }
 
 #[test]
-fn in_a_large_group_what_is_told_of_other_halls_is_believed_in_part() {
+fn large_cluster_shrinks_loads_of_other_halls_towards_their_mean() {
     let mut balancer = balancer(&[("idle", "there"), ("busy", "there")]);
     let load = InFlight {
         requests: 4,
         prompt_tokens: 8_000,
     };
-    let told = [(EndpointKey::of("busy"), load)];
-    balancer.apply_peer_update(0, Incarnation(1), &told, &[], &[]);
+    let loads = [(EndpointKey::of("busy"), load)];
+    balancer.apply_peer_update(0, Incarnation(1), &loads, &[], &[]);
     let there = |balancer: &mut Balancer, now_us| {
         let choice = sent(balancer.place(now_us, &ask(7, 100, 0, now_us), &[]));
         balancer.end(choice.key, choice.expected.uncached_tokens, None);
@@ -544,20 +551,20 @@
     balancer
         .load_view_mut()
         .set_cluster_size(ClusterSize::Large);
-    let (_, forgotten) = there(&mut balancer, 150 * MS);
+    let (_, cleared) = there(&mut balancer, 150 * MS);
     assert_eq!(
-        forgotten, 0.0,
-        "single instances' words are in the sums to come"
+        cleared, 0.0,
+        "loads of single instances are part of the hall sums to come"
     );
-    balancer.apply_peer_update(160 * MS, Incarnation(1), &told, &[], &[]);
+    balancer.apply_peer_update(160 * MS, Incarnation(1), &loads, &[], &[]);
     let (id, requests) = there(&mut balancer, 200 * MS);
     assert_eq!(&*id, "idle");
-    // The mean is two; four tenths of it are believed.
+    // The mean is two; the reported value has a weight of 0.6, the mean one of 0.4.
     assert!((requests - 0.8).abs() < 1e-9, "{requests}");
 }
 
 #[test]
-fn in_a_large_group_a_hall_with_less_to_do_is_preferred_to_one_idle_endpoint_of_a_busy_one() {
+fn large_cluster_prefers_a_less_loaded_hall_to_an_idle_endpoint_of_a_busy_one() {
     let endpoints = [
         ("x1", "busy"),
         ("x2", "busy"),
@@ -575,9 +582,9 @@
         };
         (EndpointKey::of(id), load)
     };
-    // x1 looks idle to all that were told so, and will not be for long.
-    let told = [load("x1", 0), load("x2", 8), load("y1", 1), load("y2", 1)];
-    balancer.apply_peer_update(0, Incarnation(1), &told, &[], &[]);
+    // x1 looks idle to every instance, so it will not stay idle.
+    let loads = [load("x1", 0), load("x2", 8), load("y1", 1), load("y2", 1)];
+    balancer.apply_peer_update(0, Incarnation(1), &loads, &[], &[]);
     let choice = sent(balancer.place(100 * MS, &ask(7, 100, 0, 100 * MS), &[]));
     assert_eq!(&*choice.hall, "calm", "{}", choice.id);
 }
--- a/tests/gateway/cold.rs
+++ b/tests/gateway/cold.rs
@@ -1,4 +1,4 @@
-//! Cold endpoints get no more than they bear, and evacuated ones nothing.
+//! Rate limits of cold endpoints, and exclusion of evacuated ones.
 
 use std::collections::HashMap;
 
@@ -26,8 +26,8 @@
     slack: 5.0,
 };
 
-/// Returns the most that came in any second.
-fn most_in_a_second(at_us: &[u64]) -> usize {
+/// Returns the maximum number of entries in any one-second window.
+fn max_per_second_window(at_us: &[u64]) -> usize {
     let ends = at_us.iter().enumerate();
     let windows = ends.map(|(first, from)| {
         let after = at_us.partition_point(|at| *at < from + SECOND);
@@ -37,9 +37,10 @@
 }
 
 proptest! {
-    /// Each of two instances believes to keep the account, and requests come after a pause in which permits were saved.
+    /// Two instances both act as the permit giver, and requests come after a pause in which permits
+    /// accumulated.
     #[test]
-    fn two_keepers_give_out_no_more_than_a_cold_endpoint_bears(
+    fn two_permit_givers_stay_within_the_tolerance_of_a_cold_endpoint(
         per_s in 1.0..60.0_f64,
         overage in 1.0..2.0_f64,
         slack in 4.0..10.0_f64,
@@ -49,33 +50,33 @@
         let tolerance = ColdTolerance { overage, slack };
         let rate = tolerance.rate(per_s);
         let key = EndpointKey::of("one");
-        let mut keepers = [PermitGiver::default(), PermitGiver::default()];
+        let mut givers = [PermitGiver::default(), PermitGiver::default()];
         let mut given_us = Vec::new();
-        for keeper in &mut keepers {
-            keeper.give(0, key, rate, 0);
+        for giver in &mut givers {
+            giver.give(0, key, rate, 0);
         }
         let mut now_us = pause_us;
         while now_us < pause_us + 4 * SECOND {
-            for keeper in &mut keepers {
-                if keeper.give(now_us, key, rate, 0) == Permit::Given {
+            for giver in &mut givers {
+                if giver.give(now_us, key, rate, 0) == Permit::Given {
                     given_us.push(now_us);
                 }
             }
             now_us += each_us;
         }
-        let most = most_in_a_second(&given_us) as f64;
-        prop_assert!(most <= per_s * overage + slack, "{most} of {per_s} a second");
+        let peak = max_per_second_window(&given_us) as f64;
+        prop_assert!(peak <= per_s * overage + slack, "{peak} of {per_s} a second");
     }
 }
 
-/// One that bears 18 a second is not left idle by its bound.
+/// An endpoint that bears 18 requests a second must not be left idle by its limit.
 #[test]
-fn half_of_what_a_cold_endpoint_takes_is_given_out() {
+fn permits_use_at_least_half_of_a_cold_endpoints_rate() {
     assert!(TOLERANCE.rate(18.0).per_s() >= 9.0);
     assert_eq!(
         TOLERANCE.rate(1.0).per_s(),
         0.6,
-        "what is saved counts as well"
+        "accumulated permits count as well"
     );
 }
 
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn an_endpoint_that_its_entry_calls_cold_needs_permits_till_its_time_is_over() {
+fn endpoint_with_a_cold_entry_needs_permits_until_it_is_warm() {
     let mut balancer = balancer();
     let key = cold_entry("one", "a", 2_000).key();
     balancer.upsert_endpoint(cold_entry("one", "a", 2_000), 1);
@@ -105,10 +106,10 @@
     balancer.tick(SECOND);
     assert_eq!(balancer.readiness(2_900 * MS, key), Readiness::NeedsPermit);
     assert_eq!(balancer.readiness(3 * SECOND, key), Readiness::Ready);
-    // It may go cold again at any time.
+    // It can become cold again at any time.
     balancer.upsert_endpoint(cold_entry("one", "a", 500), 2);
     assert_eq!(balancer.readiness(5 * SECOND, key), Readiness::NeedsPermit);
-    // Without a permit nothing is sent there, with one it is.
+    // Requests are sent there only with a permit.
     let placed = balancer.place(5 * SECOND, &ask(1, 100, 0, 5 * SECOND), &[]);
     assert!(matches!(placed, Placement::Refuse { .. }), "{placed:?}");
     let placed =
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn a_service_whose_cold_endpoints_take_all_needs_no_permits() {
+fn service_without_a_cold_rate_needs_no_permits() {
     let mut balancer = balancer();
     balancer.set_cold_rates(HashMap::new());
     balancer.upsert_endpoint(cold_entry("one", "a", 2_000), 1);
@@ -125,9 +126,9 @@
     assert_eq!(balancer.readiness(SECOND, key), Readiness::Ready);
 }
 
-/// Its entry may not say yet that it went cold while nothing was sent to it.
+/// The entry may not show yet that the endpoint became cold while it got no requests.
 #[test]
-fn endpoints_of_a_data_centre_that_is_used_again_are_taken_for_cold() {
+fn endpoints_are_cold_after_the_evacuation_of_their_data_centre() {
     let mut balancer = balancer();
     balancer.upsert_endpoint(entry("one", "a", 8), 1);
     balancer.upsert_endpoint(entry("two", "b", 8), 1);
@@ -152,7 +153,7 @@
 }
 
 #[test]
-fn where_all_data_centres_are_evacuated_callers_are_told_so() {
+fn refusal_names_the_evacuation_if_all_data_centres_are_evacuated() {
     let mut balancer = balancer();
     balancer.upsert_endpoint(entry("one", "b", 8), 1);
     let change = EvacuationChange {
@@ -174,14 +175,14 @@
 }
 
 #[test]
-fn an_older_set_of_evacuations_changes_nothing() {
+fn older_set_of_evacuations_is_ignored() {
     let evacuations = Evacuations::default();
     let change = evacuations.offer(set(7, &["b"]), Some(SECOND));
     assert_eq!(change.expect("it is newer").begun, vec![Name::from("b")]);
     assert_eq!(evacuations.offer(set(6, &[]), Some(3 * SECOND)), None);
     assert!(evacuations.contains("b"));
     let age_us = evacuations.staleness.age_us(4 * SECOND);
-    assert_eq!(age_us, 3 * SECOND, "nor does it make what is known fresher");
+    assert_eq!(age_us, 3 * SECOND, "the age is not reset either");
     let change = evacuations
         .offer(set(8, &["c"]), None)
         .expect("it is newer");
@@ -189,11 +190,11 @@
     assert_eq!(evacuations.staleness.age_us(4 * SECOND), 3 * SECOND);
 }
 
-/// Datagrams and memory are bounded, whatever operators write.
+/// Datagrams and memory are bounded, whatever operators configure.
 #[test]
-fn a_set_of_evacuations_is_bounded_and_says_what_it_left_out() {
+fn set_of_evacuations_is_bounded_and_counts_omitted_entries() {
     let names = (0..300).map(|number| Name::from(format!("{number:03}").as_str()));
-    let (set, left_out) = EvacuationSet::new(1, names);
-    assert_eq!((set.data_centres.len(), left_out), (256, 44));
+    let (set, omitted) = EvacuationSet::new(1, names);
+    assert_eq!((set.data_centres.len(), omitted), (256, 44));
     assert!(set.contains("000") && !set.contains("299"));
 }
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -1,4 +1,5 @@
-//! The set of endpoints: ready, draining, lapsed while the store was away, gone, and copied.
+//! The set of endpoints: ready, draining, lapsed during a store outage, removed, and copied by
+//! deltas.
 
 use proptest::prelude::*;
 use ryevalve::balance::discovery::{Change, Discovery};
@@ -6,7 +7,7 @@
 use crate::support::{SECOND, entry};
 
 #[test]
-fn an_endpoint_appears_drains_and_goes() {
+fn endpoint_appears_drains_and_is_removed() {
     let mut set = Discovery::default();
     assert_eq!(set.upsert(entry("a", "h", 4), 1), Some(Change::Appeared));
     assert_eq!(set.upsert(entry("a", "h", 4), 2), None);
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_while_the_store_was_away_is_kept_for_two_seconds() {
+fn entry_lapsed_during_a_store_outage_is_kept_for_two_seconds() {
     let mut set = Discovery::default();
     set.upsert(entry("a", "h", 4), 1);
     set.upsert(entry("b", "h", 4), 1);
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn one_that_was_draining_is_gone_at_once() {
+fn missing_draining_endpoint_is_removed_at_once() {
     let mut set = Discovery::default();
     let mut draining = entry("a", "h", 4);
     draining.draining = true;
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn a_list_removes_what_is_not_on_it() {
+fn full_listing_removes_missing_endpoints() {
     let mut set = Discovery::default();
     set.upsert(entry("a", "h", 4), 1);
     set.upsert(entry("b", "h", 4), 1);
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn a_copy_from_behind_changes_nothing() {
+fn older_delta_is_ignored() {
     let mut ahead = Discovery::default();
     ahead.upsert(entry("a", "h", 4), 5);
     ahead.advance_to(9);
@@ -68,17 +69,18 @@
 }
 
 proptest! {
-    /// Whoever takes copies, at whatever moments, has what the watcher has.
+    /// An instance that applies deltas at arbitrary times has the same set as the one that watches
+    /// the store.
     #[test]
-    fn copies_bring_the_same_set(
+    fn deltas_reproduce_the_set(
         steps in prop::collection::vec((0_u8..12, 0_u8..4, any::<bool>()), 1..200),
     ) {
         let (mut watcher, mut follower) = (Discovery::default(), Discovery::default());
         let mut revision = 0;
-        for (index, what, copies) in steps {
+        for (index, action, applies_delta) in steps {
             revision += 1;
             let id = format!("e{index}");
-            match what {
+            match action {
                 0 => {
                     watcher.mark_removed(SECOND, &id, revision);
                 }
@@ -92,9 +94,9 @@
                 }
             }
             watcher.advance_to(revision);
-            if copies {
-                let copy = watcher.delta_since(follower.revision());
-                follower.apply_delta(SECOND, copy);
+            if applies_delta {
+                let delta = watcher.delta_since(follower.revision());
+                follower.apply_delta(SECOND, delta);
                 for index in 0..12 {
                     let id = format!("e{index}");
                     prop_assert_eq!(watcher.get(&id), follower.get(&id), "{}", id);
@@ -104,11 +106,11 @@
     }
 }
 
-/// What an endpoint's entry was from a revision on.
+/// States of endpoints: revision, endpoint, and whether it drains; `None` if it is removed.
 type History = Vec<(u64, usize, Option<bool>)>;
 
-/// Returns whether endpoints are as they were at `revision`, or at a later one.
-fn is_as_of(set: &Discovery, history: &History, revision: u64) -> Result<(), String> {
+/// Returns whether each endpoint has its state at `revision` or a later one.
+fn is_at_least_as_of(set: &Discovery, history: &History, revision: u64) -> Result<(), String> {
     for index in 0..6 {
         let id = format!("e{index}");
         let has = set.get(&id).map(|e| e.draining);
@@ -125,10 +127,10 @@
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
-    /// Instances that get the same changes in other portions, and copy from each other at any moment,
-    /// know of every removal up to the revision that they say they know.
+    /// Instances that get the same changes in different batches and apply each other's deltas at
+    /// any time know every removal up to their revision.
     #[test]
-    fn no_removal_is_lost_between_instances_that_watch_in_other_portions(
+    fn no_removal_is_lost_between_instances_that_watch_in_different_batches(
         steps in prop::collection::vec((0_u8..4, 0_usize..6, 0_usize..3, 0_usize..3), 1..120),
     ) {
         let mut sets = [Discovery::default(), Discovery::default(), Discovery::default()];
@@ -138,10 +140,10 @@
         for (index, _) in states.iter().enumerate() {
             history.push((index as u64 + 1, index, Some(false)));
         }
-        for (what, index, one, other) in steps {
+        for (action, index, one, other) in steps {
             let newest = history.last().map_or(0, |(at, _, _)| *at);
-            match what {
-                // Something changes: it drains, or is gone for good.
+            match action {
+                // An endpoint starts draining or is removed for good.
                 0 => {
                     let next = match states[index] {
                         Some(false) => Some(true),
@@ -152,7 +154,7 @@
                         history.push((newest + 1, index, next));
                     }
                 }
-                // One of the first two gets what has changed since it asked last.
+                // One of the first two instances gets the changes since its last watch.
                 1 | 2 => {
                     let one = one % 2;
                     for (at, index, state) in history.iter().filter(|(at, _, _)| *at > watched[one]) {
@@ -172,12 +174,12 @@
                     sets[one].advance_to(newest);
                 }
                 _ => {
-                    let copy = sets[other].delta_since(sets[one].revision());
-                    sets[one].apply_delta(SECOND, copy);
+                    let delta = sets[other].delta_since(sets[one].revision());
+                    sets[one].apply_delta(SECOND, delta);
                 }
             }
             for set in &sets {
-                let known = is_as_of(set, &history, set.revision());
+                let known = is_at_least_as_of(set, &history, set.revision());
                 prop_assert!(known.is_ok(), "{:?}", known);
             }
         }
--- a/tests/gateway/restarts.rs
+++ b/tests/gateway/restarts.rs
@@ -1,9 +1,9 @@
-//! Endpoints that start again under their id.
+//! Endpoints that restart under the same id.
 //!
-//! The story: an id was taken for one start of an endpoint. One that crashed and came back under its id within
-//! its heartbeats was never seen to go, so what was learned of the start before stood for it: prompts that it
-//! no longer held, requests that had died with it, failures, and kept connections. What the start before had
-//! written could land in the store after that, and its address or its drain was then taken for the new one's.
+//! Guards against taking an id for one incarnation: an endpoint that crashed and came back within
+//! its heartbeats was never seen to go, so its new incarnation inherited cached prompts that it no
+//! longer held, requests that had died, failures and kept connections. A late write of the earlier
+//! incarnation could also replace the new one's address or drain state.
 
 use proptest::prelude::*;
 use ryevalve::{
@@ -17,7 +17,7 @@
 
 use crate::support::{SECOND, ask, entry};
 
-fn start(id: &str, born_ms: u64) -> EndpointEntry {
+fn incarnation(id: &str, born_ms: u64) -> EndpointEntry {
     EndpointEntry {
         born_ms,
         ..entry(id, "h", 4)
@@ -25,43 +25,55 @@
 }
 
 #[test]
-fn a_later_start_replaces_an_earlier_one_which_never_comes_back() {
+fn later_incarnation_replaces_an_earlier_one_for_good() {
     let mut set = Discovery::default();
-    assert_eq!(set.upsert(start("a", 100), 5), Some(Change::Appeared));
-    assert_eq!(set.upsert(start("a", 200), 6), Some(Change::Restarted));
-    // The start before wrote this, and it landed late.
-    let mut late = start("a", 100);
+    assert_eq!(set.upsert(incarnation("a", 100), 5), Some(Change::Appeared));
+    assert_eq!(
+        set.upsert(incarnation("a", 200), 6),
+        Some(Change::Restarted)
+    );
+    // A late write of the earlier incarnation.
+    let mut late = incarnation("a", 100);
     late.draining = true;
     assert_eq!(set.upsert(late.clone(), 7), None);
     assert_eq!(set.get("a").unwrap().born_ms, 200);
     assert_eq!(set.mark_removed(SECOND, "a", 8), Some(Change::Gone));
     assert_eq!(set.upsert(late, 9), None);
     assert!(set.get("a").is_none());
-    assert_eq!(set.upsert(start("a", 300), 10), Some(Change::Appeared));
+    assert_eq!(
+        set.upsert(incarnation("a", 300), 10),
+        Some(Change::Appeared)
+    );
 }
 
 #[test]
-fn a_later_start_is_taken_though_news_of_it_comes_late() {
+fn later_incarnation_wins_even_at_an_older_revision() {
     let mut set = Discovery::default();
-    set.upsert(start("a", 100), 9);
-    assert_eq!(set.upsert(start("a", 200), 6), Some(Change::Restarted));
+    set.upsert(incarnation("a", 100), 9);
+    assert_eq!(
+        set.upsert(incarnation("a", 200), 6),
+        Some(Change::Restarted)
+    );
 }
 
 #[test]
-fn a_later_start_whose_entry_had_lapsed_is_no_lapsed_one() {
+fn later_incarnation_does_not_inherit_a_lapse() {
     let mut set = Discovery::default();
-    set.upsert(start("a", 100), 1);
+    set.upsert(incarnation("a", 100), 1);
     set.store_was_unreachable(SECOND);
     assert_eq!(set.mark_removed(SECOND, "a", 2), Some(Change::Lapsed));
-    assert_eq!(set.upsert(start("a", 200), 3), Some(Change::Restarted));
+    assert_eq!(
+        set.upsert(incarnation("a", 200), 3),
+        Some(Change::Restarted)
+    );
     assert!(set.expire(60 * SECOND).is_empty());
 }
 
 #[test]
-fn what_was_learned_and_believed_of_one_start_says_nothing_of_the_next() {
+fn state_of_one_incarnation_does_not_apply_to_the_next() {
     let mut balancer = Balancer::new("h".into());
-    balancer.upsert_endpoint(start("a", 100), 1);
-    let before = balancer.key_of("a").unwrap();
+    balancer.upsert_endpoint(incarnation("a", 100), 1);
+    let previous = balancer.key_of("a").unwrap();
     let busy = InFlight {
         requests: 3,
         prompt_tokens: 9_000,
@@ -69,35 +81,35 @@
     balancer.apply_peer_update(
         0,
         ryevalve::prelude::Incarnation(7),
-        &[(before, busy)],
+        &[(previous, busy)],
         &[],
         &[],
     );
-    balancer.update_speed(before, |s| s.record_unreachable(0));
-    let asked = ask(1, 4_000, 0, 0);
-    let news: Vec<_> = asked.chains.iter().map(|(c, _)| (*c, before)).collect();
-    balancer.apply_peer_observations(0, &news, &[]);
+    balancer.update_speed(previous, |s| s.record_unreachable(0));
+    let request = ask(1, 4_000, 0, 0);
+    let cached_chains: Vec<_> = request.chains.iter().map(|(c, _)| (*c, previous)).collect();
+    balancer.apply_peer_observations(0, &cached_chains, &[]);
 
     assert_eq!(
-        balancer.upsert_endpoint(start("a", 200), 2),
+        balancer.upsert_endpoint(incarnation("a", 200), 2),
         Some(Change::Restarted)
     );
-    assert!(balancer.entry(before).is_none());
-    let placed = balancer.place(0, &asked, &[]);
+    assert!(balancer.entry(previous).is_none());
+    let placed = balancer.place(0, &request, &[]);
     let ryevalve::balance::balancer::Placement::Send(choice) = placed else {
         panic!("{placed:?}");
     };
-    assert_ne!(choice.key, before);
+    assert_ne!(choice.key, previous);
     assert_eq!(choice.expected.uncached_tokens, 4_000);
     assert!(choice.expected.there < 0.5, "{:?}", choice.expected);
     assert!(choice.expected.cost < 0.5, "{:?}", choice.expected);
-    // Word of the start before, found dead by another instance, comes late.
-    balancer.remove_dead_endpoints(&[before]);
+    // Another instance's report that the earlier incarnation is gone arrives late.
+    balancer.remove_dead_endpoints(&[previous]);
     assert_eq!(balancer.key_of("a"), Some(choice.key));
 }
 
 #[test]
-fn starts_of_endpoints_that_do_not_say_when_they_began_have_the_key_of_their_id() {
+fn key_without_a_start_time_is_that_of_the_id() {
     assert_eq!(EndpointKey::of_incarnation("a", 0), EndpointKey::of("a"));
     assert_ne!(
         EndpointKey::of_incarnation("a", 1),
@@ -105,10 +117,11 @@
     );
 }
 
-/// An entry that went and was made again between two answers of a watch was taken for gone: the removal bore the
-/// revision of the whole answer, and whatever is older than a removal is passed over.
+/// An entry that was deleted and created again between two answers of a watch was treated as
+/// removed: the removal got the revision of the whole answer, and changes older than a removal are
+/// ignored.
 #[test]
-fn a_removal_is_not_later_than_what_was_made_after_it() {
+fn removal_is_not_newer_than_a_later_creation() {
     let object = |name: &str, revision| {
         Event::Changed(Object::<()> {
             metadata: Metadata {
@@ -132,16 +145,16 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// An endpoint starts again.
+    /// An endpoint restarts.
     Restart(usize),
-    /// What a start before wrote lands late.
+    /// A write of the previous incarnation arrives late.
     LateWrite(usize),
-    /// Its entry goes.
+    /// Its entry is deleted.
     Remove(usize),
-    /// One of two instances gets what has changed since it asked last.
+    /// One of two instances gets the changes since its last watch.
     Watch(usize),
-    /// An instance takes another's copy.
-    Copy(usize, usize),
+    /// An instance applies another's delta.
+    ApplyDelta(usize, usize),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -151,17 +164,17 @@
         id.clone().prop_map(Step::LateWrite),
         id.prop_map(Step::Remove),
         (0_usize..2).prop_map(Step::Watch),
-        (0_usize..3, 0_usize..3).prop_map(|(one, other)| Step::Copy(one, other)),
+        (0_usize..3, 0_usize..3).prop_map(|(one, other)| Step::ApplyDelta(one, other)),
     ];
     prop::collection::vec(one, 1..120)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
-    /// Whatever comes late, by watches or copies, no instance goes back to an earlier start of an endpoint, and
-    /// one that has heard all knows the latest.
+    /// Whatever arrives late, by watches or deltas, no instance returns to an earlier incarnation
+    /// of an endpoint.
     #[test]
-    fn no_instance_goes_back_to_an_earlier_start(steps in steps()) {
+    fn no_instance_returns_to_an_earlier_incarnation(steps in steps()) {
         let mut sets = [Discovery::default(), Discovery::default(), Discovery::default()];
         let mut highest = [[0_u64; 4]; 3];
         let mut watched = [0_u64; 2];
@@ -180,20 +193,20 @@
                 Step::LateWrite(_) => {}
                 Step::Remove(index) => history.push((revision, index, None)),
                 Step::Watch(one) => {
-                    let news = history.iter().filter(|(at, _, _)| *at > watched[one]);
-                    for (at, index, born_ms) in news {
+                    let unseen = history.iter().filter(|(at, _, _)| *at > watched[one]);
+                    for (at, index, born_ms) in unseen {
                         let id = format!("e{index}");
                         match born_ms {
-                            Some(born_ms) => sets[one].upsert(start(&id, *born_ms), *at),
+                            Some(born_ms) => sets[one].upsert(incarnation(&id, *born_ms), *at),
                             None => sets[one].mark_removed(SECOND, &id, *at),
                         };
                     }
                     watched[one] = history.len() as u64;
                     sets[one].advance_to(watched[one]);
                 }
-                Step::Copy(one, other) => {
-                    let copy = sets[other].delta_since(sets[one].revision());
-                    sets[one].apply_delta(SECOND, copy);
+                Step::ApplyDelta(one, other) => {
+                    let delta = sets[other].delta_since(sets[one].revision());
+                    sets[one].apply_delta(SECOND, delta);
                 }
             }
             for (set, highest) in sets.iter().zip(&mut highest) {
