--- a/tests/gateway/balancer.rs
+++ b/tests/gateway/balancer.rs
@@ -73,14 +73,14 @@
     let endpoints: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "there")).collect();
     let mut balancer = balancer(&endpoints);
     let request = ask(7, 100, 0, 0);
-    let chosen: std::collections::HashSet<_> = (0..12)
+    let considered: std::collections::HashSet<_> = (0..12)
         .map(|step| {
             let choice = sent(balancer.place(step * 20 * MS, &request, &[]));
             balancer.end(choice.key, choice.expected.uncached_tokens, None);
             choice.key
         })
         .collect();
-    assert!(chosen.len() > 4, "{}", chosen.len());
+    assert!(considered.len() > 4, "{}", considered.len());
 }
 
 #[test]
@@ -540,8 +540,8 @@
         requests: 4,
         prompt_tokens: 8_000,
     };
-    let loads = [(EndpointKey::of("busy"), load)];
-    balancer.apply_peer_update(0, Incarnation(1), &loads, &[], &[]);
+    let peer_loads = [(EndpointKey::of("busy"), load)];
+    balancer.apply_peer_update(0, Incarnation(1), &peer_loads, &[], &[]);
     let there = |balancer: &mut Balancer, now_us| {
         let choice = sent(balancer.place(now_us, &ask(7, 100, 0, now_us), &[]));
         balancer.end(choice.key, choice.expected.uncached_tokens, None);
@@ -554,9 +554,9 @@
     let (_, cleared) = there(&mut balancer, 150 * MS);
     assert_eq!(
         cleared, 0.0,
-        "loads of single instances are part of the hall sums to come"
+        "peer_loads of single instances are part of the hall sums to come"
     );
-    balancer.apply_peer_update(160 * MS, Incarnation(1), &loads, &[], &[]);
+    balancer.apply_peer_update(160 * MS, Incarnation(1), &peer_loads, &[], &[]);
     let (id, requests) = there(&mut balancer, 200 * MS);
     assert_eq!(&*id, "idle");
     // The mean is two; the reported value has a weight of 0.6, the mean one of 0.4.
@@ -583,8 +583,8 @@
         (EndpointKey::of(id), load)
     };
     // x1 looks idle to every instance, so it will not stay idle.
-    let loads = [load("x1", 0), load("x2", 8), load("y1", 1), load("y2", 1)];
-    balancer.apply_peer_update(0, Incarnation(1), &loads, &[], &[]);
+    let peer_loads = [load("x1", 0), load("x2", 8), load("y1", 1), load("y2", 1)];
+    balancer.apply_peer_update(0, Incarnation(1), &peer_loads, &[], &[]);
     let choice = sent(balancer.place(100 * MS, &ask(7, 100, 0, 100 * MS), &[]));
     assert_eq!(&*choice.hall, "calm", "{}", choice.id);
 }
