--- a/src/balance/load_view.rs
+++ b/src/balance/load_view.rs
@@ -14,8 +14,8 @@
 /// are older than the requests that have since gone to whichever endpoint looked idle.
 ///
 /// Of the placements in other halls 40 in 100 were late in a surge over 78 instances. Value served
-/// in that surge (two seeds) by weight: 1.0 0.486, 0.6 0.515, 0.25 0.517; on a day without surges
-/// 0.809, 0.825, 0.800.
+/// with weights of 1.0, 0.6 and 0.25: in that surge (two seeds) 0.486, 0.515 and 0.517, on a day
+/// without surges 0.809, 0.825 and 0.800.
 const REMOTE_LOAD_WEIGHT: f64 = 0.6;
 /// The means are recomputed at this interval, one gossip round.
 const MEANS_INTERVAL_US: Micros = 40_000;
