--- a/src/balance/balancer.rs
+++ b/src/balance/balancer.rs
@@ -1,8 +1,8 @@
-//! Places requests: keeps the picture, the queue of those that wait, and what was sent. What is told
-//! others and taken from them is in [`crate::balance::telling`], places given to others in
-//! [`crate::balance::places`].
+//! Places requests on endpoints: holds the known endpoints, the load view, the wait queue and the
+//! accounting of requests in flight. State exchange with peers is in [`crate::balance::sync`],
+//! placement on behalf of other instances in [`crate::balance::delegation`].
 //!
-//! Free of clock, socket and random source, so that tests drive it step by step.
+//! Uses no clock, socket or random source of its own, so tests can drive it step by step.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -12,123 +12,133 @@
 use crate::{
     balance::{
         cold::ColdEndpoints,
-        cost::{Ask, Expected},
-        discovery::{Change, Discovery, EndpointEntry, EndpointsCopy, Revision},
+        cost::{Expected, PlacementRequest},
+        discovery::{Change, Discovery, EndpointEntry, EndpointsDelta, Revision},
         grants::Grants,
         index::EndpointIndex,
         load::EndpointKey,
-        picture::{Group, Picture},
+        load_view::{ClusterSize, LoadView},
         prefixes::{ChainKey, PrefixHolders},
+        readiness::PermitDenial,
         speed::Speed,
-        standing::NoPermits,
     },
     limits::{announcements::EndpointAnnouncements, back_off::BackOffs},
     prelude::{Incarnation, Micros, Name, Rank},
 };
 
-/// How long a request waits for a slot before it is decided, as a share of its target. In a surge most that
-/// wait are refused all the same, later: whoever is told at once comes back sooner or goes elsewhere, and
-/// has the time to. A fifth, an eighth, a twentieth, nothing, of two days of surges over 85 instances (seed 11):
-/// worth .368 .408 .435 .428 and .458 .506 .522 .513; answers on the whole day .620 .625 .648 .659. Over six
-/// instances a fifth and a twentieth are alike: means of eight days on each of three deployments .666 and
-/// .673, .557 and .559, .764 and .763.
-const HOLD_SHARE: f64 = 0.05;
-/// Up to this share of its target a stream may queue at an endpoint, by rank. Endpoints know no
-/// ranks, so the less urgent leave their queues to the more urgent. What would queue for longer is
-/// refused: it would be late, and make late all that come after it.
+/// Maximum time that a request waits for a slot before it is refused, as a share of its target. In
+/// a surge most waiting requests are refused anyway; a caller that is refused at once retries
+/// sooner or goes elsewhere while it still has time.
 ///
-/// One that is late in any case has the share of the next rank: it leaves its place to those of its
-/// kind that can be in time, and not to less urgent ones. In a surge of 1.7 times what the slots carry
-/// half of those that came were back for the second time. Gained there, 6 instances, two surges of
-/// three seeds each: worth .516 to .531 and .470 to .478, that of the worst kind .47 to .52 and .49 to
-/// .52. Where lateness costs less, nothing (.755 and .754).
+/// Shares of 0.2, 0.125, 0.05 and 0 over two surge days on 85 instances (seed 11): value served
+/// 0.368, 0.408, 0.435, 0.428 and 0.458, 0.506, 0.522, 0.513; share answered over the whole day
+/// 0.620, 0.625, 0.648, 0.659. On six instances 0.2 and 0.05 do not differ: means of eight days on
+/// each of three deployments 0.666 and 0.673, 0.557 and 0.559, 0.764 and 0.763.
+const MAX_WAIT_SHARE: f64 = 0.05;
+/// Share of its target for which a stream may queue at an endpoint, by rank. Endpoints do not know
+/// ranks, so less urgent requests leave the endpoint queues to more urgent ones. A request that
+/// would queue for longer is refused: it would be late and would delay everything queued after it.
+///
+/// A request that is late in any case gets the share of the next rank, so it yields to requests of
+/// its own rank that can still be in time, but not to less urgent ones. In a surge of 1.7 times the
+/// slot capacity half of the arrivals were second attempts. Effect there on six instances, two
+/// surges of three seeds each: value served from 0.516 to 0.531 and from 0.470 to 0.478, for the
+/// worst kind of request from 0.47 to 0.52 and from 0.49 to 0.52. No effect where lateness costs
+/// less (0.755 and 0.754).
 const STREAM_QUEUE_SHARE: [f64; 4] = [0.6, 0.35, 0.2, 0.1];
-/// The same for requests with one whole answer.
-const WHOLE_QUEUE_SHARE: f64 = 0.7;
-/// The least urgent rank that is told apart.
-const LEAST_URGENT: Rank = 2;
-/// In a large group others are told of no shorter chains: 60 tokens are read in a millisecond, and were
-/// half of what a hall's instances told each other of reads.
-const LEAST_TOLD_TOKENS: u32 = 128;
-/// What was read lately and nobody was told of, at most: some seconds of a busy instance.
-const MOST_NEWS: usize = 1_024;
-/// The share of the time left to it after which a caller that is refused for want of room may come
-/// back, before spread. Surges last for seconds: whoever comes back at once is refused again. Callers
-/// wait up to a third of what they have left; with the spread this is .2 to .3 of it.
+/// The same share for unary (non-streaming) requests.
+const UNARY_QUEUE_SHARE: f64 = 0.7;
+/// The least urgent rank with a share of its own; higher rank numbers are treated like it.
+const LEAST_URGENT_RANK: Rank = 2;
+/// In a large cluster, shorter chains are not shared with peers: a prompt of 60 tokens is processed
+/// in a millisecond, and such chains were half of the cache updates that a hall's instances sent.
+const MIN_SHARED_CHAIN_TOKENS: u32 = 128;
+/// Maximum number of recorded chains that were not sent to peers yet: some seconds of a busy
+/// instance.
+const MAX_UNSENT_CHAINS: usize = 1_024;
+/// Share of the caller's remaining time after which it may retry a request refused for lack of
+/// capacity, before jitter. Surges last for seconds, so an immediate retry is refused again.
+/// Callers wait for at most a third of their remaining time; with jitter the delay is 0.2 to 0.3 of
+/// it.
 const RETRY_SHARE: f64 = 0.2;
-/// But not before this time, in milliseconds.
+/// Minimum retry delay, in milliseconds.
 const RETRY_MIN_MS: f64 = 150.0;
-/// Nor after this time: a surge at the start of an event is over by then.
+/// Maximum retry delay, in milliseconds: a surge at the start of an event is over by then.
 const RETRY_MAX_MS: f64 = 4_000.0;
 
-/// An endpoint chosen for a request.
+/// The endpoint chosen for a request.
 #[derive(Clone, Debug)]
 pub struct Choice {
     /// The endpoint's id.
     pub id: Name,
-    /// Its key among instances.
+    /// The key that instances use for this incarnation of it.
     pub key: EndpointKey,
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
-    /// The hall it stands in.
+    /// The hall it runs in.
     pub hall: Name,
-    /// What is expected of it.
+    /// The expected cost and timing of the request there.
     pub expected: Expected,
 }
 
-/// What is decided on a request.
+/// The decision on a request.
 #[derive(Clone, Debug)]
 pub enum Placement {
-    /// It is sent; what was sent is accounted for until [`Balancer::end`].
+    /// The request is sent; it counts as in flight until [`Balancer::end`].
     Send(Choice),
-    /// It waits for a slot.
+    /// The request waits for a slot.
     Wait,
-    /// It is refused.
+    /// The request is refused.
     Refuse {
-        /// Why, as a fixed word.
+        /// A fixed reason code.
         reason: &'static str,
-        /// When the caller may come back.
+        /// Time after which the caller may retry, in milliseconds.
         retry_after_ms: u32,
     },
 }
 
-/// Why a request is refused: all endpoints would keep it waiting for too long.
+/// Refusal reason: the request would queue for too long at every endpoint.
 pub const BUSY: &str = "busy";
-/// Why a request is refused: all endpoints that could take it take only so many a second.
+/// Refusal reason: every eligible endpoint has a request rate limit and no permit is available.
 pub const ENDPOINT_LIMITS: &str = "endpoint_limits";
 
-/// Names a waiting request; the most urgent and oldest first.
+/// Key of a waiting request; orders by urgency, then by age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaitKey {
     rank: Rank,
     number: u64,
 }
 
-/// Returns when a caller that has `left_us` may come back after a refusal for want of room.
-pub fn come_back_ms(left_us: Micros) -> u32 {
+/// Returns the time after which a caller with `left_us` left until its deadline may retry a request
+/// that was refused for lack of capacity.
+pub fn retry_delay_ms(left_us: Micros) -> u32 {
     let left_ms = left_us as f64 / 1e3;
     (left_ms * RETRY_SHARE).clamp(RETRY_MIN_MS, RETRY_MAX_MS) as u32
 }
 
-/// Returns for how long a request waits for a slot before it is decided.
-pub fn hold_us(ask: &Ask) -> Micros {
-    (ask.target_us as f64 * HOLD_SHARE) as Micros
+/// Returns how long a request may wait for a slot before it is refused.
+pub fn max_wait_us(request: &PlacementRequest) -> Micros {
+    (request.target_us as f64 * MAX_WAIT_SHARE) as Micros
 }
 
 /// Returns the share of its target for which a request may queue at an endpoint.
-fn queue_share(ask: &Ask) -> f64 {
-    if !ask.is_stream {
-        return WHOLE_QUEUE_SHARE;
+fn queue_share(request: &PlacementRequest) -> f64 {
+    if !request.is_stream {
+        return UNARY_QUEUE_SHARE;
     }
-    let rank = usize::from(ask.rank.min(LEAST_URGENT)) + usize::from(ask.is_late());
+    let rank = usize::from(request.rank.min(LEAST_URGENT_RANK)) + usize::from(request.is_late());
     STREAM_QUEUE_SHARE[rank]
 }
 
-/// Returns the refusal of a request for which there is no room: its caller may come back later.
-pub fn refused(now_us: Micros, ask: &Ask, reason: &'static str) -> Placement {
+/// Returns a refusal for lack of capacity, with the delay after which the caller may retry.
+pub fn refuse_for_capacity(
+    now_us: Micros,
+    request: &PlacementRequest,
+    reason: &'static str,
+) -> Placement {
     Placement::Refuse {
         reason,
-        retry_after_ms: come_back_ms(ask.deadline_us.saturating_sub(now_us)),
+        retry_after_ms: retry_delay_ms(request.deadline_us.saturating_sub(now_us)),
     }
 }
 
@@ -139,40 +149,41 @@
     pub(super) same_hall: bool,
 }
 
-/// The picture of all endpoints, and the requests that wait.
+/// The known endpoints, their load, and the waiting requests.
 #[derive(Debug)]
 pub struct Balancer {
     hall: Name,
     discovery: Discovery,
     pub(super) endpoints: HashMap<EndpointKey, Endpoint>,
-    /// The keys of the starts that are known, by the endpoints' ids.
+    /// Key of the current incarnation of each endpoint, by endpoint id.
     keys: HashMap<Name, EndpointKey>,
     pub(super) index: EndpointIndex,
-    /// How fast the endpoints of a service are together: what is believed of one that is not known.
-    pub(super) typical: HashMap<Name, Speed>,
-    pub(super) picture: Picture,
+    /// Speed averaged over all endpoints of a service; used for endpoints without samples of their
+    /// own.
+    pub(super) service_speeds: HashMap<Name, Speed>,
+    pub(super) load_view: LoadView,
     pub(super) grants: Grants,
     pub(super) holders: PrefixHolders,
-    /// What was read lately, to be told to the others.
-    pub(super) news: Vec<(ChainKey, EndpointKey)>,
-    /// Endpoints found gone, to be told to the others.
+    /// Chains recorded recently, not sent to peers yet.
+    pub(super) unsent_chains: Vec<(ChainKey, EndpointKey)>,
+    /// Endpoints found to be gone, not sent to peers yet.
     dead: Vec<EndpointKey>,
     pub(super) standings: EndpointAnnouncements,
     pub(super) rests: BackOffs,
     pub(super) cold: ColdEndpoints,
-    /// Data centres whose endpoints get nothing.
+    /// Data centres whose endpoints get no requests.
     pub(super) evacuated: HashSet<Name>,
     /// The region of each data centre.
     pub(super) regions: HashMap<Name, Name>,
-    /// Endpoints for which there was no permit, or no answer.
-    pub(super) no_permits: HashMap<EndpointKey, NoPermits>,
-    waiting: BTreeMap<WaitKey, Ask>,
+    /// Endpoints for which a permit was denied or the permit request was not answered.
+    pub(super) permit_denials: HashMap<EndpointKey, PermitDenial>,
+    waiting: BTreeMap<WaitKey, PlacementRequest>,
     next_number: u64,
     pub(super) changed: bool,
 }
 
 impl Balancer {
-    /// Starts with nothing known; `hall` is where this instance stands.
+    /// Creates a balancer that knows no endpoints; `hall` is the hall of this instance.
     pub fn new(hall: Name) -> Self {
         Self {
             hall,
@@ -180,44 +191,44 @@
             endpoints: HashMap::new(),
             keys: HashMap::new(),
             index: EndpointIndex::default(),
-            typical: HashMap::new(),
-            picture: Picture::default(),
+            service_speeds: HashMap::new(),
+            load_view: LoadView::default(),
             grants: Grants::default(),
             holders: PrefixHolders::default(),
-            news: Vec::new(),
+            unsent_chains: Vec::new(),
             dead: Vec::new(),
             standings: EndpointAnnouncements::default(),
             rests: BackOffs::default(),
             cold: ColdEndpoints::default(),
             evacuated: HashSet::new(),
             regions: HashMap::new(),
-            no_permits: HashMap::new(),
+            permit_denials: HashMap::new(),
             waiting: BTreeMap::new(),
             next_number: 0,
             changed: false,
         }
     }
 
-    /// Takes an endpoint's entry as it was at a revision; returns what changed.
-    pub fn endpoint_seen(&mut self, entry: EndpointEntry, revision: Revision) -> Option<Change> {
+    /// Adds or updates an endpoint from its store entry at a revision; returns what changed.
+    pub fn upsert_endpoint(&mut self, entry: EndpointEntry, revision: Revision) -> Option<Change> {
         let id = entry.id.clone();
-        let change = self.discovery.seen(entry, revision)?;
-        self.take_in(&id);
+        let change = self.discovery.upsert(entry, revision)?;
+        self.refresh_endpoint(&id);
         Some(change)
     }
 
-    /// Brings what is kept of an endpoint in line with its entry.
-    fn take_in(&mut self, id: &str) {
+    /// Rebuilds the state of an endpoint from its current entry.
+    fn refresh_endpoint(&mut self, id: &str) {
         let Some(entry) = self.discovery.get(id).cloned() else {
             return;
         };
         let key = entry.key();
-        let before = self.keys.insert(entry.id.clone(), key);
-        if let Some(before) = before.filter(|before| *before != key) {
-            self.forget(before);
-            self.standings.remove_endpoint(before);
+        let previous = self.keys.insert(entry.id.clone(), key);
+        if let Some(previous) = previous.filter(|previous| *previous != key) {
+            self.remove_state(previous);
+            self.standings.remove_endpoint(previous);
         }
-        self.cold.note_entry(key, entry.warmup_left_ms * 1_000);
+        self.cold.set_from_entry(key, entry.warmup_left_ms * 1_000);
         let same_hall = entry.hall == self.hall;
         let known = self.endpoints.remove(&key);
         if let Some(known) = &known {
@@ -232,53 +243,59 @@
         self.endpoints.insert(key, endpoint);
     }
 
-    /// Notes that the endpoints are as the store had them at a revision.
-    pub fn endpoints_reached(&mut self, revision: Revision) {
-        let before = self.discovery.revision();
-        self.discovery.reached(revision);
-        self.changed |= self.discovery.revision() != before;
+    /// Records that the endpoints are up to date with a revision of the store.
+    pub fn advance_endpoints_revision(&mut self, revision: Revision) {
+        let previous = self.discovery.revision();
+        self.discovery.advance_to(revision);
+        self.changed |= self.discovery.revision() != previous;
     }
 
-    /// Returns the store's revision that the endpoints are up to.
+    /// Returns the store revision up to which the endpoints are known.
     pub fn endpoints_revision(&self) -> Revision {
         self.discovery.revision()
     }
 
-    /// Returns what whoever is at `revision` lacks of the endpoints.
-    pub fn endpoints_since(&self, revision: Revision) -> EndpointsCopy {
-        self.discovery.copy_since(revision)
+    /// Returns the changes of the endpoints after `revision`.
+    pub fn endpoints_delta_since(&self, revision: Revision) -> EndpointsDelta {
+        self.discovery.delta_since(revision)
     }
 
-    /// Takes another instance's copy of the endpoints, if it is ahead; returns what changed.
-    pub fn take_endpoints(&mut self, now_us: Micros, copy: EndpointsCopy) -> Vec<(Name, Change)> {
-        let changes = self.discovery.take_copy(now_us, copy);
+    /// Applies another instance's endpoints if they are newer; returns what changed.
+    pub fn apply_endpoints_delta(
+        &mut self,
+        now_us: Micros,
+        delta: EndpointsDelta,
+    ) -> Vec<(Name, Change)> {
+        let changes = self.discovery.apply_delta(now_us, delta);
         for (id, change) in &changes {
             match change {
                 Change::Gone => self.drop_endpoint(id),
-                _ => self.take_in(id),
+                _ => self.refresh_endpoint(id),
             }
         }
         self.changed |= !changes.is_empty();
         changes
     }
 
-    /// Takes word that an endpoint's entry was gone at a revision, or before; returns what changed.
-    pub fn endpoint_removed(&mut self, now_us: Micros, id: &str, at: Revision) -> Option<Change> {
-        let change = self.discovery.removed(now_us, id, at)?;
+    /// Handles the absence of an endpoint's entry, which was missing at or before the revision
+    /// `at`; returns what changed.
+    pub fn remove_endpoint(&mut self, now_us: Micros, id: &str, at: Revision) -> Option<Change> {
+        let change = self.discovery.mark_removed(now_us, id, at)?;
         if change == Change::Gone {
             self.drop_endpoint(id);
         }
         Some(change)
     }
 
-    /// Takes a whole list of entries' ids as it was at a revision; returns what changed.
-    pub fn endpoints_listed(
+    /// Handles all endpoints that are missing from a full listing of the store at a revision;
+    /// returns what changed.
+    pub fn retain_listed_endpoints(
         &mut self,
         now_us: Micros,
         at: Revision,
-        listed: impl Fn(&str) -> bool,
+        is_listed: impl Fn(&str) -> bool,
     ) -> Vec<(Name, Change)> {
-        let changes = self.discovery.retain_listed(now_us, at, listed);
+        let changes = self.discovery.retain_listed(now_us, at, is_listed);
         for (id, change) in &changes {
             if *change == Change::Gone {
                 self.drop_endpoint(id);
@@ -287,9 +304,9 @@
         changes
     }
 
-    /// Notes that another start answers at an endpoint's address: it is gone, whatever its entry
-    /// says. Its entry comes in again only with a change.
-    pub fn endpoint_replaced(&mut self, key: EndpointKey) {
+    /// Removes an endpoint because another incarnation answered at its address, whatever its entry
+    /// says. It is added again only when its entry changes.
+    pub fn mark_endpoint_replaced(&mut self, key: EndpointKey) {
         let Some(endpoint) = self.endpoints.get(&key) else {
             return;
         };
@@ -299,13 +316,13 @@
         self.changed = true;
     }
 
-    /// Returns the endpoints found gone since this was asked last, to tell the others.
+    /// Returns the endpoints found to be gone since the last call, to be sent to peers.
     pub fn take_dead(&mut self) -> Vec<EndpointKey> {
         std::mem::take(&mut self.dead)
     }
 
-    /// Takes word from another instance of endpoints found gone.
-    pub fn told_dead(&mut self, dead: &[EndpointKey]) {
+    /// Removes endpoints that another instance found to be gone.
+    pub fn remove_dead_endpoints(&mut self, dead: &[EndpointKey]) {
         for key in dead {
             if let Some(endpoint) = self.endpoints.get(key) {
                 let id = endpoint.entry.id.clone();
@@ -314,65 +331,67 @@
         }
     }
 
-    /// Notes that the store could not be reached until now.
-    pub fn store_was_away(&mut self, now_us: Micros) {
-        self.discovery.store_was_away(now_us);
+    /// Records that the store was unreachable until now.
+    pub fn store_was_unreachable(&mut self, now_us: Micros) {
+        self.discovery.store_was_unreachable(now_us);
     }
 
-    /// Drops the endpoints whose lapse is over and the instances that fell silent; returns them.
+    /// Removes expired state: endpoints whose grace period after a lapse is over, and loads of
+    /// peers that stopped reporting. Returns both.
     pub fn tick(&mut self, now_us: Micros) -> (Vec<Name>, Vec<Incarnation>) {
         let expired = self.discovery.expire(now_us);
         for id in &expired {
             self.drop_endpoint(id);
         }
         for grant in self.grants.expire(now_us) {
-            self.picture.settle(grant.key, grant.uncached_tokens);
+            self.load_view
+                .release_grant(grant.key, grant.uncached_tokens);
         }
         self.expire_standings(now_us);
         self.cold.tick(now_us);
-        let silent = self.picture.expire(now_us);
+        let silent = self.load_view.expire(now_us);
         (expired, silent)
     }
 
     fn drop_endpoint(&mut self, id: &str) {
         if let Some(key) = self.keys.remove(id) {
-            self.forget(key);
+            self.remove_state(key);
         }
     }
 
-    /// Forgets what is believed and was learned of a start of an endpoint. What instances still have there
-    /// is told under its key and counts for no other.
-    fn forget(&mut self, key: EndpointKey) {
+    /// Drops all state of one incarnation of an endpoint. Requests that instances still have there
+    /// are reported under its key and do not count for another incarnation.
+    fn remove_state(&mut self, key: EndpointKey) {
         if let Some(endpoint) = self.endpoints.remove(&key) {
             self.index.remove(key, &endpoint.entry);
         }
-        self.holders.forget_endpoint(key);
-        // Its limit is not: an entry that lapsed comes back for the same start.
-        self.no_permits.remove(&key);
-        self.cold.forget(key);
+        self.holders.evict_endpoint(key);
+        // The rate limit is kept: a lapsed entry can return for the same incarnation.
+        self.permit_denials.remove(&key);
+        self.cold.clear(key);
     }
 
-    /// Returns the load at all endpoints, as far as it is known.
-    pub fn picture(&self) -> &Picture {
-        &self.picture
+    /// Returns the load view.
+    pub fn load_view(&self) -> &LoadView {
+        &self.load_view
     }
 
-    /// Returns the load at all endpoints, to be told of more.
-    pub fn picture_mut(&mut self) -> &mut Picture {
-        &mut self.picture
+    /// Returns the load view for updates.
+    pub fn load_view_mut(&mut self) -> &mut LoadView {
+        &mut self.load_view
     }
 
-    /// Returns the number of endpoints known.
+    /// Returns the number of known endpoints.
     pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Returns the key of the start that is known under an endpoint's id.
+    /// Returns the key of an endpoint's current incarnation.
     pub fn key_of(&self, id: &str) -> Option<EndpointKey> {
         self.keys.get(id).copied()
     }
 
-    /// Returns an endpoint's entry while it is in use.
+    /// Returns an endpoint's entry, if the endpoint is known.
     pub fn entry(&self, key: EndpointKey) -> Option<&EndpointEntry> {
         self.endpoints.get(&key).map(|e| &*e.entry)
     }
@@ -382,48 +401,53 @@
         self.index.of_service(service)
     }
 
-    /// Decides on a request that has just come, or comes back from an endpoint that did not run it.
-    /// Those in `tried` are not chosen.
-    pub fn place(&mut self, now_us: Micros, ask: &Ask, tried: &[EndpointKey]) -> Placement {
-        self.place_with(now_us, ask, tried, None)
+    /// Decides on a request that has just arrived, or that an endpoint returned without running it.
+    /// Endpoints in `tried` are excluded.
+    pub fn place(
+        &mut self,
+        now_us: Micros,
+        request: &PlacementRequest,
+        tried: &[EndpointKey],
+    ) -> Placement {
+        self.place_with_permit(now_us, request, tried, None)
     }
 
-    /// The same with a permit to send it to an endpoint that takes only so many requests a second, if there is
-    /// one; without, no such endpoint is chosen.
-    pub fn place_with(
+    /// Like [`Self::place`], with an optional permit for one endpoint that limits its request rate.
+    /// Rate-limited endpoints without a permit are excluded.
+    pub fn place_with_permit(
         &mut self,
         now_us: Micros,
-        ask: &Ask,
+        request: &PlacementRequest,
         tried: &[EndpointKey],
         permit: Option<EndpointKey>,
     ) -> Placement {
-        self.picture
+        self.load_view
             .refresh_means(now_us, self.index.by_data_centre());
-        let found = self.best(now_us, ask, tried, permit);
-        let Some(best) = found.best else {
-            return found.without_endpoint(now_us, ask);
+        let selected = self.select(now_us, request, tried, permit);
+        let Some(best) = selected.best else {
+            return selected.refusal(now_us, request);
         };
-        let waited_us = now_us.saturating_sub(ask.arrived_us) as f64;
-        // One that is late in any case loses nothing more by having waited.
-        let spent_us = if ask.is_late() { 0.0 } else { waited_us };
+        let waited_us = now_us.saturating_sub(request.arrived_us) as f64;
+        // A request that is late in any case loses nothing more by its wait.
+        let spent_us = if request.is_late() { 0.0 } else { waited_us };
         let queue_us = spent_us + best.expected.queue_ms * 1e3;
-        let fits = queue_us <= ask.target_us as f64 * queue_share(ask);
-        // One that is late in any case passes nobody.
-        let may_pass = best.expected.has_room && !ask.is_late();
-        if fits && (may_pass || !self.waits_before(ask.rank)) {
-            return self.send(now_us, ask, best);
+        let fits = queue_us <= request.target_us as f64 * queue_share(request);
+        // A request that is late in any case must not overtake waiting ones.
+        let may_overtake = best.expected.has_room && !request.is_late();
+        if fits && (may_overtake || !self.has_waiting_ahead(request.rank)) {
+            return self.dispatch(now_us, request, best);
         }
-        if now_us.saturating_sub(ask.arrived_us) < hold_us(ask) {
+        if now_us.saturating_sub(request.arrived_us) < max_wait_us(request) {
             return Placement::Wait;
         }
-        refused(now_us, ask, BUSY)
+        refuse_for_capacity(now_us, request, BUSY)
     }
 
-    fn waits_before(&self, rank: Rank) -> bool {
+    fn has_waiting_ahead(&self, rank: Rank) -> bool {
         self.waiting.keys().next().is_some_and(|k| k.rank <= rank)
     }
 
-    /// Returns the choice of an endpoint that is known.
+    /// Returns the choice of an endpoint, if it is known.
     pub(super) fn choice(&self, key: EndpointKey, expected: Expected) -> Option<Choice> {
         let entry = self.entry(key)?;
         Some(Choice {
@@ -435,54 +459,60 @@
         })
     }
 
-    pub(super) fn send(&mut self, now_us: Micros, ask: &Ask, choice: Choice) -> Placement {
-        self.picture
-            .sent(choice.key, choice.expected.uncached_tokens);
-        let least_tokens = match self.picture.group() {
-            Group::Small => 0,
-            Group::Large => LEAST_TOLD_TOKENS,
+    pub(super) fn dispatch(
+        &mut self,
+        now_us: Micros,
+        request: &PlacementRequest,
+        choice: Choice,
+    ) -> Placement {
+        self.load_view
+            .record_sent(choice.key, choice.expected.uncached_tokens);
+        let min_tokens = match self.load_view.cluster_size() {
+            ClusterSize::Small => 0,
+            ClusterSize::Large => MIN_SHARED_CHAIN_TOKENS,
         };
-        for (chain, tokens) in &ask.chains {
-            self.holders.note(now_us, *chain, choice.key);
-            if *tokens >= least_tokens {
-                self.news.push((*chain, choice.key));
+        for (chain, tokens) in &request.chains {
+            self.holders.record(now_us, *chain, choice.key);
+            if *tokens >= min_tokens {
+                self.unsent_chains.push((*chain, choice.key));
             }
         }
-        if self.news.len() > MOST_NEWS {
-            // An instance that is alone tells nobody.
-            self.news.drain(..MOST_NEWS / 2);
+        if self.unsent_chains.len() > MAX_UNSENT_CHAINS {
+            // Without peers the list is never taken, so it is bounded here.
+            self.unsent_chains.drain(..MAX_UNSENT_CHAINS / 2);
         }
         self.changed = true;
         Placement::Send(choice)
     }
 
-    /// Adds a request to those that wait.
-    pub fn enqueue(&mut self, ask: Ask) -> WaitKey {
+    /// Adds a request to the wait queue.
+    pub fn enqueue(&mut self, request: PlacementRequest) -> WaitKey {
         let key = WaitKey {
-            rank: ask.rank,
+            rank: request.rank,
             number: self.next_number,
         };
         self.next_number += 1;
-        self.waiting.insert(key, ask);
+        self.waiting.insert(key, request);
         key
     }
 
-    /// Takes a request out of those that wait.
-    pub fn dequeue(&mut self, key: WaitKey) -> Option<Ask> {
+    /// Removes a request from the wait queue.
+    pub fn dequeue(&mut self, key: WaitKey) -> Option<PlacementRequest> {
         self.waiting.remove(&key)
     }
 
-    /// Decides anew on those that wait, the most urgent first; returns those that need not wait.
+    /// Decides again on the waiting requests, the most urgent first; returns those that need not
+    /// wait any longer.
     pub fn reconsider(&mut self, now_us: Micros) -> Vec<(WaitKey, Placement)> {
         let mut decided = Vec::new();
         let keys: Vec<WaitKey> = self.waiting.keys().copied().collect();
         for key in keys {
-            let Some(ask) = self.waiting.remove(&key) else {
+            let Some(request) = self.waiting.remove(&key) else {
                 continue;
             };
-            match self.place(now_us, &ask, &[]) {
+            match self.place(now_us, &request, &[]) {
                 Placement::Wait => {
-                    self.waiting.insert(key, ask);
+                    self.waiting.insert(key, request);
                 }
                 placement => decided.push((key, placement)),
             }
@@ -490,52 +520,53 @@
         decided
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Learns that the first event of what was sent came after `took_ms`.
-    pub fn first_event(&mut self, choice: &Choice, took_ms: f64) {
+    /// Records that the first event of a request came `took_ms` after it was sent.
+    pub fn record_first_event(&mut self, choice: &Choice, took_ms: f64) {
         let expected = &choice.expected;
-        self.picture.was_read(choice.key, expected.uncached_tokens);
-        // Where it waited for a slot, the time says little of the reading.
+        self.load_view
+            .record_prompt_processed(choice.key, expected.uncached_tokens);
+        // If the request waited for a slot, the time says little about prompt processing.
         if let Some(endpoint) = self.endpoints.get_mut(&choice.key)
             && expected.has_room
         {
             let tokens = expected.tokens_ahead + f64::from(expected.uncached_tokens);
-            endpoint.speed.first_event(took_ms, tokens);
+            endpoint.speed.record_first_event(took_ms, tokens);
             let service = endpoint.entry.service.clone();
-            let typical = self.typical.entry(service).or_default();
-            typical.first_event(took_ms, tokens);
+            let service_speed = self.service_speeds.entry(service).or_default();
+            service_speed.record_first_event(took_ms, tokens);
         }
         self.changed = true;
     }
 
-    /// Takes a request out of what was sent. `waiting_tokens` are those whose first event did not
-    /// come.
+    /// Ends the accounting of a request. `waiting_tokens` are the prompt tokens whose first event
+    /// did not come; `held_ms`, if given, is a sample of the slot hold time.
     pub fn end(&mut self, key: EndpointKey, waiting_tokens: u32, held_ms: Option<f64>) {
-        self.picture.ended(key, waiting_tokens);
+        self.load_view.record_ended(key, waiting_tokens);
         if let (Some(endpoint), Some(held_ms)) = (self.endpoints.get_mut(&key), held_ms) {
-            endpoint.speed.held(held_ms);
+            endpoint.speed.record_slot_hold(held_ms);
         }
         self.changed = true;
     }
 
-    /// Learns from the time between two events of a stream.
-    pub fn event(&mut self, key: EndpointKey, gap_ms: f64) {
+    /// Records the time between two events of a stream.
+    pub fn record_event_gap(&mut self, key: EndpointKey, gap_ms: f64) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
-            endpoint.speed.event(gap_ms);
-            if let Some(typical) = self.typical.get_mut(&endpoint.entry.service) {
-                typical.event(gap_ms);
+            endpoint.speed.record_event_gap(gap_ms);
+            if let Some(service_speed) = self.service_speeds.get_mut(&endpoint.entry.service) {
+                service_speed.record_event_gap(gap_ms);
             }
         }
     }
 
-    /// Gives what is learned of an endpoint's speed.
-    pub fn learn(&mut self, key: EndpointKey, lesson: impl FnOnce(&mut Speed)) {
+    /// Updates the speed of an endpoint, if it is known.
+    pub fn update_speed(&mut self, key: EndpointKey, update: impl FnOnce(&mut Speed)) {
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
-            lesson(&mut endpoint.speed);
+            update(&mut endpoint.speed);
         }
     }
 }
--- a/src/balance/load.rs
+++ b/src/balance/load.rs
@@ -1,5 +1,5 @@
-//! How busy each endpoint is: this instance's own requests, what the others tell of theirs, and
-//! what the endpoint said of itself.
+//! Load of single endpoints: this instance's own requests, the loads that peers report, and what
+//! the endpoint reports of itself.
 
 use std::collections::HashMap;
 
@@ -7,23 +7,23 @@
 
 use crate::prelude::{Incarnation, Micros, short_hash};
 
-/// What another instance, or another hall, told counts for this long: some messages may be lost.
-const TOLD_US: Micros = 2_500_000;
-/// An endpoint's own word counts in full when it comes and for nothing after this time.
-const REPORT_US: f64 = 700_000.0;
+/// How long the load reported by another instance or hall counts; covers the loss of some messages.
+const PEER_LOAD_TTL_US: Micros = 2_500_000;
+/// An endpoint's own report loses weight linearly and counts for nothing after this time.
+const LOAD_REPORT_TTL_US: f64 = 700_000.0;
 
-/// Names a start of an endpoint among instances; a hash of its id and of when it began.
+/// Identifies one incarnation (process start) of an endpoint: a hash of its id and start time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct EndpointKey(pub u32);
 
 impl EndpointKey {
-    /// Returns the key of an endpoint that does not say when it started.
+    /// Returns the key of an endpoint whose start time is not known.
     pub fn of(id: &str) -> Self {
         Self(short_hash(id))
     }
 
-    /// Returns the key of an endpoint's start at `born_ms`, 0 if that is not known.
-    pub fn of_start(id: &str, born_ms: u64) -> Self {
+    /// Returns the key of an endpoint that started at `born_ms`; 0 if that is not known.
+    pub fn of_incarnation(id: &str, born_ms: u64) -> Self {
         match born_ms {
             0 => Self::of(id),
             born_ms => Self(short_hash(&format!("{id} {born_ms}"))),
@@ -31,239 +31,242 @@
     }
 }
 
-/// Endpoints by their keys, from the first to the last. A list of loads too long for a datagram is
-/// told in several, each of a part of all keys.
+/// A range of endpoint keys, both ends included. A list of loads too long for one datagram is sent
+/// in several, each for a range of keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KeySpan {
+pub struct KeyRange {
     /// The lowest key.
     pub first: EndpointKey,
     /// The highest key.
     pub last: EndpointKey,
 }
 
-impl KeySpan {
-    /// All endpoints.
+impl KeyRange {
+    /// All keys.
     pub const ALL: Self = Self {
         first: EndpointKey(0),
         last: EndpointKey(u32::MAX),
     };
 
-    /// Returns whether the endpoint is one of them.
+    /// Returns whether a key is in the range.
     pub fn contains(self, key: EndpointKey) -> bool {
         (self.first..=self.last).contains(&key)
     }
 }
 
-impl Default for KeySpan {
+impl Default for KeyRange {
     fn default() -> Self {
         Self::ALL
     }
 }
 
-/// Cuts loads sorted by endpoint into lists of at most `most`, each with the endpoints that it is
-/// of; together they are of all.
+/// Splits loads sorted by key into lists of at most `max_entries`, each with its range of keys;
+/// together the ranges cover all keys.
 pub fn split_loads(
     loads: &[(EndpointKey, InFlight)],
-    most: usize,
-) -> Vec<(KeySpan, Vec<(EndpointKey, InFlight)>)> {
+    max_entries: usize,
+) -> Vec<(KeyRange, Vec<(EndpointKey, InFlight)>)> {
     let mut parts = Vec::new();
-    let mut first = KeySpan::ALL.first;
-    let mut chunks = loads.chunks(most.max(1)).peekable();
+    let mut first = KeyRange::ALL.first;
+    let mut chunks = loads.chunks(max_entries.max(1)).peekable();
     while let Some(chunk) = chunks.next() {
         let last = match (chunks.peek(), chunk.last()) {
             (Some(_), Some((key, _))) => *key,
-            _ => KeySpan::ALL.last,
+            _ => KeyRange::ALL.last,
         };
-        parts.push((KeySpan { first, last }, chunk.to_vec()));
+        parts.push((KeyRange { first, last }, chunk.to_vec()));
         first = EndpointKey(last.0.saturating_add(1));
     }
     if parts.is_empty() {
-        parts.push((KeySpan::ALL, Vec::new()));
+        parts.push((KeyRange::ALL, Vec::new()));
     }
     parts
 }
 
-/// Requests of one instance at one endpoint.
+/// In-flight requests of one instance at one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InFlight {
     /// Requests sent that have not ended.
     pub requests: u32,
-    /// Prompt tokens sent whose first event has not come, without what the endpoint has cached.
+    /// Uncached prompt tokens of requests whose first event has not come.
     pub prompt_tokens: u32,
 }
 
-/// What an endpoint says of its own load.
+/// The load that an endpoint reports of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OwnWord {
+pub struct EndpointLoadReport {
     /// Requests that it runs.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests in its queue.
     pub waiting: u32,
-    /// Requests that it runs at a time.
+    /// Requests that it can run at a time.
     pub slots: u32,
 }
 
-/// What is believed to be at an endpoint.
+/// Estimated load of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Believed {
-    /// Requests sent there that have not ended.
+pub struct LoadEstimate {
+    /// Requests in flight there.
     pub requests: f64,
-    /// Prompt tokens that it reads before those of a new request.
+    /// Prompt tokens to be processed before those of a new request.
     pub prompt_tokens: f64,
 }
 
-/// The load at one endpoint.
+/// The load at one endpoint, by source.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointLoad {
-    /// Of this instance.
+    /// Requests of this instance.
     pub own: InFlight,
-    /// Of all others together.
-    others: InFlight,
-    /// Given to others that have not told of them yet.
+    /// Requests of all other instances together.
+    peers: InFlight,
+    /// Requests granted to other instances that their reports do not show yet.
     granted: InFlight,
-    /// Requests that the endpoint told of and nobody else, and when.
+    /// Requests that the endpoint reported beyond those known to the instances, and when.
     unaccounted: f64,
     reported_us: Micros,
-    /// Its word came to this instance, and the others were not told yet.
-    is_report_untold: bool,
+    /// The endpoint reported to this instance, and `unaccounted` was not sent to peers yet.
+    is_unaccounted_unsent: bool,
 }
 
 impl EndpointLoad {
-    /// Returns how many requests are there and what is to be read before a new one, as far as is known.
-    pub fn believed(&self, now_us: Micros) -> Believed {
-        self.drawn_to(now_us, Believed::default(), 1.0)
+    /// Returns the estimated load.
+    pub fn estimate(&self, now_us: Micros) -> LoadEstimate {
+        self.shrunk_towards(now_us, LoadEstimate::default(), 1.0)
     }
 
-    /// The same with what others have there drawn to `mean`, of which the share `trust` is believed.
-    pub fn drawn_to(&self, now_us: Micros, mean: Believed, trust: f64) -> Believed {
-        let drawn = |told: u32, mean: f64| mean + (f64::from(told) - mean) * trust;
+    /// Like [`Self::estimate`], with the load of peers shrunk towards `mean`: `weight` is the
+    /// weight of the reported value.
+    pub fn shrunk_towards(&self, now_us: Micros, mean: LoadEstimate, weight: f64) -> LoadEstimate {
+        let shrink = |count: u32, mean: f64| mean + (f64::from(count) - mean) * weight;
         let age_us = now_us.saturating_sub(self.reported_us) as f64;
-        let report_trust = (1.0 - age_us / REPORT_US).max(0.0);
-        Believed {
+        let report_weight = (1.0 - age_us / LOAD_REPORT_TTL_US).max(0.0);
+        LoadEstimate {
             requests: f64::from(self.own.requests + self.granted.requests)
-                + drawn(self.others.requests, mean.requests)
-                + self.unaccounted * report_trust,
+                + shrink(self.peers.requests, mean.requests)
+                + self.unaccounted * report_weight,
             prompt_tokens: f64::from(self.own.prompt_tokens + self.granted.prompt_tokens)
-                + drawn(self.others.prompt_tokens, mean.prompt_tokens),
+                + shrink(self.peers.prompt_tokens, mean.prompt_tokens),
         }
     }
 
-    /// Returns what the instances have there, without the endpoint's own word.
-    pub fn counted(&self) -> Believed {
-        let all = [self.own, self.others, self.granted];
-        Believed {
+    /// Returns the load known to the instances, without the endpoint's own report.
+    pub fn accounted(&self) -> LoadEstimate {
+        let all = [self.own, self.peers, self.granted];
+        LoadEstimate {
             requests: all.iter().map(|l| f64::from(l.requests)).sum(),
             prompt_tokens: all.iter().map(|l| f64::from(l.prompt_tokens)).sum(),
         }
     }
 
-    /// Returns what others have there, as they told.
-    pub fn others(&self) -> InFlight {
-        self.others
+    /// Returns the load reported by other instances.
+    pub fn peers(&self) -> InFlight {
+        self.peers
     }
 
-    /// Adds a place given to another instance.
-    pub fn grant(&mut self, uncached_tokens: u32) {
+    /// Adds a request granted to another instance.
+    pub fn add_grant(&mut self, uncached_tokens: u32) {
         self.granted.requests += 1;
         self.granted.prompt_tokens += uncached_tokens;
     }
 
-    /// Takes away a place given to another instance.
-    pub fn settle(&mut self, uncached_tokens: u32) {
+    /// Removes a request granted to another instance.
+    pub fn release_grant(&mut self, uncached_tokens: u32) {
         let granted = &mut self.granted;
         granted.requests = granted.requests.saturating_sub(1);
         granted.prompt_tokens = granted.prompt_tokens.saturating_sub(uncached_tokens);
     }
 
-    /// Takes the endpoint's own word: what it has beside the requests that the instances know of.
-    pub fn report(&mut self, now_us: Micros, word: OwnWord) {
-        let known = f64::from(self.own.requests + self.others.requests);
-        let told = f64::from(word.running + word.waiting);
-        self.correct(now_us, told - known);
-        self.is_report_untold = true;
+    /// Records the endpoint's own report: what it has beyond the requests known to the instances.
+    pub fn record_report(&mut self, now_us: Micros, report: EndpointLoadReport) {
+        let known = f64::from(self.own.requests + self.peers.requests);
+        let reported = f64::from(report.running + report.waiting);
+        self.set_unaccounted(now_us, reported - known);
+        self.is_unaccounted_unsent = true;
     }
 
-    /// Takes what another instance found an endpoint to have beside the requests known of.
-    pub fn correct(&mut self, now_us: Micros, unaccounted: f64) {
-        // Less than is known of is no news: requests are on their way there.
+    /// Sets the unaccounted load found by this or another instance.
+    pub fn set_unaccounted(&mut self, now_us: Micros, unaccounted: f64) {
+        // A lower count than known is ignored: requests are on their way there.
         self.unaccounted = unaccounted.max(0.0);
         self.reported_us = now_us;
     }
 
-    /// Returns what the endpoint's own word was beside the requests known of, if it came since this
-    /// was asked last.
-    pub fn take_report(&mut self) -> Option<i8> {
-        let is_untold = std::mem::take(&mut self.is_report_untold);
-        is_untold.then_some(self.unaccounted.min(f64::from(i8::MAX)) as i8)
+    /// Returns the unaccounted load if the endpoint reported since the last call.
+    pub fn take_unaccounted(&mut self) -> Option<i8> {
+        let is_unsent = std::mem::take(&mut self.is_unaccounted_unsent);
+        is_unsent.then_some(self.unaccounted.min(f64::from(i8::MAX)) as i8)
     }
 }
 
 #[derive(Debug, Default)]
-struct Told {
+struct PeerReport {
     at_us: Micros,
     loads: Vec<(EndpointKey, InFlight)>,
 }
 
-/// What the other instances told, by instance.
+/// The loads reported by other instances.
 #[derive(Debug, Default)]
-pub struct ToldLoads {
-    by_instance: HashMap<Incarnation, Told>,
+pub struct PeerLoads {
+    by_peer: HashMap<Incarnation, PeerReport>,
 }
 
-impl ToldLoads {
-    /// Replaces what an instance told of its requests at the endpoints of `span`.
+impl PeerLoads {
+    /// Replaces the load that an instance reported for the endpoints in `span`.
     pub fn replace(
         &mut self,
         now_us: Micros,
         from: Incarnation,
-        span: KeySpan,
+        span: KeyRange,
         loads: &[(EndpointKey, InFlight)],
         endpoints: &mut HashMap<EndpointKey, EndpointLoad>,
     ) {
-        let told = self.by_instance.entry(from).or_default();
-        told.at_us = now_us;
-        for (key, load) in told.loads.extract_if(.., |(key, _)| span.contains(*key)) {
+        let peer_report = self.by_peer.entry(from).or_default();
+        peer_report.at_us = now_us;
+        for (key, load) in peer_report
+            .loads
+            .extract_if(.., |(key, _)| span.contains(*key))
+        {
             if let Some(endpoint) = endpoints.get_mut(&key) {
-                endpoint.others.requests -= load.requests.min(endpoint.others.requests);
-                let tokens = load.prompt_tokens.min(endpoint.others.prompt_tokens);
-                endpoint.others.prompt_tokens -= tokens;
+                endpoint.peers.requests -= load.requests.min(endpoint.peers.requests);
+                let tokens = load.prompt_tokens.min(endpoint.peers.prompt_tokens);
+                endpoint.peers.prompt_tokens -= tokens;
             }
         }
         let within = loads.iter().filter(|(key, _)| span.contains(*key));
         for (key, load) in within {
             let endpoint = endpoints.entry(*key).or_default();
-            endpoint.others.requests += load.requests;
-            endpoint.others.prompt_tokens += load.prompt_tokens;
-            told.loads.push((*key, *load));
+            endpoint.peers.requests += load.requests;
+            endpoint.peers.prompt_tokens += load.prompt_tokens;
+            peer_report.loads.push((*key, *load));
         }
     }
 
-    /// Forgets instances that have said nothing for long; returns them.
+    /// Drops instances that have not reported for long; returns them.
     pub fn expire(
         &mut self,
         now_us: Micros,
         endpoints: &mut HashMap<EndpointKey, EndpointLoad>,
     ) -> Vec<Incarnation> {
-        let silent = |t: &Told| now_us.saturating_sub(t.at_us) > TOLD_US;
-        let gone = self.by_instance.iter().filter(|(_, t)| silent(t));
+        let silent = |t: &PeerReport| now_us.saturating_sub(t.at_us) > PEER_LOAD_TTL_US;
+        let gone = self.by_peer.iter().filter(|(_, t)| silent(t));
         let gone: Vec<Incarnation> = gone.map(|(i, _)| *i).collect();
         for instance in &gone {
-            self.replace(now_us, *instance, KeySpan::ALL, &[], endpoints);
-            self.by_instance.remove(instance);
+            self.replace(now_us, *instance, KeyRange::ALL, &[], endpoints);
+            self.by_peer.remove(instance);
         }
         gone
     }
 
-    /// Forgets all that was told.
+    /// Drops all reports.
     pub fn clear(&mut self, endpoints: &mut HashMap<EndpointKey, EndpointLoad>) {
-        self.by_instance.clear();
+        self.by_peer.clear();
         for endpoint in endpoints.values_mut() {
-            endpoint.others = InFlight::default();
+            endpoint.peers = InFlight::default();
         }
     }
 
-    /// Returns how many instances are heard, beside this one.
-    pub fn heard(&self) -> usize {
-        self.by_instance.len()
+    /// Returns the number of other instances with current reports.
+    pub fn reporting_peers(&self) -> usize {
+        self.by_peer.len()
     }
 }
--- a/src/balance/mod.rs
+++ b/src/balance/mod.rs
@@ -1,18 +1,19 @@
-//! Which endpoint a request goes to, which waits and which is refused, decided by each instance
-//! over a picture of all endpoints that the instances share.
+//! Load balancing: decides which endpoint serves a request, which request waits and which is
+//! refused. Every instance decides on its own, using a view of endpoint load that the instances
+//! share by gossip.
 
 pub mod balancer;
-mod choosing;
 pub mod cold;
 pub mod cost;
+mod delegation;
 pub mod discovery;
 pub mod grants;
-pub mod homes;
 pub mod index;
 pub mod load;
-pub mod picture;
-mod places;
+pub mod load_view;
 pub mod prefixes;
+pub mod readiness;
+pub mod regions;
+mod selection;
 pub mod speed;
-pub mod standing;
-mod telling;
+mod sync;
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -9,7 +9,9 @@
 use rand::RngExt;
 
 use crate::{
-    balance::{balancer::come_back_ms, cost::Ask, homes::Homes, prefixes},
+    balance::{
+        balancer::retry_delay_ms, cost::PlacementRequest, prefixes, regions::AllowedRegions,
+    },
     entry::refusal::Refusal,
     gateway::{
         config::{Organisation, Route},
@@ -141,7 +143,7 @@
         let retry_after_ms = u32::try_from(denied.wait_us / 1_000).unwrap_or(u32::MAX);
         let retry_after_ms = retry_after_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
         // There may be quota for this request sooner, but not for all that were refused at the same time.
-        refuse::over_limit(retry_after_ms.max(come_back_ms(time_budget_us)))
+        refuse::over_limit(retry_after_ms.max(retry_delay_ms(time_budget_us)))
     })
 }
 
@@ -170,15 +172,15 @@
     service: Name,
     tokens_per_event: u32,
     times: RequestTimes,
-    homes: Homes,
-) -> Ask {
+    homes: AllowedRegions,
+) -> PlacementRequest {
     let prompt_tokens = head.tokens.map_or(0, |t| t.prompt);
     let max_output_tokens = head.tokens.map_or(u32::MAX, |t| t.max_output);
     let output_tokens = head
         .output_guess
         .unwrap_or(PRIOR_OUTPUT_TOKENS)
         .min(max_output_tokens);
-    Ask {
+    PlacementRequest {
         service,
         is_stream: route.kind.is_stream(),
         prompt_tokens,
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -15,7 +15,7 @@
 use tokio::time::{self, Instant};
 
 use crate::{
-    balance::{balancer::Choice, cost::Ask},
+    balance::{balancer::Choice, cost::PlacementRequest},
     clock::Clock,
     endpoint::kept::EndpointConnection,
     gateway::{
@@ -52,7 +52,7 @@
     /// The caller's organisation.
     pub organisation: Option<Name>,
     /// The request as the balancer places it.
-    pub placement_request: Ask,
+    pub placement_request: PlacementRequest,
     /// When the time budget of the request ends, shortly before its caller or route times out.
     pub until_us: Micros,
     /// Identifies retries of the same request; computed on first use.
@@ -181,7 +181,9 @@
         }
         self.has_first_event = true;
         let took_ms = self.age_ms();
-        self.gateway.balancer().first_event(&self.choice, took_ms);
+        self.gateway
+            .balancer()
+            .record_first_event(&self.choice, took_ms);
     }
 
     /// Records that the response is complete; its duration enters the estimate of how long slots are held.
@@ -189,14 +191,14 @@
         self.records_hold_time = true;
         let now_us = self.gateway.clock.now_us();
         let mut balancer = self.gateway.balancer();
-        balancer.learn(self.choice.key, |s| s.ended(now_us, false));
+        balancer.update_speed(self.choice.key, |s| s.record_outcome(now_us, false));
     }
 
     /// Records that the endpoint failed the request.
     pub fn note_failure(&self) {
         let now_us = self.gateway.clock.now_us();
         let mut balancer = self.gateway.balancer();
-        balancer.learn(self.choice.key, |s| s.ended(now_us, true));
+        balancer.update_speed(self.choice.key, |s| s.record_outcome(now_us, true));
     }
 
     /// Removes it from the load of the endpoint and gives waiting requests a chance; later calls do nothing.
@@ -213,7 +215,7 @@
         let mut balancer = self.gateway.balancer();
         balancer.end(self.choice.key, waiting_tokens, held_ms);
         if !self.has_response_head {
-            balancer.note_unanswered(self.choice.key, self.at_us);
+            balancer.record_unanswered(self.choice.key, self.at_us);
         }
         drop(balancer);
         self.gateway.reconsider();
@@ -285,8 +287,8 @@
         let now_us = gateway.clock.now_us();
         gateway
             .balancer()
-            .picture_mut()
-            .report(now_us, in_flight.choice.key, load);
+            .load_view_mut()
+            .record_load_report(now_us, in_flight.choice.key, load);
     }
     Ok(EndpointResponse {
         response,
@@ -314,7 +316,7 @@
     EndpointConnection::open(addr).await.map_err(|_| {
         let now_us = gateway.clock.now_us();
         let mut balancer = gateway.balancer();
-        balancer.learn(in_flight.choice.key, |s| s.unreachable(now_us));
+        balancer.update_speed(in_flight.choice.key, |s| s.record_unreachable(now_us));
         AttemptError::NotSent("unreachable")
     })
 }
--- a/src/gateway/caller_timeouts.rs
+++ b/src/gateway/caller_timeouts.rs
@@ -11,7 +11,7 @@
 use std::collections::{HashMap, VecDeque};
 
 use crate::{
-    balance::balancer::come_back_ms,
+    balance::balancer::retry_delay_ms,
     prelude::{Micros, Name},
 };
 
@@ -54,7 +54,7 @@
         let Some(longest_us) = sorted.len().checked_sub(2).map(|at| sorted[at]) else {
             return;
         };
-        let retry_after_us = u64::from(come_back_ms(longest_us)) * 1_000;
+        let retry_after_us = u64::from(retry_delay_ms(longest_us)) * 1_000;
         let min_first_us = longest_us.saturating_sub(retry_after_us);
         let misclassified = sorted.iter().take_while(|us| **us < min_first_us).count();
         let is_separable = sorted.len() >= MIN_FIRST_ATTEMPTS
--- a/src/gateway/crash_check.rs
+++ b/src/gateway/crash_check.rs
@@ -16,7 +16,7 @@
 use tokio::{net::TcpStream, sync::watch, time};
 
 use crate::{
-    balance::{balancer::Choice, load::EndpointKey, standing::Standing},
+    balance::{balancer::Choice, load::EndpointKey, readiness::Readiness},
     gateway::{attempt::Job, protocol::Protocol, report::log_ending, state::Gateway},
     prelude::Micros,
 };
@@ -133,7 +133,7 @@
 async fn probe<P: Protocol>(gateway: &Gateway<P>, key: EndpointKey, addr: SocketAddr) -> Verdict {
     // An endpoint that has announced its leave, or is no longer listed, stops as planned.
     let now_us = gateway.clock.now_us();
-    if gateway.balancer().standing(now_us, key) == Standing::Leaves {
+    if gateway.balancer().readiness(now_us, key) == Readiness::Leaving {
         return Verdict::Alive;
     }
     let mut refusals = 0;
@@ -146,7 +146,7 @@
             Ok(Err(_)) | Err(_) => continue,
         }
         // A request whose caller does not read still counts as in flight, so refusals of all probes decide as well.
-        let has_own_requests = gateway.balancer().picture().own_requests(key) > 0;
+        let has_own_requests = gateway.balancer().load_view().own_requests(key) > 0;
         if !has_own_requests || refusals == PROBE_DELAYS.len() {
             return Verdict::Crashed;
         }
--- a/src/gateway/endpoint_announcements.rs
+++ b/src/gateway/endpoint_announcements.rs
@@ -50,7 +50,7 @@
     at_us: Micros,
 ) -> u32 {
     let mut balancer = gateway.balancer();
-    balancer.note_sent(at_us, key);
+    balancer.record_sent(at_us, key);
     if balancer.rate(at_us, key).is_some() {
         gateway.metrics.sent_to_limited.inc();
     }
@@ -77,20 +77,23 @@
         BackOffHeader::Period(back_off_us) => handle_back_off(gateway, &sent.choice, *back_off_us),
         BackOffHeader::Unreadable(text) => {
             gateway.metrics.rest_words_unreadable.inc();
-            if gateway.balancer().note_unreadable_rest(sent.choice.key) {
+            if gateway
+                .balancer()
+                .record_unreadable_backoff(sent.choice.key)
+            {
                 log_unreadable("endpoint_rest_unreadable", &sent.choice.id, text);
             }
         }
         BackOffHeader::None => {
             let mut balancer = gateway.balancer();
-            balancer.note_answered(sent.choice.key, sent.at_us);
+            balancer.record_answered(sent.choice.key, sent.at_us);
         }
     }
 }
 
 fn handle_leaving<P: Protocol>(gateway: &Gateway<P>, choice: &Choice) {
     let now_us = gateway.clock.now_us();
-    if gateway.balancer().heard_leaving(now_us, choice.key) {
+    if gateway.balancer().record_leaving(now_us, choice.key) {
         log_leaving(&choice.id, "endpoint");
     }
 }
@@ -101,7 +104,7 @@
     let instances = gateway.sharers().all;
     let draw = rand::rng().random_range(0.0..1.0);
     let mut balancer = gateway.balancer();
-    let is_new = balancer.heard_rest(now_us, choice.key, back_off_us, instances, draw);
+    let is_new = balancer.record_backoff(now_us, choice.key, back_off_us, instances, draw);
     drop(balancer);
     if is_new {
         log::info!(
@@ -125,14 +128,14 @@
     let change = match &head.words.limit {
         LimitHeader::Unreadable(text) => {
             gateway.metrics.limit_words_unreadable.inc();
-            if balancer.note_unreadable_limit(choice.key) {
+            if balancer.record_unreadable_limit(choice.key) {
                 log_unreadable("endpoint_limit_unreadable", &choice.id, text);
             }
             return;
         }
         // An unsigned answer may be corrupted: the absence of the header in it does not end a limit.
         LimitHeader::Absent if !head.is_signed => return,
-        header => balancer.heard_limit(now_us, choice.key, sent.limit_version, header),
+        header => balancer.record_limit(now_us, choice.key, sent.limit_version, header),
     };
     let version = balancer.standings().version(choice.key);
     drop(balancer);
@@ -148,7 +151,7 @@
     }
     let now_us = gateway.clock.now_us();
     let mut balancer = gateway.balancer();
-    let changes = balancer.told_standings(now_us, updates);
+    let changes = balancer.apply_peer_standings(now_us, updates);
     let lines = changes.into_iter().filter_map(|change| {
         let endpoint = change.endpoint();
         let id = balancer.entry(endpoint)?.id.clone();
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -194,7 +194,9 @@
         None => TIMEOUT_BACKOFF_US,
     };
     let until_us = gateway.clock.now_us() + wait_us;
-    gateway.balancer().note_no_permit(endpoint, rank, until_us);
+    gateway
+        .balancer()
+        .record_permit_denial(endpoint, rank, until_us);
     false
 }
 
@@ -209,8 +211,8 @@
     let now_us = gateway.clock.now_us();
     let (limit, cold_us) = {
         let balancer = gateway.balancer();
-        let limit = balancer.told_standing(now_us, endpoint);
-        (limit, balancer.cold_us(now_us, endpoint))
+        let limit = balancer.standing_to_send(now_us, endpoint);
+        (limit, balancer.remaining_cold_us(now_us, endpoint))
     };
     let message = DirectMessage::Permits(PermitMessage::Ask {
         limit,
@@ -253,7 +255,7 @@
             let endpoint = limit.endpoint;
             if cold_us > 0 {
                 let now_us = gateway.clock.now_us();
-                gateway.balancer().note_cold(now_us, endpoint, cold_us);
+                gateway.balancer().mark_cold(now_us, endpoint, cold_us);
             }
             let permit = match gateway.permits.issuer(endpoint) {
                 Some(Issuer::Local) => issue(gateway, endpoint, rank),
@@ -262,7 +264,7 @@
                 },
             };
             let now_us = gateway.clock.now_us();
-            let limit = gateway.balancer().told_standing(now_us, endpoint);
+            let limit = gateway.balancer().standing_to_send(now_us, endpoint);
             let answer = DirectMessage::Permits(PermitMessage::Answer { limit, permit });
             channel.send(from, number, answer).await;
         }
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -5,10 +5,10 @@
 
 use crate::{
     balance::{
-        balancer::{BUSY, ENDPOINT_LIMITS, Placement, WaitKey, refused},
-        cost::Ask,
+        balancer::{BUSY, ENDPOINT_LIMITS, Placement, WaitKey, refuse_for_capacity},
+        cost::PlacementRequest,
         load::EndpointKey,
-        standing::back_ms,
+        readiness::retry_delay_until_ms,
     },
     gateway::{
         permits,
@@ -30,11 +30,11 @@
 
 impl<P: Protocol> Gateway<P> {
     /// Chooses an endpoint for a request that is not in `tried`, waiting for a free slot if needed.
-    pub async fn place(&self, ask: &Ask, tried: &[EndpointKey]) -> Placement {
+    pub async fn place(&self, ask: &PlacementRequest, tried: &[EndpointKey]) -> Placement {
         self.endpoints_settled().await;
         self.evacuations_settled().await;
         let now_us = self.clock.now_us();
-        let refusal = self.balancer().refuse_at_rest(now_us, ask);
+        let refusal = self.balancer().refuse_while_backing_off(now_us, ask);
         if let Some(refusal) = refusal {
             return refusal;
         }
@@ -46,9 +46,13 @@
 
     /// Requests a reservation from the instance that assigns slots at the hall's endpoints. Returns `None` if there is
     /// no such instance, it does not answer in time, or its choice cannot be used here.
-    async fn reserve_place(&self, ask: &Ask, tried: &[EndpointKey]) -> Option<Placement> {
+    async fn reserve_place(
+        &self,
+        ask: &PlacementRequest,
+        tried: &[EndpointKey],
+    ) -> Option<Placement> {
         // A reservation request does not carry the regions in which the request may be served.
-        if !ask.is_stream || ask.homes.are_named() {
+        if !ask.is_stream || ask.homes.is_restricted() {
             return None;
         }
         let issuer = self.reserver.issuer(self.clock.now_us())?;
@@ -77,14 +81,18 @@
     /// Returns the Retry-After, in milliseconds, of a request that endpoints of `service` rejected.
     pub fn retry_after_rejections_ms(&self, service: &Name) -> u32 {
         let now_us = self.clock.now_us();
-        let retry_at_us = self.balancer().first_back_us(now_us, service);
+        let retry_at_us = self.balancer().earliest_available_us(now_us, service);
         retry_at_us.map_or(REJECTED_RETRY_AFTER_MS, |retry_at_us| {
-            back_ms(now_us, retry_at_us)
+            retry_delay_until_ms(now_us, retry_at_us)
         })
     }
 
     /// Applies the reservation or refusal of another instance; returns `None` if its endpoint cannot be used here.
-    fn apply_reservation_reply(&self, ask: &Ask, reply: ReservationReply) -> Option<Placement> {
+    fn apply_reservation_reply(
+        &self,
+        ask: &PlacementRequest,
+        reply: ReservationReply,
+    ) -> Option<Placement> {
         let now_us = self.clock.now_us();
         match reply {
             ReservationReply::Granted {
@@ -97,19 +105,25 @@
                     // The other instance does not know yet that this endpoint limits its request rate.
                     return None;
                 }
-                balancer.take_place(now_us, ask, key, expected)
+                balancer.place_granted(now_us, ask, key, expected)
+            }
+            ReservationReply::Refused => Some(refuse_for_capacity(now_us, ask, BUSY)),
+            ReservationReply::OverEndpointLimits => {
+                Some(refuse_for_capacity(now_us, ask, ENDPOINT_LIMITS))
             }
-            ReservationReply::Refused => Some(refused(now_us, ask, BUSY)),
-            ReservationReply::OverEndpointLimits => Some(refused(now_us, ask, ENDPOINT_LIMITS)),
         }
     }
 
     /// Acquires a permit if the best endpoint for a request limits its request rate, trying several such endpoints in
     /// turn.
-    async fn acquire_permit(&self, ask: &Ask, tried: &[EndpointKey]) -> Option<EndpointKey> {
+    async fn acquire_permit(
+        &self,
+        ask: &PlacementRequest,
+        tried: &[EndpointKey],
+    ) -> Option<EndpointKey> {
         for _ in 0..MAX_PERMIT_REQUESTS {
             let now_us = self.clock.now_us();
-            let candidate = self.balancer().wanted_permit(now_us, ask, tried)?;
+            let candidate = self.balancer().permit_candidate(now_us, ask, tried)?;
             if permits::acquire(self, candidate, ask.rank).await {
                 return Some(candidate);
             }
@@ -118,10 +132,12 @@
     }
 
     /// Chooses an endpoint from this instance's own view, waiting for a free slot if needed.
-    pub async fn place_locally(&self, ask: &Ask, tried: &[EndpointKey]) -> Placement {
+    pub async fn place_locally(&self, ask: &PlacementRequest, tried: &[EndpointKey]) -> Placement {
         let permit = self.acquire_permit(ask, tried).await;
         let now_us = self.clock.now_us();
-        let placement = self.balancer().place_with(now_us, ask, tried, permit);
+        let placement = self
+            .balancer()
+            .place_with_permit(now_us, ask, tried, permit);
         if let Some(permit) = permit.filter(|permit| !is_sent_to(&placement, *permit)) {
             permits::release(self, permit).await;
         }
@@ -132,7 +148,7 @@
     }
 
     /// Queues a request until it gets a slot or the balancer refuses it.
-    pub async fn wait_for_place(&self, ask: &Ask) -> Placement {
+    pub async fn wait_for_place(&self, ask: &PlacementRequest) -> Placement {
         let (sender, receiver) = oneshot::channel();
         let key = self.balancer().enqueue(ask.clone());
         lock(&self.waiters).insert(key, sender);
--- a/src/gateway/reservation_client.rs
+++ b/src/gateway/reservation_client.rs
@@ -24,11 +24,11 @@
 
 use crate::{
     balance::{
-        balancer::hold_us,
-        cost::{Ask, Expected},
-        homes::Homes,
+        balancer::max_wait_us,
+        cost::{Expected, PlacementRequest},
         load::EndpointKey,
         prefixes::ChainKey,
+        regions::AllowedRegions,
     },
     clock::Clock,
     gateway::permits::PermitMessage,
@@ -50,34 +50,34 @@
 /// A request for a reservation. Times are relative to the time of sending, since the instances' clocks differ.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReservationRequest {
-    /// As in [`Ask::service`].
+    /// As in [`PlacementRequest::service`].
     pub service: Name,
-    /// As in [`Ask::prompt_tokens`].
+    /// As in [`PlacementRequest::prompt_tokens`].
     pub prompt_tokens: u32,
-    /// As in [`Ask::chains`].
+    /// As in [`PlacementRequest::chains`].
     pub chains: Vec<(ChainKey, u32)>,
-    /// As in [`Ask::output_events`].
+    /// As in [`PlacementRequest::output_events`].
     pub output_events: f32,
-    /// As in [`Ask::target_us`].
+    /// As in [`PlacementRequest::target_us`].
     pub target_us: Micros,
-    /// Time since [`Ask::arrived_us`].
+    /// Time since [`PlacementRequest::arrived_us`].
     pub spent_us: Micros,
-    /// As in [`Ask::waited_us`].
+    /// As in [`PlacementRequest::waited_us`].
     pub waited_us: Micros,
-    /// Time until [`Ask::deadline_us`].
+    /// Time until [`PlacementRequest::deadline_us`].
     pub left_us: Micros,
-    /// As in [`Ask::rank`].
+    /// As in [`PlacementRequest::rank`].
     pub rank: Rank,
-    /// As in [`Ask::other_hall_cost`].
+    /// As in [`PlacementRequest::other_hall_cost`].
     pub other_hall_cost: f32,
-    /// As in [`Ask::draw`].
+    /// As in [`PlacementRequest::draw`].
     pub draw: u64,
     /// Endpoints that must not be chosen.
     pub tried: Vec<EndpointKey>,
 }
 
 impl ReservationRequest {
-    fn new(now_us: Micros, request: &Ask, tried: &[EndpointKey]) -> Self {
+    fn new(now_us: Micros, request: &PlacementRequest, tried: &[EndpointKey]) -> Self {
         Self {
             service: request.service.clone(),
             prompt_tokens: request.prompt_tokens,
@@ -95,8 +95,8 @@
     }
 
     /// Converts to times by the receiver's clock; returns the placement request and the endpoints not to choose.
-    pub fn into_placement_request(self, now_us: Micros) -> (Ask, Vec<EndpointKey>) {
-        let request = Ask {
+    pub fn into_placement_request(self, now_us: Micros) -> (PlacementRequest, Vec<EndpointKey>) {
+        let request = PlacementRequest {
             service: self.service,
             is_stream: true,
             prompt_tokens: self.prompt_tokens,
@@ -108,7 +108,7 @@
             deadline_us: now_us + self.left_us,
             rank: self.rank,
             other_hall_cost: f64::from(self.other_hall_cost),
-            homes: Homes::default(),
+            homes: AllowedRegions::default(),
             draw: self.draw,
         };
         (request, self.tried)
@@ -255,7 +255,7 @@
         &self,
         clock: Clock,
         issuer: IpAddr,
-        request: &Ask,
+        request: &PlacementRequest,
         tried: &[EndpointKey],
     ) -> Option<ReservationReply> {
         let channel = self.channel.get()?;
@@ -264,7 +264,7 @@
         let message = DirectMessage::Ask(Box::new(ReservationRequest::new(now_us, request, tried)));
         channel.send(issuer, pending.number, message).await;
         let held_us = now_us.saturating_sub(request.arrived_us);
-        let hold = Duration::from_micros(hold_us(request).saturating_sub(held_us));
+        let hold = Duration::from_micros(max_wait_us(request).saturating_sub(held_us));
         let mut until = Instant::now() + FIRST_ANSWER_TIMEOUT;
         loop {
             match time::timeout_at(until, pending.messages.recv()).await {
--- a/src/gateway/reservation_server.rs
+++ b/src/gateway/reservation_server.rs
@@ -95,7 +95,7 @@
     let Some(channel) = gateway.reserver.channel() else {
         return;
     };
-    if !gateway.balancer().picture().is_ledger() {
+    if !gateway.balancer().load_view().is_hall_aggregator() {
         channel.send(from, number, DirectMessage::Unable).await;
         return;
     }
@@ -104,7 +104,7 @@
     let now_us = gateway.clock.now_us();
     let needs_permit = gateway
         .balancer()
-        .wanted_permit(now_us, &request, &tried)
+        .permit_candidate(now_us, &request, &tried)
         .is_some();
     if !needs_permit {
         let placement = gateway.balancer().place(now_us, &request, &tried);
@@ -139,7 +139,7 @@
         Placement::Send(choice) => {
             let now_us = gateway.clock.now_us();
             let mut balancer = gateway.balancer();
-            balancer.hand_over(now_us, &choice, requester, number);
+            balancer.grant_to_peer(now_us, &choice, requester, number);
             DirectMessage::Decided(ReservationReply::Granted {
                 key: choice.key,
                 expected: choice.expected,
--- a/src/gateway/send_check.rs
+++ b/src/gateway/send_check.rs
@@ -4,7 +4,7 @@
 //! A request waits for a connection after its endpoint was chosen, and the state of the endpoint may change meanwhile.
 
 use crate::{
-    balance::{load::EndpointKey, standing::Standing},
+    balance::{load::EndpointKey, readiness::Readiness},
     gateway::{protocol::Protocol, staleness::Standing as Staleness, state::Gateway},
 };
 
@@ -29,12 +29,12 @@
             return Err(ENDPOINT_EVACUATED);
         }
         let now_us = self.clock.now_us();
-        match self.balancer().standing(now_us, key) {
-            Standing::Leaves => Err(ENDPOINT_LEFT),
-            Standing::Evacuated => Err(ENDPOINT_EVACUATED),
-            Standing::RestsUntil(_) => Err(ENDPOINT_RESTS),
+        match self.balancer().readiness(now_us, key) {
+            Readiness::Leaving => Err(ENDPOINT_LEFT),
+            Readiness::Evacuated => Err(ENDPOINT_EVACUATED),
+            Readiness::BackoffUntil(_) => Err(ENDPOINT_RESTS),
             // If a permit was needed, it was acquired when the endpoint was chosen.
-            Standing::Serves | Standing::NeedsPermit => Ok(()),
+            Readiness::Ready | Readiness::NeedsPermit => Ok(()),
         }
     }
 }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -305,7 +305,7 @@
             let gap_ms = gap_us as f64 / 1e3;
             let per_event = gap_ms / f64::from(count.max(1));
             let mut balancer = self.gateway.balancer();
-            balancer.event(upstream.in_flight.choice.key, per_event);
+            balancer.record_event_gap(upstream.in_flight.choice.key, per_event);
         }
         upstream.events_seen += count;
         upstream.last_event_us = now_us;
--- a/tests/edge/endpoint_limits.rs
+++ b/tests/edge/endpoint_limits.rs
@@ -283,7 +283,7 @@
         let instance = Instance::start(place).await;
         for id in ["one", "other"] {
             let seen = endpoint(id);
-            instance.gateway.balancer().endpoint_seen(seen, 1);
+            instance.gateway.balancer().upsert_endpoint(seen, 1);
         }
         all.push(instance);
     }
@@ -303,7 +303,7 @@
         let now_us = all[instance].gateway.clock.now_us();
         assert!(
             balancer
-                .heard_limit(now_us, key(), version, &header)
+                .record_limit(now_us, key(), version, &header)
                 .is_some()
         );
     };
@@ -356,7 +356,7 @@
     // The announcement that an endpoint leaves is passed on in the same way.
     let announced = Instant::now();
     let now_us = all[9].gateway.clock.now_us();
-    assert!(all[9].gateway.balancer().heard_leaving(now_us, key()));
+    assert!(all[9].gateway.balancer().record_leaving(now_us, key()));
     let leaves = |i: &Instance| i.gateway.balancer().standings().leaves(key());
     until("all to know that the endpoint leaves", || {
         all.iter().all(leaves)
--- a/tests/edge/reservations.rs
+++ b/tests/edge/reservations.rs
@@ -7,7 +7,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use ryevalve::{
-    balance::{balancer::Placement, cost::Ask, discovery::EndpointEntry},
+    balance::{balancer::Placement, cost::PlacementRequest, discovery::EndpointEntry},
     prelude::Name,
 };
 use tokio::time::{self, Instant};
@@ -18,9 +18,9 @@
 const ENDPOINTS: usize = 12;
 const SLOTS: u32 = 3;
 
-fn stream(instance: &Instance, number: u64) -> Ask {
+fn stream(instance: &Instance, number: u64) -> PlacementRequest {
     let ask = group::ask(instance.gateway.clock.now_us());
-    Ask {
+    PlacementRequest {
         is_stream: true,
         output_events: 20.0,
         target_us: 800_000,
@@ -49,14 +49,15 @@
                 slots: SLOTS,
                 ..endpoint(&format!("e{number}"))
             };
-            instance.gateway.balancer().endpoint_seen(entry, 1);
+            instance.gateway.balancer().upsert_endpoint(entry, 1);
         }
         instances.push(instance);
     }
     until(
         "all to report to the two instances that assign slots",
         || {
-            let assigns_slots = |i: &&Instance| i.gateway.balancer().picture().is_ledger();
+            let assigns_slots =
+                |i: &&Instance| i.gateway.balancer().load_view().is_hall_aggregator();
             let reports_arrive = instances
                 .iter()
                 .all(|i| i.gateway.sharers().heard == INSTANCES);
@@ -108,11 +109,11 @@
 async fn losing_the_reserving_instances_delays_placement_by_milliseconds() {
     let mut instances = start(15).await;
     for instance in &mut instances {
-        if instance.gateway.balancer().picture().is_ledger() {
+        if instance.gateway.balancer().load_view().is_hall_aggregator() {
             instance.stop();
         }
     }
-    instances.retain(|i| !i.gateway.balancer().picture().is_ledger());
+    instances.retain(|i| !i.gateway.balancer().load_view().is_hall_aggregator());
     let started = Instant::now();
     let placed = place_surge(&instances).await;
     let took = started.elapsed();
@@ -121,7 +122,7 @@
     let is_replaced = || {
         instances
             .iter()
-            .any(|i| i.gateway.balancer().picture().is_ledger())
+            .any(|i| i.gateway.balancer().load_view().is_hall_aggregator())
     };
     until("others to assign slots", is_replaced).await;
 }
--- a/tests/gateway/endpoint_rests.rs
+++ b/tests/gateway/endpoint_rests.rs
@@ -7,7 +7,7 @@
         balancer::{Balancer, Placement},
         discovery::EndpointEntry,
         load::EndpointKey,
-        standing::{ENDPOINTS_REST, Standing},
+        readiness::{ENDPOINTS_BACKING_OFF, Readiness},
     },
     limits::{
         back_off::{BackOff, BackOffs},
@@ -184,9 +184,9 @@
 fn balancer(ids: &[&str]) -> Balancer {
     let mut balancer = Balancer::new("here".into());
     for id in ids {
-        balancer.endpoint_seen(entry(id, "here", 4), 1);
+        balancer.upsert_endpoint(entry(id, "here", 4), 1);
     }
-    balancer.endpoints_reached(1);
+    balancer.advance_endpoints_revision(1);
     balancer
 }
 
@@ -195,22 +195,22 @@
     let mut balancer = balancer(&["a", "b", "c"]);
     let ask = ask(1, 100, 0, SECOND);
     for (id, period_us) in [("a", 3 * SECOND), ("b", 2 * SECOND), ("c", 0)] {
-        assert!(balancer.refuse_at_rest(SECOND, &ask).is_none());
-        balancer.heard_rest(SECOND, entry(id, "here", 4).key(), period_us, 1, 0.0);
+        assert!(balancer.refuse_while_backing_off(SECOND, &ask).is_none());
+        balancer.record_backoff(SECOND, entry(id, "here", 4).key(), period_us, 1, 0.0);
     }
-    balancer.heard_leaving(SECOND, entry("c", "here", 4).key());
+    balancer.record_leaving(SECOND, entry("c", "here", 4).key());
     let later = crate::support::ask(2, 100, 0, 3 * SECOND);
     assert_matches!(
         balancer.place(SECOND, &ask, &[]),
         Placement::Refuse {
-            reason: ENDPOINTS_REST,
+            reason: ENDPOINTS_BACKING_OFF,
             retry_after_ms: 2_000
         }
     );
     assert_matches!(
-        balancer.refuse_at_rest(SECOND, &ask),
+        balancer.refuse_while_backing_off(SECOND, &ask),
         Some(Placement::Refuse {
-            reason: ENDPOINTS_REST,
+            reason: ENDPOINTS_BACKING_OFF,
             retry_after_ms: 2_000
         })
     );
@@ -221,7 +221,7 @@
 fn back_offs_do_not_set_the_retry_time_where_an_endpoint_serves_and_was_tried() {
     let mut balancer = balancer(&["a", "b"]);
     let (a, b) = (entry("a", "here", 4).key(), entry("b", "here", 4).key());
-    balancer.heard_rest(SECOND, a, 100 * SECOND, 1, 0.0);
+    balancer.record_backoff(SECOND, a, 100 * SECOND, 1, 0.0);
     let placement = balancer.place(SECOND, &ask(1, 100, 0, SECOND), &[b]);
     assert_matches!(placement, Placement::Refuse { retry_after_ms, .. } if retry_after_ms < 1_000);
 }
@@ -230,20 +230,23 @@
 fn a_back_off_applies_to_an_entry_that_returns_and_not_to_a_later_start() {
     let mut balancer = balancer(&["a"]);
     let first = entry("a", "here", 4);
-    balancer.heard_rest(SECOND, first.key(), PERIOD_US, 1, 0.0);
-    balancer.endpoint_removed(2 * SECOND, "a", 2);
+    balancer.record_backoff(SECOND, first.key(), PERIOD_US, 1, 0.0);
+    balancer.remove_endpoint(2 * SECOND, "a", 2);
     balancer.tick(2 * SECOND);
-    balancer.endpoint_seen(first.clone(), 3);
+    balancer.upsert_endpoint(first.clone(), 3);
     assert_eq!(
-        balancer.standing(2 * SECOND, first.key()),
-        Standing::RestsUntil(4 * SECOND)
+        balancer.readiness(2 * SECOND, first.key()),
+        Readiness::BackoffUntil(4 * SECOND)
     );
     let later = EndpointEntry {
         born_ms: 7,
         ..first
     };
-    balancer.endpoint_seen(later.clone(), 4);
-    assert_eq!(balancer.standing(2 * SECOND, later.key()), Standing::Serves);
+    balancer.upsert_endpoint(later.clone(), 4);
+    assert_eq!(
+        balancer.readiness(2 * SECOND, later.key()),
+        Readiness::Ready
+    );
 }
 
 #[test]
@@ -253,10 +256,10 @@
     let Placement::Send(choice) = balancer.place(SECOND, &ask, &[]) else {
         panic!("a place");
     };
-    balancer.heard_rest(SECOND, choice.key, PERIOD_US, 1, 0.0);
+    balancer.record_backoff(SECOND, choice.key, PERIOD_US, 1, 0.0);
     assert!(
         balancer
-            .take_place(SECOND, &ask, choice.key, choice.expected)
+            .place_granted(SECOND, &ask, choice.key, choice.expected)
             .is_none()
     );
 }
@@ -278,14 +281,14 @@
 fn back_offs_requested_from_others_are_a_sign_of_load() {
     let (mut notified, mut other) = (balancer(&["a", "b"]), balancer(&["a", "b"]));
     let key = entry("a", "here", 4).key();
-    notified.heard_rest(SECOND, key, PERIOD_US, 7, 0.0);
-    assert!(notified.take_standing_news());
-    let updates = notified.take_told_standings(SECOND, Audience::Peers);
+    notified.record_backoff(SECOND, key, PERIOD_US, 7, 0.0);
+    assert!(notified.take_standings_changed());
+    let updates = notified.take_standings_to_send(SECOND, Audience::Peers);
     assert_eq!(updates[0].rest_ms, 3_000);
-    other.told_standings(SECOND, &updates);
+    other.apply_peer_standings(SECOND, &updates);
     assert_eq!(
-        other.standing(SECOND, key),
-        Standing::Serves,
+        other.readiness(SECOND, key),
+        Readiness::Ready,
         "the back-off does not bind it"
     );
     let elsewhere = placed_before(&mut other, "a");
@@ -296,7 +299,7 @@
     let mut without_updates = balancer(&["a", "b"]);
     assert!(placed_before(&mut without_updates, "a") < 2);
     // It ends at the same moment for all, and updates on it carry the remaining time.
-    let later = other.take_told_standings(3 * SECOND, Audience::Peers);
+    let later = other.take_standings_to_send(3 * SECOND, Audience::Peers);
     assert_eq!(later[0].rest_ms, 1_000);
     assert!(other.standings().wants_back_off(4 * SECOND - 1, key));
     assert!(!other.standings().wants_back_off(4 * SECOND, key));
@@ -307,14 +310,14 @@
 fn a_known_back_off_causes_no_further_update() {
     let mut balancer = balancer(&["a"]);
     let key = entry("a", "here", 4).key();
-    balancer.heard_rest(SECOND, key, PERIOD_US, 7, 0.0);
-    assert!(balancer.take_standing_news());
+    balancer.record_backoff(SECOND, key, PERIOD_US, 7, 0.0);
+    assert!(balancer.take_standings_changed());
     for step in 1..4 {
-        balancer.heard_rest(SECOND + step * 100 * MS, key, PERIOD_US, 7, 0.0);
-        assert!(!balancer.take_standing_news());
+        balancer.record_backoff(SECOND + step * 100 * MS, key, PERIOD_US, 7, 0.0);
+        assert!(!balancer.take_standings_changed());
     }
-    balancer.heard_rest(2 * SECOND, key, PERIOD_US, 7, 0.0);
-    assert!(balancer.take_standing_news(), "another back-off");
+    balancer.record_backoff(2 * SECOND, key, PERIOD_US, 7, 0.0);
+    assert!(balancer.take_standings_changed(), "another back-off");
 }
 
 proptest! {
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -7,7 +7,7 @@
         balancer::{Balancer, Placement},
         discovery::EndpointEntry,
         load::EndpointKey,
-        standing::Standing,
+        readiness::Readiness,
     },
     limits::{announcements::AnnouncementUpdate, dissemination::Audience, rate::LimitHeader},
 };
@@ -27,14 +27,14 @@
 fn balancer(ids: &[&str]) -> Balancer {
     let mut balancer = Balancer::new("here".into());
     for id in ids {
-        balancer.endpoint_seen(entry_of_start(id, 1), 1);
+        balancer.upsert_endpoint(entry_of_start(id, 1), 1);
     }
-    balancer.endpoints_reached(1);
+    balancer.advance_endpoints_revision(1);
     balancer
 }
 
 fn due_updates(balancer: &mut Balancer, now_us: u64) -> Vec<AnnouncementUpdate> {
-    balancer.take_told_standings(now_us, Audience::Peers)
+    balancer.take_standings_to_send(now_us, Audience::Peers)
 }
 
 fn chosen(balancer: &mut Balancer, now_us: u64, draw: u64) -> Option<EndpointKey> {
@@ -53,8 +53,8 @@
     let mut balancer = balancer(&["a", "b"]);
     for id in ["a", "b"] {
         let key = entry_of_start(id, 1).key();
-        assert!(balancer.heard_leaving(SECOND, key));
-        assert!(!balancer.heard_leaving(SECOND, key), "already known");
+        assert!(balancer.record_leaving(SECOND, key));
+        assert!(!balancer.record_leaving(SECOND, key), "already known");
     }
     let placement = balancer.place(SECOND, &ask(1, 100, 0, SECOND), &[]);
     assert_matches!(placement, Placement::Refuse { retry_after_ms, .. } if retry_after_ms >= 100);
@@ -64,21 +64,21 @@
 #[test]
 fn a_later_start_and_another_id_at_the_same_address_serve_at_once() {
     let mut balancer = balancer(&["a"]);
-    balancer.heard_leaving(SECOND, entry_of_start("a", 1).key());
+    balancer.record_leaving(SECOND, entry_of_start("a", 1).key());
     assert_eq!(chosen(&mut balancer, SECOND, 1), None);
-    balancer.endpoint_seen(entry_of_start("a", 2), 2);
+    balancer.upsert_endpoint(entry_of_start("a", 2), 2);
     assert_eq!(
         chosen(&mut balancer, SECOND, 2),
         Some(entry_of_start("a", 2).key())
     );
 
     let mut other = self::balancer(&["a"]);
-    other.heard_leaving(SECOND, entry_of_start("a", 1).key());
+    other.record_leaving(SECOND, entry_of_start("a", 1).key());
     let same_addr = EndpointEntry {
         addr: entry_of_start("a", 1).addr,
         ..entry_of_start("b", 1)
     };
-    other.endpoint_seen(same_addr.clone(), 2);
+    other.upsert_endpoint(same_addr.clone(), 2);
     assert_eq!(chosen(&mut other, SECOND, 3), Some(same_addr.key()));
 }
 
@@ -89,20 +89,20 @@
     let Placement::Send(choice) = balancer.place(SECOND, &ask, &[]) else {
         panic!("a place");
     };
-    balancer.heard_leaving(SECOND, choice.key);
-    let placed = balancer.take_place(SECOND, &ask, choice.key, choice.expected);
+    balancer.record_leaving(SECOND, choice.key);
+    let placed = balancer.place_granted(SECOND, &ask, choice.key, choice.expected);
     assert!(placed.is_none(), "{placed:?}");
-    assert_eq!(balancer.standing(SECOND, choice.key), Standing::Leaves);
+    assert_eq!(balancer.readiness(SECOND, choice.key), Readiness::Leaving);
 }
 
 #[test]
 fn a_full_table_evicts_unlisted_starts_first() {
     let mut balancer = balancer(&["a", "b"]);
     let key = entry_of_start("a", 1).key();
-    balancer.heard_leaving(SECOND, key);
+    balancer.record_leaving(SECOND, key);
     for number in 0..STARTS {
         let now_us = SECOND + u64::from(number) * MS;
-        balancer.heard_leaving(now_us, EndpointKey(number));
+        balancer.record_leaving(now_us, EndpointKey(number));
         if number % 100 == 0 {
             balancer.tick(now_us);
         }
@@ -111,38 +111,40 @@
         balancer.standings().leaving() < STARTS as usize,
         "the table is bounded"
     );
-    assert_eq!(balancer.standing(20 * SECOND, key), Standing::Leaves);
+    assert_eq!(balancer.readiness(20 * SECOND, key), Readiness::Leaving);
 }
 
 #[test]
 fn it_is_sent_while_the_endpoint_is_listed_and_to_instances_that_do_not_know_it() {
     let (mut one, mut other) = (balancer(&["a", "b"]), balancer(&["a", "b"]));
     let key = entry_of_start("a", 1).key();
-    one.heard_leaving(SECOND, key);
-    assert!(one.take_standing_news());
+    one.record_leaving(SECOND, key);
+    assert!(one.take_standings_changed());
     let first_updates = due_updates(&mut one, SECOND);
-    assert_eq!(other.told_standings(SECOND, &first_updates).len(), 1);
+    assert_eq!(other.apply_peer_standings(SECOND, &first_updates).len(), 1);
     assert!(
-        other.told_standings(SECOND, &first_updates).is_empty(),
+        other
+            .apply_peer_standings(SECOND, &first_updates)
+            .is_empty(),
         "already known"
     );
-    assert_eq!(other.standing(SECOND, key), Standing::Leaves);
+    assert_eq!(other.readiness(SECOND, key), Readiness::Leaving);
     // It is still sent to instances that start much later.
     while !due_updates(&mut one, SECOND).is_empty() {}
     assert_eq!(due_updates(&mut one, 100 * SECOND), first_updates);
     // An instance that requests a permit and does not know it receives an update.
     let later = balancer(&["a", "b"]);
-    let update = later.told_standing(SECOND, key);
+    let update = later.standing_to_send(SECOND, key);
     assert!(!update.leaves);
-    one.heard_limit(
+    one.record_limit(
         SECOND,
         key,
         0,
         &LimitHeader::Rate(ryevalve::limits::rate::RequestRate::parse("2").expect("a rate")),
     );
-    one.told_standings(101 * SECOND, &[update]);
-    assert!(one.take_standing_news());
-    assert!(one.told_standing(101 * SECOND, key).leaves);
+    one.apply_peer_standings(101 * SECOND, &[update]);
+    assert!(one.take_standings_changed());
+    assert!(one.standing_to_send(101 * SECOND, key).leaves);
 }
 
 proptest! {
@@ -155,7 +157,7 @@
         let key = entry_of_start("a", 1).key();
         let mut now_us = SECOND;
         let mut revision = 2;
-        both[0].heard_leaving(now_us, key);
+        both[0].record_leaving(now_us, key);
         let mut knows = [true, false];
         for (event, index, delay_ms) in steps {
             now_us += delay_ms * MS;
@@ -163,29 +165,29 @@
             let balancer = &mut both[index];
             match event {
                 // The entry is rewritten as ready, removed, or expires; the list is rebuilt with or without it.
-                0 | 1 => { balancer.endpoint_seen(entry_of_start("a", 1), revision); }
-                2 => { balancer.endpoint_removed(now_us, "a", revision); }
-                3 => balancer.store_was_away(now_us),
-                4 => { balancer.endpoints_listed(now_us, revision, |id| id == "b"); }
-                5 => { balancer.endpoints_listed(now_us, revision, |_| true); }
+                0 | 1 => { balancer.upsert_endpoint(entry_of_start("a", 1), revision); }
+                2 => { balancer.remove_endpoint(now_us, "a", revision); }
+                3 => balancer.store_was_unreachable(now_us),
+                4 => { balancer.retain_listed_endpoints(now_us, revision, |id| id == "b"); }
+                5 => { balancer.retain_listed_endpoints(now_us, revision, |_| true); }
                 // A reordered response without the header.
-                6 => balancer.note_answered(key, now_us),
-                7 => { balancer.heard_limit(now_us, key, 0, &LimitHeader::Absent); }
+                6 => balancer.record_answered(key, now_us),
+                7 => { balancer.record_limit(now_us, key, 0, &LimitHeader::Absent); }
                 // The endpoints of the other instance are copied, and its updates are received.
                 8 => {
-                    let copy = both[1 - index].endpoints_since(both[index].endpoints_revision());
-                    both[index].take_endpoints(now_us, copy);
+                    let copy = both[1 - index].endpoints_delta_since(both[index].endpoints_revision());
+                    both[index].apply_endpoints_delta(now_us, copy);
                 }
                 _ => {
                     let updates = due_updates(&mut both[index], now_us);
-                    both[1 - index].told_standings(now_us, &updates);
+                    both[1 - index].apply_peer_standings(now_us, &updates);
                     knows[1 - index] |= updates.iter().any(|u| u.endpoint == key && u.leaves);
                 }
             }
             for (balancer, knows) in both.iter_mut().zip(knows) {
                 balancer.tick(now_us);
                 if knows {
-                    prop_assert_eq!(balancer.standing(now_us, key), Standing::Leaves);
+                    prop_assert_eq!(balancer.readiness(now_us, key), Readiness::Leaving);
                     prop_assert_ne!(chosen(balancer, now_us, now_us), Some(key));
                 }
             }
