--- a/src/core/endpoint.rs
+++ b/src/core/endpoint.rs
@@ -75,7 +75,7 @@
 
 /// What is granted, as far as an endpoint's belief needs it.
 #[derive(Clone, Copy, Debug)]
-pub struct Granted {
+pub struct GrantDetails {
     /// The request.
     pub id: RequestId,
     /// Its tier's order.
@@ -213,7 +213,7 @@
     }
 
     /// Enters a grant in the ledger.
-    pub fn grant(&mut self, now_us: Micros, granted: Granted) {
+    pub fn grant(&mut self, now_us: Micros, granted: GrantDetails) {
         self.drain(now_us);
         let rank = usize::from(granted.rank);
         let queue = self.queue_tokens(now_us, granted.rank);
@@ -232,7 +232,7 @@
     }
 
     /// Enters a request that an entry reports as running, after a change of leader.
-    pub fn adopt(&mut self, now_us: Micros, granted: Granted) {
+    pub fn adopt(&mut self, now_us: Micros, granted: GrantDetails) {
         let flight = Flight {
             queued_behind: true,
             first_seen: true,
@@ -241,7 +241,7 @@
         self.flights.insert(granted.id, flight);
     }
 
-    fn flight(&self, now_us: Micros, granted: Granted) -> Flight {
+    fn flight(&self, now_us: Micros, granted: GrantDetails) -> Flight {
         Flight {
             granted_us: now_us,
             rank: granted.rank,
--- a/src/core/interface.rs
+++ b/src/core/interface.rs
@@ -4,9 +4,9 @@
 
 use crate::core::{
     endpoint::{EndpointSpec, LoadReport},
-    length::SeenLength,
+    length::AnswerLength,
     prefix::CacheEvent,
-    shedding::LevelAsk,
+    shedding::LevelRequest,
     types::{Incarnation, Micros, Name, Rank, Registration, RequestId, RequestMeta, ShedReason},
 };
 
@@ -133,7 +133,7 @@
     Returned(RequestId),
     /// An entry did not follow an order under that registration; it says whether the request waits
     /// on. Under a later registration the order means nothing, and neither does this.
-    NotTaken(Registration, RequestId, bool),
+    OrderRejected(Registration, RequestId, bool),
     /// The first token was seen.
     FirstToken(RequestId),
     /// Output tokens and the time they took since the last such report.
@@ -141,17 +141,17 @@
     /// The request ended at the endpoint; `tokens` is the length of a whole answer.
     Finished(RequestId, Option<u32>),
     /// The length of an answer that was seen under an earlier leader.
-    Seen(SeenLength),
+    AnswerLength(AnswerLength),
     /// An endpoint's load.
     Load(Name, LoadReport),
     /// An endpoint's cache event.
     Cache(Name, CacheEvent),
     /// An endpoint failed; no new work until the time.
-    Suspect(Name, Micros),
+    Quarantine(Name, Micros),
     /// An instance's answer to a level ask.
-    Level(Incarnation, LevelAsk, bool),
+    LevelReply(Incarnation, LevelRequest, bool),
     /// An entry is gone with all it held.
-    Gone(Incarnation),
+    EntryRemoved(Incarnation),
 }
 
 /// What is to be done.
@@ -182,7 +182,7 @@
         chain: u64,
     },
     /// Ask every instance to hold a level.
-    Ask(LevelAsk),
+    RequestLevel(LevelRequest),
 }
 
 /// One waiting request, as the operators see it.
--- a/src/core/length.rs
+++ b/src/core/length.rs
@@ -8,7 +8,7 @@
 
 /// The length of one answer that was seen.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeenLength {
+pub struct AnswerLength {
     /// The organisation.
     pub organisation: Name,
     /// The tier's order.
@@ -101,7 +101,7 @@
     }
 
     /// Takes note of an answer's length.
-    pub fn observe(&mut self, seen: &SeenLength) {
+    pub fn observe(&mut self, seen: &AnswerLength) {
         let size = size_class(seen.prompt_tokens);
         let (rank, tokens) = (seen.rank, seen.output_tokens);
         let fine = (seen.organisation.clone(), rank, size);
--- a/src/core/scheduler.rs
+++ b/src/core/scheduler.rs
@@ -9,8 +9,8 @@
     Action, EndpointView, EventWindow, Input, OrgSpec, PolicySettings, PoolSpec, WaitingView,
 };
 use crate::core::{
-    endpoint::{EndpointModel, EndpointSpec, Granted, LoadReport},
-    length::{LengthModel, SeenLength},
+    endpoint::{EndpointModel, EndpointSpec, GrantDetails, LoadReport},
+    length::{AnswerLength, LengthModel},
     prefix::{CacheEvent, PrefixMap},
     queue::{OrderKey, OrgIndex, TierQueue},
     shedding::{self, LevelRound},
@@ -53,8 +53,8 @@
 }
 
 impl Tracked {
-    fn granted(&self, uncached_tokens: u32) -> Granted {
-        Granted {
+    fn granted(&self, uncached_tokens: u32) -> GrantDetails {
+        GrantDetails {
             id: self.meta.id,
             rank: self.meta.rank,
             deadline_us: self.deadline_us,
@@ -181,7 +181,7 @@
     }
 
     /// Sets the instances that must hold a level before a tier above the lowest is shed.
-    pub fn set_everyone(&mut self, everyone: Vec<Incarnation>) {
+    pub fn set_confirming_instances(&mut self, everyone: Vec<Incarnation>) {
         self.everyone = everyone;
     }
 
@@ -196,18 +196,18 @@
             }
             Input::Withdraw(id) => self.forget(now_us, id),
             Input::Returned(id) => self.returned(now_us, id),
-            Input::NotTaken(registration, id, waits) => {
+            Input::OrderRejected(registration, id, waits) => {
                 self.not_taken(now_us, registration, id, waits);
             }
             Input::FirstToken(id) => self.first_token(now_us, id),
             Input::Progress(id, tokens, span_us) => self.progress(now_us, id, tokens, span_us),
             Input::Finished(id, tokens) => self.finished(now_us, id, tokens),
-            Input::Seen(seen) => self.lengths.observe(&seen),
+            Input::AnswerLength(seen) => self.lengths.observe(&seen),
             Input::Load(endpoint, report) => self.load(now_us, &endpoint, report),
             Input::Cache(endpoint, event) => self.cache(&endpoint, &event),
-            Input::Suspect(endpoint, until_us) => self.suspect(&endpoint, until_us),
-            Input::Level(from, ask, held) => self.round.answer(now_us, from, ask, held),
-            Input::Gone(entry) => self.gone(now_us, entry),
+            Input::Quarantine(endpoint, until_us) => self.suspect(&endpoint, until_us),
+            Input::LevelReply(from, ask, held) => self.round.answer(now_us, from, ask, held),
+            Input::EntryRemoved(entry) => self.gone(now_us, entry),
         }
     }
 
@@ -526,7 +526,7 @@
         };
         if let Some(tokens) = tokens {
             let meta = &tracked.meta;
-            self.lengths.observe(&SeenLength {
+            self.lengths.observe(&AnswerLength {
                 organisation: meta.organisation.clone(),
                 rank: meta.rank,
                 prompt_tokens: meta.prompt_tokens,
@@ -851,7 +851,7 @@
             if over > 0 {
                 let everyone = self.everyone.iter().copied();
                 let ask = self.round.next_ask(now_us, self.me, needed, everyone);
-                out.extend(ask.map(Action::Ask));
+                out.extend(ask.map(Action::RequestLevel));
             }
             return;
         }
--- a/src/core/shedding.rs
+++ b/src/core/shedding.rs
@@ -42,7 +42,7 @@
 
 /// A leader's question, in one chain of rising levels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LevelAsk {
+pub struct LevelRequest {
     /// The leader's start.
     pub leader: Incarnation,
     /// Counts the leader's chains.
@@ -59,7 +59,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Hold {
-    ask: LevelAsk,
+    ask: LevelRequest,
     since_us: Micros,
     until_us: Micros,
 }
@@ -70,7 +70,7 @@
     /// `keeps` says whether the instance keeps a request of the tiers that the level clears. The
     /// first level may be refused to arrivals at once; a higher one needs the level below it, of
     /// the same chain, confirmed no longer than [`STEP_US`] ago.
-    pub fn ask(&mut self, now_us: Micros, ask: LevelAsk, keeps: bool) -> bool {
+    pub fn try_hold(&mut self, now_us: Micros, ask: LevelRequest, keeps: bool) -> bool {
         self.held.retain(|h| h.until_us > now_us);
         if ask.level > 1 && !self.acts_on(now_us, ask.leader, ask.chain, ask.level - 1) {
             return false;
@@ -148,7 +148,7 @@
         leader: Incarnation,
         wanted: u8,
         everyone: impl IntoIterator<Item = Incarnation>,
-    ) -> Option<LevelAsk> {
+    ) -> Option<LevelRequest> {
         let waiting = !self.missing.is_empty() && !self.refused;
         if waiting && now_us.saturating_sub(self.asked_us) <= CONFIRM_US {
             return None;
@@ -171,7 +171,7 @@
         self.asked_us = now_us;
         self.refused = false;
         self.missing = everyone.into_iter().collect();
-        Some(LevelAsk {
+        Some(LevelRequest {
             leader,
             chain: self.chain,
             level: self.level,
@@ -179,7 +179,7 @@
     }
 
     /// Takes an instance's answer.
-    pub fn answer(&mut self, now_us: Micros, from: Incarnation, ask: LevelAsk, held: bool) {
+    pub fn answer(&mut self, now_us: Micros, from: Incarnation, ask: LevelRequest, held: bool) {
         if ask.chain != self.chain || ask.level != self.level {
             return;
         }
--- a/src/endpoint/poll.rs
+++ b/src/endpoint/poll.rs
@@ -41,7 +41,7 @@
         let view = instance.gossip.view();
         let mut polls = JoinSet::new();
         for pool in slice::all_slices(&config.config) {
-            if !view.leads(&slice::subject(&pool)) {
+            if !view.leads(&slice::leader_key(&pool)) {
                 continue;
             }
             let kind = slice::pool_of(&config.config, &pool).map(|p| p.kind);
@@ -81,13 +81,17 @@
             waiting: load.waiting,
             age_us: load.age_ms * 1_000,
         };
-        instance.leaders.load(pool, name.clone(), report);
+        instance
+            .leaders
+            .forward_load_report(pool, name.clone(), report);
     }
     let path = format!("/cache/events?after={}", after?);
     let events: Vec<CacheEvent> = get(addr, &path).await?;
     let newest = events.last().map(|e| e.seq);
     for event in events {
-        instance.leaders.cache(pool, name.clone(), event);
+        instance
+            .leaders
+            .forward_cache_event(pool, name.clone(), event);
     }
     newest
 }
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -17,9 +17,9 @@
 use crate::{
     clock::Clock,
     core::{
-        length::SeenLength,
+        length::AnswerLength,
         lifecycle::{Lifecycle, LifecycleError, Stage},
-        shedding::{HeldLevel, LevelAsk, level_needed},
+        shedding::{HeldLevel, LevelRequest, level_needed},
     },
     pool::messages::{Order, OrderBatch, Update},
     prelude::{Incarnation, Micros, Name, Registration, RequestId, RequestMeta, ShedReason},
@@ -110,7 +110,7 @@
     registrations: HashMap<Name, Registration>,
     notes: HashMap<Name, mpsc::UnboundedSender<Note>>,
     /// Lengths of the last answers, for the next leader of each pool.
-    seen: HashMap<Name, VecDeque<SeenLength>>,
+    seen: HashMap<Name, VecDeque<AnswerLength>>,
 }
 
 /// How many lengths of answers an entry remembers for each pool.
@@ -233,7 +233,7 @@
     }
 
     /// Answers a leader that asks to hold a level for a pool.
-    pub fn hold_level(&self, pool: &Name, ask: LevelAsk) -> bool {
+    pub fn hold_level(&self, pool: &Name, ask: LevelRequest) -> bool {
         let now_us = self.clock.now_us();
         let mut inner = self.lock();
         let keeps = inner.held.values().any(|h| {
@@ -242,7 +242,7 @@
             kept && h.arrival.pool == *pool && needed <= ask.level
         });
         let level = inner.levels.entry(pool.clone()).or_default();
-        level.ask(now_us, ask, keeps)
+        level.try_hold(now_us, ask, keeps)
     }
 
     /// Cancels a request on an operator's word; returns whether it was held.
@@ -345,7 +345,7 @@
             return;
         };
         let meta = &held.arrival.meta;
-        let length = SeenLength {
+        let length = AnswerLength {
             organisation: meta.organisation.clone(),
             rank: meta.rank,
             prompt_tokens: meta.prompt_tokens,
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -29,7 +29,7 @@
 use crate::{
     clock::Clock,
     config::{Config, version::Hash},
-    core::shedding::LevelAsk,
+    core::shedding::LevelRequest,
     distribution::{self, ConfigState},
     endpoint::poll,
     entry::{
@@ -458,14 +458,17 @@
 
 impl<S: Store> Peer for PeerServer<S> {
     async fn updates(self, _: Context, batch: UpdateBatch) -> Result<(), UpdatesRefused> {
-        self.instance.leaders.updates(&self.instance, batch).await
+        self.instance
+            .leaders
+            .apply_updates(&self.instance, batch)
+            .await
     }
 
     async fn orders(self, _: Context, batch: OrderBatch) -> Vec<OrderReply> {
         self.instance.carry_out(&batch)
     }
 
-    async fn hold_level(self, _: Context, pool: Name, ask: LevelAsk) -> bool {
+    async fn hold_level(self, _: Context, pool: Name, ask: LevelRequest) -> bool {
         self.instance.registry.hold_level(&pool, ask)
     }
 
--- a/src/operator/query.rs
+++ b/src/operator/query.rs
@@ -491,7 +491,7 @@
     let view = instance.gossip.view();
     let slices = slice::all_slices(&instance.config.current().config);
     let leaders = slices.iter().filter_map(|pool| {
-        let leader = view.leader(&slice::subject(pool))?;
+        let leader = view.leader(&slice::leader_key(pool))?;
         Some((pool.to_string(), leader.info.name.to_string()))
     });
     leaders.collect()
--- a/src/peers/rpc.rs
+++ b/src/peers/rpc.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     config::version::{Delta, Hash, Objects},
-    core::shedding::LevelAsk,
+    core::shedding::LevelRequest,
     entry::{
         claims::{ClaimAnswer, ClaimAsk},
         registry::OrderReply,
@@ -69,7 +69,7 @@
     /// Gives an entry a leader's orders.
     async fn orders(batch: OrderBatch) -> Vec<OrderReply>;
     /// Asks an instance to hold a level for a pool.
-    async fn hold_level(pool: Name, ask: LevelAsk) -> bool;
+    async fn hold_level(pool: Name, ask: LevelRequest) -> bool;
     /// Asks for a configuration newer than the one at hand.
     async fn config_after(version: u64, hash: Hash) -> ConfigCopy;
     /// Exchanges drain orders: takes some, answers all.
--- a/src/pool/leader.rs
+++ b/src/pool/leader.rs
@@ -18,7 +18,7 @@
         endpoint::LoadReport,
         prefix::CacheEvent,
         scheduler::{Action, EndpointView, Input, Scheduler, WaitingView},
-        shedding::LevelAsk,
+        shedding::LevelRequest,
     },
     entry::registry::OrderReply,
     instance::Instance,
@@ -41,7 +41,7 @@
     Updates(UpdateBatch, oneshot::Sender<Result<(), UpdatesRefused>>),
     Replies(Vec<(Order, OrderReply)>),
     Unreachable(Incarnation),
-    Level(Incarnation, LevelAsk, bool),
+    Level(Incarnation, LevelRequest, bool),
     Load(Name, LoadReport),
     Cache(Name, CacheEvent),
     Look(oneshot::Sender<PoolView>),
@@ -76,13 +76,18 @@
     ///
     /// # Errors
     /// This instance does not lead the pool, or does not know the registration.
-    pub async fn updates<S: Store>(
+    pub async fn apply_updates<S: Store>(
         &self,
         instance: &Arc<Instance<S>>,
         batch: UpdateBatch,
     ) -> Result<(), UpdatesRefused> {
         let for_me = batch.leader == instance.incarnation;
-        if !for_me || !instance.gossip.view().leads(&slice::subject(&batch.pool)) {
+        if !for_me
+            || !instance
+                .gossip
+                .view()
+                .leads(&slice::leader_key(&batch.pool))
+        {
             return Err(UpdatesRefused::NotLeader);
         }
         let task = self.task(instance, &batch.pool);
@@ -128,12 +133,12 @@
     }
 
     /// Passes on an endpoint's load report, if the pool is led here.
-    pub fn load(&self, pool: &Name, endpoint: Name, report: LoadReport) {
+    pub fn forward_load_report(&self, pool: &Name, endpoint: Name, report: LoadReport) {
         self.tell(pool, Message::Load(endpoint, report));
     }
 
     /// Passes on an endpoint's cache event, if the pool is led here.
-    pub fn cache(&self, pool: &Name, endpoint: Name, event: CacheEvent) {
+    pub fn forward_cache_event(&self, pool: &Name, endpoint: Name, event: CacheEvent) {
         self.tell(pool, Message::Cache(endpoint, event));
     }
 
@@ -203,7 +208,7 @@
         loop {
             tokio::select! {
                 _ = view.changed() => {
-                    if !view.borrow_and_update().leads(&slice::subject(&self.pool)) {
+                    if !view.borrow_and_update().leads(&slice::leader_key(&self.pool)) {
                         break;
                     }
                     self.meet();
@@ -246,9 +251,10 @@
             .collect();
         for entry in gone {
             self.registrations.remove(&entry);
-            self.scheduler.handle(now_us, Input::Gone(entry));
+            self.scheduler.handle(now_us, Input::EntryRemoved(entry));
         }
-        self.scheduler.set_everyone(view.may_hold_requests());
+        self.scheduler
+            .set_confirming_instances(view.may_hold_requests());
     }
 
     fn is_settled(&self) -> bool {
@@ -272,10 +278,11 @@
             Message::Unreachable(entry) => {
                 // What it took is not known: it has to register anew.
                 self.registrations.remove(&entry);
-                self.scheduler.handle(now_us, Input::Gone(entry));
+                self.scheduler.handle(now_us, Input::EntryRemoved(entry));
             }
             Message::Level(from, ask, held) => {
-                self.scheduler.handle(now_us, Input::Level(from, ask, held));
+                self.scheduler
+                    .handle(now_us, Input::LevelReply(from, ask, held));
             }
             Message::Load(endpoint, report) => {
                 self.scheduler.handle(now_us, Input::Load(endpoint, report));
@@ -318,7 +325,7 @@
                 OrderReply::Waits => true,
                 OrderReply::Gone => false,
             };
-            let input = Input::NotTaken(order.registration(), order.id(), waits);
+            let input = Input::OrderRejected(order.registration(), order.id(), waits);
             self.scheduler.handle(now_us, input);
         }
     }
@@ -382,7 +389,7 @@
         });
     }
 
-    fn ask_all(&self, ask: LevelAsk) {
+    fn ask_all(&self, ask: LevelRequest) {
         let view = self.instance.gossip.view();
         for entry in view.may_hold_requests() {
             let Some(me) = self.me.upgrade() else { return };
@@ -428,17 +435,17 @@
     match update {
         Update::Add(meta) => Input::Add(registration, meta),
         Update::Adopt(meta, endpoint) => Input::Adopt(registration, meta, endpoint),
-        Update::Seen(seen) => Input::Seen(seen),
+        Update::Seen(seen) => Input::AnswerLength(seen),
         Update::Withdraw(id) => Input::Withdraw(id),
         Update::Returned(id) => Input::Returned(id),
         Update::FirstToken(id) => Input::FirstToken(id),
         Update::Progress(id, tokens, span_us) => Input::Progress(id, tokens, span_us),
         Update::Finished(id, tokens) => Input::Finished(id, tokens),
-        Update::EndpointFailed(name) => Input::Suspect(name, now_us + ENDPOINT_REST_US),
+        Update::EndpointFailed(name) => Input::Quarantine(name, now_us + ENDPOINT_REST_US),
     }
 }
 
-fn order_of(action: Action) -> Result<(Incarnation, Order), LevelAsk> {
+fn order_of(action: Action) -> Result<(Incarnation, Order), LevelRequest> {
     match action {
         Action::Grant {
             registration,
@@ -470,6 +477,6 @@
             };
             Ok((registration.entry, order))
         }
-        Action::Ask(ask) => Err(ask),
+        Action::RequestLevel(ask) => Err(ask),
     }
 }
--- a/src/pool/messages.rs
+++ b/src/pool/messages.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use crate::core::length::SeenLength;
+use crate::core::length::AnswerLength;
 use crate::prelude::{Incarnation, Micros, Name, Registration, RequestId, RequestMeta, ShedReason};
 
 /// Something that happened at an entry.
@@ -14,7 +14,7 @@
     /// A request runs already at the endpoint.
     Adopt(RequestMeta, Name),
     /// The length of an answer that was seen under an earlier leader.
-    Seen(SeenLength),
+    Seen(AnswerLength),
     /// A request is gone without an answer from an endpoint.
     Withdraw(RequestId),
     /// A grant was given back before any byte was sent; the request waits on.
--- a/src/pool/registrar.rs
+++ b/src/pool/registrar.rs
@@ -51,7 +51,7 @@
         loop {
             let leader = view
                 .borrow_and_update()
-                .leader(&slice::subject(&self.pool))
+                .leader(&slice::leader_key(&self.pool))
                 .cloned();
             let Some(leader) = leader else {
                 // Nobody can lead while every instance leaves; what waits, waits.
@@ -118,7 +118,10 @@
 
     async fn send(&self, leader: &Member, batch: UpdateBatch) -> bool {
         let taken = if leader.info.incarnation == self.instance.incarnation {
-            self.instance.leaders.updates(&self.instance, batch).await
+            self.instance
+                .leaders
+                .apply_updates(&self.instance, batch)
+                .await
         } else {
             let addr = leader.info.peer_addr;
             let call = self
--- a/src/pool/slice.rs
+++ b/src/pool/slice.rs
@@ -17,7 +17,7 @@
 const SLICE_SEPARATOR: char = '@';
 
 /// Returns the subject by which the leader of a slice is chosen.
-pub fn subject(slice: &str) -> String {
+pub fn leader_key(slice: &str) -> String {
     format!("pool/{slice}")
 }
 
--- a/src/replay/baseline.rs
+++ b/src/replay/baseline.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     core::{
-        endpoint::{EndpointModel, Granted, LoadReport},
-        length::{LengthModel, SeenLength},
+        endpoint::{EndpointModel, GrantDetails, LoadReport},
+        length::{AnswerLength, LengthModel},
         scheduler::{Action, Input, PoolSpec},
     },
     prelude::{Micros, Registration, RequestId, RequestMeta},
@@ -87,7 +87,7 @@
                     self.reports[index] = report;
                 }
             }
-            Input::Suspect(endpoint, until_us) => {
+            Input::Quarantine(endpoint, until_us) => {
                 if let Some(index) = self.index(&endpoint) {
                     self.suspect_until_us[index] = until_us;
                 }
@@ -158,7 +158,7 @@
         };
         self.endpoints[index].end(now_us, id);
         if let Some(tokens) = tokens {
-            self.lengths.observe(&SeenLength {
+            self.lengths.observe(&AnswerLength {
                 organisation: meta.organisation,
                 rank: meta.rank,
                 prompt_tokens: meta.prompt_tokens,
@@ -232,8 +232,8 @@
     }
 }
 
-fn granted(now_us: Micros, meta: &RequestMeta) -> Granted {
-    Granted {
+fn granted(now_us: Micros, meta: &RequestMeta) -> GrantDetails {
+    GrantDetails {
         id: meta.id,
         rank: meta.rank,
         deadline_us: now_us + meta.remaining_us,
--- a/src/replay/run.rs
+++ b/src/replay/run.rs
@@ -12,10 +12,10 @@
 use crate::{
     core::{
         endpoint::{EndpointSpec, LoadReport},
-        length::SeenLength,
+        length::AnswerLength,
         lifecycle::{Lifecycle, Stage},
         scheduler::{Action, EventWindow, Input, OrgSpec, PolicySettings, PoolSpec, Scheduler},
-        shedding::{HeldLevel, LevelAsk, level_needed},
+        shedding::{HeldLevel, LevelRequest, level_needed},
     },
     entry::registry::{KEPT_LENGTHS, is_waiting},
     prelude::{Incarnation, Micros, Name, Registration, RequestId, RequestMeta},
@@ -123,7 +123,7 @@
                 };
                 let mut scheduler = Scheduler::new(LEADER, settings);
                 scheduler.configure(spec);
-                scheduler.set_everyone(vec![ENTRY]);
+                scheduler.set_confirming_instances(vec![ENTRY]);
                 Self::Scheduler(Box::new(scheduler))
             }
             Policy::Baseline(kind) => {
@@ -210,7 +210,7 @@
     actions: Vec<Action>,
     open: usize,
     /// Lengths that the entry remembers, for the next leader.
-    seen: VecDeque<(usize, SeenLength)>,
+    seen: VecDeque<(usize, AnswerLength)>,
 }
 
 impl<'t> Replay<'t> {
@@ -407,20 +407,20 @@
                     self.shed(now_us, request);
                 }
             }
-            Action::Ask(ask) => {
+            Action::RequestLevel(ask) => {
                 let held = self.hold_level(now_us, pool, ask);
-                self.deciders[pool].handle(now_us, Input::Level(ENTRY, ask, held));
+                self.deciders[pool].handle(now_us, Input::LevelReply(ENTRY, ask, held));
             }
         }
     }
 
-    fn hold_level(&mut self, now_us: Micros, pool: usize, ask: LevelAsk) -> bool {
+    fn hold_level(&mut self, now_us: Micros, pool: usize, ask: LevelRequest) -> bool {
         let tiers = self.tiers.len();
         let keeps = self.entries.values().any(|e| {
             let cleared = level_needed(e.rank, tiers) < ask.level;
             e.pool == pool && cleared && is_waiting(e.lifecycle.stage())
         });
-        self.levels[pool].ask(now_us, ask, keeps)
+        self.levels[pool].try_hold(now_us, ask, keeps)
     }
 
     fn grant(&mut self, now_us: Micros, request: usize, under: Registration, endpoint: &Name) {
@@ -454,7 +454,7 @@
             let meta = self.meta(now_us, request);
             let name = self.engines[engine].spec.name.clone();
             if returned && !self.leaderless {
-                let suspect = Input::Suspect(name, now_us + SUSPECT_US);
+                let suspect = Input::Quarantine(name, now_us + SUSPECT_US);
                 self.deciders[pool].handle(now_us, suspect);
                 self.deciders[pool].returned(now_us, self.registration, meta);
             }
@@ -629,7 +629,7 @@
                 self.tiers[usize::from(entry.rank)].unknown += 1;
                 self.checker.last_word(request, LastWord::OutcomeUnknown);
                 self.open -= 1;
-                let suspect = Input::Suspect(name.clone(), now_us + SUSPECT_US);
+                let suspect = Input::Quarantine(name.clone(), now_us + SUSPECT_US);
                 self.tell(now_us, entry.pool, suspect);
                 self.tell(now_us, entry.pool, Input::Finished(id_of(request), None));
             }
@@ -647,7 +647,7 @@
             self.deciders[pool].handle(now_us, attach);
             for (of, seen) in &self.seen {
                 if *of == pool {
-                    self.deciders[pool].handle(now_us, Input::Seen(seen.clone()));
+                    self.deciders[pool].handle(now_us, Input::AnswerLength(seen.clone()));
                 }
             }
         }
@@ -749,8 +749,8 @@
     }
 }
 
-fn seen_length(line: &Line, rank: u8) -> SeenLength {
-    SeenLength {
+fn seen_length(line: &Line, rank: u8) -> AnswerLength {
+    AnswerLength {
         organisation: line.organisation.clone(),
         rank,
         prompt_tokens: line.prompt_tokens,
--- a/tests/core/scheduler.rs
+++ b/tests/core/scheduler.rs
@@ -38,7 +38,7 @@
         }],
         ..PoolSpec::default()
     });
-    scheduler.set_everyone(vec![ENTRY]);
+    scheduler.set_confirming_instances(vec![ENTRY]);
     scheduler.handle(0, Input::Attach(registration(1)));
     scheduler
 }
@@ -99,9 +99,9 @@
         entry: ENTRY,
         seq: 1,
     };
-    scheduler.handle(2, Input::NotTaken(registration(1), id, false));
+    scheduler.handle(2, Input::OrderRejected(registration(1), id, false));
     assert_eq!(granted(&decide(&mut scheduler, 3)), [1]);
-    scheduler.handle(4, Input::NotTaken(registration(2), id, false));
+    scheduler.handle(4, Input::OrderRejected(registration(2), id, false));
     assert_eq!(scheduler.waiting_by_tier(), [0, 0, 0]);
     assert!(scheduler.endpoints().all(|e| e.running == 0));
 }
@@ -132,10 +132,12 @@
     );
     let mut asked = actions;
     for now_us in 1.. {
-        let Some(Action::Ask(ask)) = asked.iter().find(|a| matches!(a, Action::Ask(_))) else {
+        let Some(Action::RequestLevel(ask)) =
+            asked.iter().find(|a| matches!(a, Action::RequestLevel(_)))
+        else {
             break;
         };
-        scheduler.handle(now_us, Input::Level(ENTRY, *ask, true));
+        scheduler.handle(now_us, Input::LevelReply(ENTRY, *ask, true));
         asked = decide(&mut scheduler, now_us);
     }
     assert_eq!(shed(&asked).len(), 1, "{asked:?}");
--- a/tests/core/shedding.rs
+++ b/tests/core/shedding.rs
@@ -5,8 +5,8 @@
 const LEADER: Incarnation = Incarnation(1);
 const TIERS: usize = 3;
 
-fn ask(level: u8) -> LevelAsk {
-    LevelAsk {
+fn ask(level: u8) -> LevelRequest {
+    LevelRequest {
         leader: LEADER,
         chain: 1,
         level,
@@ -23,11 +23,11 @@
 #[test]
 fn a_level_needs_the_one_below_of_its_chain() {
     let mut held = HeldLevel::default();
-    assert!(!held.ask(0, ask(2), false));
-    assert!(held.ask(0, ask(1), false));
-    let other = LevelAsk { chain: 2, ..ask(2) };
-    assert!(!held.ask(0, other, false));
-    assert!(held.ask(10, ask(2), false));
+    assert!(!held.try_hold(0, ask(2), false));
+    assert!(held.try_hold(0, ask(1), false));
+    let other = LevelRequest { chain: 2, ..ask(2) };
+    assert!(!held.try_hold(0, other, false));
+    assert!(held.try_hold(10, ask(2), false));
     assert!(held.refuses(10, 2, TIERS));
     assert!(held.refuses(10, 1, TIERS));
     assert!(!held.refuses(10, 0, TIERS));
@@ -37,7 +37,7 @@
 #[test]
 fn an_order_after_a_pause_is_not_followed() {
     let mut held = HeldLevel::default();
-    assert!(held.ask(0, ask(1), false));
+    assert!(held.try_hold(0, ask(1), false));
     assert!(held.may_shed(STEP_US, LEADER, 1, 1, TIERS));
     assert!(!held.may_shed(STEP_US + 1, LEADER, 1, 1, TIERS));
     assert!(held.refuses(STEP_US + 1, 2, TIERS));
--- a/tests/properties/core_walk.rs
+++ b/tests/properties/core_walk.rs
@@ -9,7 +9,7 @@
         endpoint::EndpointSpec,
         lifecycle::{Lifecycle, Stage},
         scheduler::{Action, Input, PolicySettings, PoolSpec, Scheduler},
-        shedding::{HeldLevel, LevelAsk, level_needed},
+        shedding::{HeldLevel, LevelRequest, level_needed},
     },
     prelude::*,
 };
@@ -73,7 +73,7 @@
         endpoints: vec![endpoint("a"), endpoint("b")],
         ..PoolSpec::default()
     });
-    scheduler.set_everyone((0..ENTRIES).map(Incarnation).collect());
+    scheduler.set_confirming_instances((0..ENTRIES).map(Incarnation).collect());
     scheduler
 }
 
@@ -149,7 +149,7 @@
         })
     }
 
-    fn hold(&mut self, ask: LevelAsk) {
+    fn hold(&mut self, ask: LevelRequest) {
         for entry in 0..ENTRIES {
             let keeps = self.requests.iter().any(|(id, (rank, lifecycle, _))| {
                 id.entry.0 == entry
@@ -160,8 +160,8 @@
                 .levels
                 .entry(entry)
                 .or_default()
-                .ask(self.now_us, ask, keeps);
-            let level = Input::Level(Incarnation(entry), ask, held);
+                .try_hold(self.now_us, ask, keeps);
+            let level = Input::LevelReply(Incarnation(entry), ask, held);
             self.leader.handle(self.now_us, level);
         }
     }
@@ -183,7 +183,7 @@
                     *sent += 1;
                     prop_assert_eq!(*sent, 1, "dispatched twice");
                 } else {
-                    let not_taken = Input::NotTaken(registration, id, false);
+                    let not_taken = Input::OrderRejected(registration, id, false);
                     self.leader.handle(self.now_us, not_taken);
                 }
             }
@@ -208,7 +208,7 @@
                     );
                 }
             }
-            Action::Ask(_) => {}
+            Action::RequestLevel(_) => {}
         }
         Ok(())
     }
@@ -248,7 +248,7 @@
                 let me = Incarnation(self.leaders);
                 for action in actions {
                     match action {
-                        Action::Ask(ask) => self.hold(ask),
+                        Action::RequestLevel(ask) => self.hold(ask),
                         order => self.orders.push((me, order)),
                     }
                 }
