--- a/src/core/endpoint.rs
+++ b/src/core/endpoint.rs
@@ -60,7 +60,7 @@
 
 /// One granted request that has not ended.
 #[derive(Clone, Copy, Debug)]
-struct Flight {
+struct InFlightRequest {
     granted_us: Micros,
     rank: Rank,
     deadline_us: Micros,
@@ -93,18 +93,18 @@
 pub struct EndpointModel {
     /// The declaration.
     pub spec: EndpointSpec,
-    flights: HashMap<RequestId, Flight>,
+    in_flight: HashMap<RequestId, InFlightRequest>,
     /// Requests without a first token, by tier.
     awaiting_first: [u32; MAX_TIERS],
     /// Prompt tokens granted and not computed, by tier; engines compute the highest first.
     pending_tokens: [f64; MAX_TIERS],
-    drained_us: Micros,
+    queue_updated_us: Micros,
     prefill_ratio: f64,
     /// Learned against the declaration, by how full the batch was.
     decode_ratio: [f64; OCCUPANCY_CLASSES],
     observed_us: Micros,
     report: Option<(LoadReport, Micros)>,
-    suspect_until_us: Micros,
+    quarantined_until_us: Micros,
 }
 
 impl EndpointModel {
@@ -112,35 +112,35 @@
     pub fn new(spec: EndpointSpec) -> Self {
         Self {
             spec,
-            flights: HashMap::new(),
+            in_flight: HashMap::new(),
             awaiting_first: [0; MAX_TIERS],
             pending_tokens: [0.0; MAX_TIERS],
-            drained_us: 0,
+            queue_updated_us: 0,
             prefill_ratio: 1.0,
             decode_ratio: [1.0; OCCUPANCY_CLASSES],
             observed_us: 0,
             report: None,
-            suspect_until_us: 0,
+            quarantined_until_us: 0,
         }
     }
 
     /// Returns the number of granted requests that have not ended.
     pub fn running(&self) -> u32 {
-        self.flights.len() as u32
+        self.in_flight.len() as u32
     }
 
     /// Returns whether it may take one more request of `rank` now, with at most `backlog_us` of
     /// prompt work granted ahead of it.
-    pub fn has_room(&self, now_us: Micros, rank: Rank, backlog_us: f64) -> bool {
-        if self.spec.draining || now_us < self.suspect_until_us {
+    pub fn has_capacity(&self, now_us: Micros, rank: Rank, backlog_us: f64) -> bool {
+        if self.spec.draining || now_us < self.quarantined_until_us {
             return false;
         }
-        let occupied = self.running() + self.foreign(now_us);
+        let occupied = self.running() + self.unaccounted_requests(now_us);
         if occupied >= self.spec.slots {
             return false;
         }
         if self.needs_probe(now_us) {
-            return self.flights.is_empty();
+            return self.in_flight.is_empty();
         }
         self.queue_tokens(now_us, rank) / CHUNK_TOKENS * self.chunk_us() <= backlog_us
     }
@@ -161,7 +161,7 @@
     /// Returns the expected time between two tokens of a stream with `batch` requests running, in
     /// microseconds; learned from streams, so with the prompts computed meanwhile in it.
     pub fn token_us(&self, batch: u32) -> f64 {
-        self.prior_token_us(batch) * self.decode_ratio[self.class(batch)]
+        self.prior_token_us(batch) * self.decode_ratio[self.occupancy_class(batch)]
     }
 
     /// Returns the expected time from now to the last token, in microseconds.
@@ -183,8 +183,8 @@
         let pending = self.queue_tokens(now_us, Rank::MAX);
         let token_us = self.token_us(self.running() + 1);
         let chunk_us = self.chunk_us();
-        let flights = self.flights.values().filter(|f| f.rank <= rank);
-        let spares = flights.filter_map(|f| {
+        let in_flight = self.in_flight.values().filter(|f| f.rank <= rank);
+        let spare = in_flight.filter_map(|f| {
             let left = f64::from(f.left_tokens());
             let waiting = if f.first_seen {
                 0.0
@@ -193,12 +193,12 @@
             };
             let finish_us = left * token_us + waiting * chunk_us;
             let spare_us = f.deadline_us as f64 - now_us as f64 - finish_us;
-            let most_us = left * chunk_us;
-            (0.0..most_us)
+            let max_us = left * chunk_us;
+            (0.0..max_us)
                 .contains(&spare_us)
                 .then(|| spare_us / chunk_us * CHUNK_TOKENS)
         });
-        spares.fold(f64::INFINITY, f64::min)
+        spare.fold(f64::INFINITY, f64::min)
     }
 
     /// Returns the time to the last token if the endpoint were idle, in microseconds.
@@ -214,35 +214,35 @@
 
     /// Enters a grant in the ledger.
     pub fn grant(&mut self, now_us: Micros, granted: GrantDetails) {
-        self.drain(now_us);
+        self.advance_queue(now_us);
         let rank = usize::from(granted.rank);
         let queue = self.queue_tokens(now_us, granted.rank);
         let tokens = f64::from(granted.uncached_tokens);
         let first_us = (queue + tokens) / CHUNK_TOKENS * self.chunk_us();
         self.pending_tokens[rank] += tokens;
-        let flight = Flight {
+        let request = InFlightRequest {
             predicted_first_us: now_us + first_us as Micros,
             queued_behind: queue > 0.0,
             uncached_tokens: tokens,
-            ..self.flight(now_us, granted)
+            ..self.new_in_flight(now_us, granted)
         };
-        if self.flights.insert(granted.id, flight).is_none() {
+        if self.in_flight.insert(granted.id, request).is_none() {
             self.awaiting_first[rank] += 1;
         }
     }
 
     /// Enters a request that an entry reports as running, after a change of leader.
     pub fn adopt(&mut self, now_us: Micros, granted: GrantDetails) {
-        let flight = Flight {
+        let request = InFlightRequest {
             queued_behind: true,
             first_seen: true,
-            ..self.flight(now_us, granted)
+            ..self.new_in_flight(now_us, granted)
         };
-        self.flights.insert(granted.id, flight);
+        self.in_flight.insert(granted.id, request);
     }
 
-    fn flight(&self, now_us: Micros, granted: GrantDetails) -> Flight {
-        Flight {
+    fn new_in_flight(&self, now_us: Micros, granted: GrantDetails) -> InFlightRequest {
+        InFlightRequest {
             granted_us: now_us,
             rank: granted.rank,
             deadline_us: granted.deadline_us,
@@ -257,78 +257,82 @@
 
     /// Learns from a first token.
     pub fn first_token(&mut self, now_us: Micros, id: RequestId) {
-        self.drain(now_us);
-        let Some(flight) = self.flights.get_mut(&id) else {
+        self.advance_queue(now_us);
+        let Some(request) = self.in_flight.get_mut(&id) else {
             return;
         };
-        if flight.first_seen {
+        if request.first_seen {
             return;
         }
-        flight.first_seen = true;
-        flight.seen_tokens = 1;
-        let flight = *flight;
-        self.awaiting_first[usize::from(flight.rank)] -= 1;
+        request.first_seen = true;
+        request.seen_tokens = 1;
+        let request = *request;
+        self.awaiting_first[usize::from(request.rank)] -= 1;
         self.observed_us = now_us;
-        let took = now_us.saturating_sub(flight.granted_us) as f64;
-        let planned = flight
+        let took = now_us.saturating_sub(request.granted_us) as f64;
+        let planned = request
             .predicted_first_us
-            .saturating_sub(flight.granted_us)
+            .saturating_sub(request.granted_us)
             .max(1) as f64;
-        if flight.uncached_tokens > CHUNK_TOKENS {
+        if request.uncached_tokens > CHUNK_TOKENS {
             let ratio = self.prefill_ratio * (took / planned).clamp(0.2, 5.0);
-            let share = if flight.queued_behind { 0.3 } else { 1.0 };
-            self.prefill_ratio = blend(self.prefill_ratio, ratio, PREFILL_GAIN * share);
+            let share = if request.queued_behind { 0.3 } else { 1.0 };
+            self.prefill_ratio = smooth(self.prefill_ratio, ratio, PREFILL_GAIN * share);
         }
-        self.correct_queue(now_us, &flight);
+        self.correct_queue(now_us, &request);
     }
 
     /// Learns from `tokens` output tokens that took `span_us`.
     pub fn progress(&mut self, now_us: Micros, id: RequestId, tokens: u32, span_us: Micros) {
-        self.drain(now_us);
-        let Some(flight) = self.flights.get_mut(&id).filter(|_| tokens > 0) else {
+        self.advance_queue(now_us);
+        let Some(request) = self.in_flight.get_mut(&id).filter(|_| tokens > 0) else {
             return;
         };
-        flight.seen_tokens += tokens;
+        request.seen_tokens += tokens;
         self.observed_us = now_us;
         let batch = self.running();
-        let class = self.class(batch);
+        let occupancy_class = self.occupancy_class(batch);
         let ratio = span_us as f64 / f64::from(tokens) / self.prior_token_us(batch);
         let gain = (DECODE_GAIN * f64::from(tokens) / 16.0).min(0.5);
-        for (other, known) in self.decode_ratio.iter_mut().enumerate() {
+        for (other, learned) in self.decode_ratio.iter_mut().enumerate() {
             // One slow class says the engine is slow: the others follow at a distance.
-            let gain = if other == class { gain } else { gain / 4.0 };
-            *known = blend(*known, ratio, gain);
+            let gain = if other == occupancy_class {
+                gain
+            } else {
+                gain / 4.0
+            };
+            *learned = smooth(*learned, ratio, gain);
         }
     }
 
     /// Takes a request out of the ledger; returns whether it was there.
     pub fn end(&mut self, now_us: Micros, id: RequestId) -> bool {
-        let Some(flight) = self.flights.remove(&id) else {
+        let Some(request) = self.in_flight.remove(&id) else {
             return false;
         };
-        if !flight.first_seen {
-            self.awaiting_first[usize::from(flight.rank)] -= 1;
-            self.correct_queue(now_us, &flight);
+        if !request.first_seen {
+            self.awaiting_first[usize::from(request.rank)] -= 1;
+            self.correct_queue(now_us, &request);
         }
         true
     }
 
     /// Takes a load report.
-    pub fn report(&mut self, now_us: Micros, report: LoadReport) {
+    pub fn record_load_report(&mut self, now_us: Micros, report: LoadReport) {
         self.report = Some((report, now_us));
     }
 
     /// Keeps new work away for a while, after a failed connect or a cut stream.
-    pub fn suspect(&mut self, until_us: Micros) {
-        self.suspect_until_us = self.suspect_until_us.max(until_us);
+    pub fn quarantine(&mut self, until_us: Micros) {
+        self.quarantined_until_us = self.quarantined_until_us.max(until_us);
     }
 
     /// Notices first tokens that are overdue, before any report says so; lets a slow mark fade
     /// once nothing has been seen for a while.
     pub fn tick(&mut self, now_us: Micros, since_us: Micros) {
-        self.drain(now_us);
+        self.advance_queue(now_us);
         let overdue = self
-            .flights
+            .in_flight
             .values()
             .filter(|f| !f.first_seen && !f.queued_behind)
             .filter_map(|f| overdue_factor(f, now_us))
@@ -353,19 +357,19 @@
     }
 
     /// Returns how many requests, beyond the ledger's, a fresh enough report lets expect.
-    fn foreign(&self, now_us: Micros) -> u32 {
+    fn unaccounted_requests(&self, now_us: Micros) -> u32 {
         let Some((report, at_us)) = self.report else {
             return 0;
         };
         let age_us = (report.age_us + now_us.saturating_sub(at_us)) as f64;
-        let trust = (1.0 - age_us / REPORT_HORIZON_US).max(0.0);
-        let beyond = (report.running + report.waiting).saturating_sub(self.running());
+        let freshness_weight = (1.0 - age_us / REPORT_HORIZON_US).max(0.0);
+        let surplus = (report.running + report.waiting).saturating_sub(self.running());
         // Only a clear excess counts: the report lags behind the ledger's own ends.
-        let excess = f64::from(beyond) - f64::from(self.spec.slots) * 0.5;
-        (excess.max(0.0) * trust) as u32
+        let excess = f64::from(surplus) - f64::from(self.spec.slots) * 0.5;
+        (excess.max(0.0) * freshness_weight) as u32
     }
 
-    fn class(&self, batch: u32) -> usize {
+    fn occupancy_class(&self, batch: u32) -> usize {
         let slots = self.spec.slots.max(1) as usize;
         ((batch.max(1) as usize - 1) * OCCUPANCY_CLASSES / slots).min(OCCUPANCY_CLASSES - 1)
     }
@@ -381,7 +385,7 @@
     }
 
     /// Returns how many prompt tokens an engine computes in a microsecond while it has any.
-    fn drain_rate(&self) -> f64 {
+    fn prefill_tokens_per_us(&self) -> f64 {
         CHUNK_TOKENS / self.chunk_us()
     }
 
@@ -392,38 +396,38 @@
         if pending <= 0.0 {
             return 0.0;
         }
-        let since_us = now_us.saturating_sub(self.drained_us) as f64;
-        (pending - since_us * self.drain_rate()).max(0.0)
+        let since_us = now_us.saturating_sub(self.queue_updated_us) as f64;
+        (pending - since_us * self.prefill_tokens_per_us()).max(0.0)
     }
 
     /// Takes off the pending tokens what was computed meanwhile, the highest tier's first.
-    fn drain(&mut self, now_us: Micros) {
-        let since_us = now_us.saturating_sub(self.drained_us) as f64;
-        let mut done = since_us * self.drain_rate();
-        self.drained_us = now_us;
+    fn advance_queue(&mut self, now_us: Micros) {
+        let since_us = now_us.saturating_sub(self.queue_updated_us) as f64;
+        let mut done = since_us * self.prefill_tokens_per_us();
+        self.queue_updated_us = now_us;
         for pending in &mut self.pending_tokens {
-            let part = pending.min(done);
-            *pending -= part;
-            done -= part;
+            let computed = pending.min(done);
+            *pending -= computed;
+            done -= computed;
         }
     }
 
     /// A first token was seen, or its request is gone: what was pending for it is no longer.
-    fn correct_queue(&mut self, now_us: Micros, flight: &Flight) {
-        self.drain(now_us);
-        let rank = usize::from(flight.rank);
+    fn correct_queue(&mut self, now_us: Micros, request: &InFlightRequest) {
+        self.advance_queue(now_us);
+        let rank = usize::from(request.rank);
         if self.awaiting_first[rank] == 0 {
             self.pending_tokens[rank] = 0.0;
-        } else if flight.predicted_first_us > now_us {
-            let early_us = (flight.predicted_first_us - now_us) as f64;
-            let early = (early_us * self.drain_rate()).min(flight.uncached_tokens);
+        } else if request.predicted_first_us > now_us {
+            let early_us = (request.predicted_first_us - now_us) as f64;
+            let early = (early_us * self.prefill_tokens_per_us()).min(request.uncached_tokens);
             let pending = &mut self.pending_tokens[rank];
             *pending = (*pending - early).max(0.0);
         }
     }
 }
 
-impl Flight {
+impl InFlightRequest {
     /// Returns the tokens still expected; one that passed its expected length goes on for a while.
     fn left_tokens(&self) -> u32 {
         let passed = self.seen_tokens / 4;
@@ -433,13 +437,15 @@
     }
 }
 
-fn overdue_factor(flight: &Flight, now_us: Micros) -> Option<f64> {
-    let planned = flight.predicted_first_us.saturating_sub(flight.granted_us);
-    let waited = now_us.saturating_sub(flight.granted_us);
+fn overdue_factor(request: &InFlightRequest, now_us: Micros) -> Option<f64> {
+    let planned = request
+        .predicted_first_us
+        .saturating_sub(request.granted_us);
+    let waited = now_us.saturating_sub(request.granted_us);
     let slack = 20_000;
     (waited > planned + slack).then(|| waited as f64 / (planned + slack) as f64)
 }
 
-fn blend(old: f64, new: f64, gain: f64) -> f64 {
+fn smooth(old: f64, new: f64, gain: f64) -> f64 {
     (old + (new - old) * gain).clamp(RATIO_FLOOR, RATIO_CEILING)
 }
--- a/src/core/interface.rs
+++ b/src/core/interface.rs
@@ -141,7 +141,7 @@
     /// The request ended at the endpoint; `tokens` is the length of a whole answer.
     Finished(RequestId, Option<u32>),
     /// The length of an answer that was seen under an earlier leader.
-    AnswerLength(AnswerLength),
+    ObservedLength(AnswerLength),
     /// An endpoint's load.
     Load(Name, LoadReport),
     /// An endpoint's cache event.
--- a/src/core/lifecycle.rs
+++ b/src/core/lifecycle.rs
@@ -106,7 +106,7 @@
                 current: self.registration,
             });
         }
-        self.step(Stage::Waiting, Stage::Granted)
+        self.transition(Stage::Waiting, Stage::Granted)
     }
 
     /// Gives a grant back, after a connect or claim that provably reached no endpoint.
@@ -114,7 +114,7 @@
     /// # Errors
     /// The request holds no grant.
     pub fn return_grant(&mut self) -> Result<(), LifecycleError> {
-        self.step(Stage::Granted, Stage::Waiting)
+        self.transition(Stage::Granted, Stage::Waiting)
     }
 
     /// Marks the request as sent, just before the first byte; succeeds at most once.
@@ -122,7 +122,7 @@
     /// # Errors
     /// The request holds no grant, or was sent before.
     pub fn send(&mut self) -> Result<(), LifecycleError> {
-        self.step(Stage::Granted, Stage::Sent)
+        self.transition(Stage::Granted, Stage::Sent)
     }
 
     /// Refuses the request as not run.
@@ -144,23 +144,23 @@
     /// # Errors
     /// The request holds a grant, was sent or has ended.
     pub fn shed(&mut self) -> Result<(), LifecycleError> {
-        self.step(Stage::Waiting, Stage::Ended(Ending::NotRun))
+        self.transition(Stage::Waiting, Stage::Ended(Ending::NotRun))
     }
 
-    /// Ends a sent request; `whole` says if the complete answer reached the caller.
+    /// Ends a sent request; `complete` says if the complete answer reached the caller.
     ///
     /// # Errors
     /// The request was not sent.
-    pub fn finish(&mut self, whole: bool) -> Result<(), LifecycleError> {
-        let ending = if whole {
+    pub fn finish(&mut self, complete: bool) -> Result<(), LifecycleError> {
+        let ending = if complete {
             Ending::Whole
         } else {
             Ending::OutcomeUnknown
         };
-        self.step(Stage::Sent, Stage::Ended(ending))
+        self.transition(Stage::Sent, Stage::Ended(ending))
     }
 
-    fn step(&mut self, from: Stage, to: Stage) -> Result<(), LifecycleError> {
+    fn transition(&mut self, from: Stage, to: Stage) -> Result<(), LifecycleError> {
         if self.stage != from {
             return Err(LifecycleError::WrongStage { stage: self.stage });
         }
--- a/src/core/prefix.rs
+++ b/src/core/prefix.rs
@@ -48,15 +48,15 @@
 
 /// When a block was last used, and whether a grant of ours says so rather than an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Mark {
+struct BlockUse {
     stamp: u64,
     granted: bool,
 }
 
 /// The blocks believed to be cached at one endpoint.
 #[derive(Clone, Debug, Default)]
-struct Held {
-    blocks: BlockMap<Mark>,
+struct EndpointBlocks {
+    blocks: BlockMap<BlockUse>,
     order: VecDeque<(u64, u64)>,
     stamp: u64,
     next_seq: Option<u64>,
@@ -69,7 +69,7 @@
 /// last stays, half the cache's size, which an engine that drops what was used longest ago still has.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixMap {
-    endpoints: Vec<Held>,
+    endpoints: Vec<EndpointBlocks>,
     capacity_blocks: Vec<usize>,
     /// For each block a bit for each endpoint.
     holders: BlockMap<Vec<u64>>,
@@ -79,7 +79,8 @@
     /// Sets an endpoint's capacity, in blocks; a new endpoint starts empty.
     pub fn set_capacity(&mut self, endpoint: usize, blocks: usize) {
         if self.endpoints.len() <= endpoint {
-            self.endpoints.resize_with(endpoint + 1, Held::default);
+            self.endpoints
+                .resize_with(endpoint + 1, EndpointBlocks::default);
             self.capacity_blocks.resize(endpoint + 1, 0);
         }
         self.capacity_blocks[endpoint] = blocks;
@@ -87,23 +88,26 @@
 
     /// Returns how many leading blocks of `prefix` the endpoint holds.
     pub fn cached_blocks(&self, endpoint: usize, prefix: &[u64]) -> usize {
-        let held = &self.endpoints[endpoint].blocks;
-        prefix.iter().take_while(|b| held.contains_key(b)).count()
+        let endpoint_blocks = &self.endpoints[endpoint].blocks;
+        prefix
+            .iter()
+            .take_while(|b| endpoint_blocks.contains_key(b))
+            .count()
     }
 
     /// Writes to `depths` how many leading blocks of `prefix` each endpoint holds.
-    pub fn cached_at_all(&self, prefix: &[u64], depths: &mut Vec<u32>) {
+    pub fn cached_at_each(&self, prefix: &[u64], depths: &mut Vec<u32>) {
         depths.clear();
         depths.resize(self.endpoints.len(), 0);
         let words = self.endpoints.len().div_ceil(WORD_BITS);
-        let mut alive = [u64::MAX; MAX_WORDS];
-        let alive = &mut alive[..words.min(MAX_WORDS)];
+        let mut matching = [u64::MAX; MAX_HOLDER_WORDS];
+        let matching = &mut matching[..words.min(MAX_HOLDER_WORDS)];
         for (index, block) in prefix.iter().enumerate() {
             let Some(holders) = self.holders.get(block) else {
                 break;
             };
             let mut any = 0;
-            for (word, bits) in alive.iter_mut().enumerate() {
+            for (word, bits) in matching.iter_mut().enumerate() {
                 *bits &= holders.get(word).copied().unwrap_or(0);
                 any |= *bits;
                 for_each_bit(*bits, |bit| {
@@ -126,9 +130,9 @@
     /// Applies a cache event; returns false if a gap made it forget the endpoint.
     pub fn apply(&mut self, endpoint: usize, event: &CacheEvent) -> bool {
         let expected = self.endpoints[endpoint].next_seq;
-        let whole = expected.is_none_or(|seq| seq == event.seq);
-        if !whole {
-            self.forget_uncertain(endpoint);
+        let in_sequence = expected.is_none_or(|seq| seq == event.seq);
+        if !in_sequence {
+            self.remove_uncertain(endpoint);
         }
         self.endpoints[endpoint].next_seq = Some(event.seq + 1);
         for &block in &event.evicted {
@@ -137,27 +141,27 @@
         for &block in event.stored.iter().rev() {
             self.insert(endpoint, block, false);
         }
-        whole
+        in_sequence
     }
 
     /// Forgets all that is believed of the endpoint.
-    pub fn forget(&mut self, endpoint: usize) {
-        let held = std::mem::take(&mut self.endpoints[endpoint]);
-        for block in held.blocks.keys() {
+    pub fn clear_endpoint(&mut self, endpoint: usize) {
+        let endpoint_blocks = std::mem::take(&mut self.endpoints[endpoint]);
+        for block in endpoint_blocks.blocks.keys() {
             self.drop_holder(*block, endpoint);
         }
     }
 
     /// Forgets what a missed event may have made untrue.
-    fn forget_uncertain(&mut self, endpoint: usize) {
-        let held = &self.endpoints[endpoint];
-        let recent = held
+    fn remove_uncertain(&mut self, endpoint: usize) {
+        let endpoint_blocks = &self.endpoints[endpoint];
+        let cutoff = endpoint_blocks
             .stamp
             .saturating_sub(self.capacity_blocks[endpoint] as u64 / 2);
-        let uncertain = held
+        let uncertain = endpoint_blocks
             .blocks
             .iter()
-            .filter(|(_, mark)| !mark.granted || mark.stamp <= recent);
+            .filter(|(_, block_use)| !block_use.granted || block_use.stamp <= cutoff);
         let uncertain: Vec<u64> = uncertain.map(|(block, _)| *block).collect();
         for block in uncertain {
             self.remove(endpoint, block);
@@ -165,14 +169,16 @@
     }
 
     fn insert(&mut self, endpoint: usize, block: u64, granted: bool) {
-        let held = &mut self.endpoints[endpoint];
-        held.stamp += 1;
-        let stamp = held.stamp;
-        held.order.push_back((block, stamp));
-        let before = held.blocks.get(&block).copied();
-        let granted = granted || before.is_some_and(|mark| mark.granted);
-        held.blocks.insert(block, Mark { stamp, granted });
-        if before.is_none() {
+        let endpoint_blocks = &mut self.endpoints[endpoint];
+        endpoint_blocks.stamp += 1;
+        let stamp = endpoint_blocks.stamp;
+        endpoint_blocks.order.push_back((block, stamp));
+        let previous = endpoint_blocks.blocks.get(&block).copied();
+        let granted = granted || previous.is_some_and(|block_use| block_use.granted);
+        endpoint_blocks
+            .blocks
+            .insert(block, BlockUse { stamp, granted });
+        if previous.is_none() {
             let holders = self.holders.entry(block).or_default();
             let word = endpoint / WORD_BITS;
             if holders.len() <= word {
@@ -186,22 +192,27 @@
     fn evict_over_capacity(&mut self, endpoint: usize) {
         let capacity = self.capacity_blocks[endpoint];
         loop {
-            let held = &mut self.endpoints[endpoint];
-            let crowded = held.blocks.len() > capacity;
+            let endpoint_blocks = &mut self.endpoints[endpoint];
+            let over_capacity = endpoint_blocks.blocks.len() > capacity;
             // Entries of `order` that were touched again later are stale; sweep them too.
-            if !crowded && held.order.len() <= 4 * capacity + 16 {
+            if !over_capacity && endpoint_blocks.order.len() <= 4 * capacity + 16 {
                 return;
             }
-            let Some((block, stamp)) = held.order.pop_front() else {
+            let Some((block, stamp)) = endpoint_blocks.order.pop_front() else {
                 return;
             };
-            if held.blocks.get(&block).map(|mark| mark.stamp) != Some(stamp) {
+            if endpoint_blocks
+                .blocks
+                .get(&block)
+                .map(|block_use| block_use.stamp)
+                != Some(stamp)
+            {
                 continue;
             }
-            if crowded {
+            if over_capacity {
                 self.remove(endpoint, block);
             } else {
-                held.order.push_back((block, stamp));
+                endpoint_blocks.order.push_back((block, stamp));
                 return;
             }
         }
@@ -224,7 +235,7 @@
 }
 
 /// Endpoints beyond this many words of bits are taken as holding nothing.
-const MAX_WORDS: usize = 64;
+const MAX_HOLDER_WORDS: usize = 64;
 
 fn for_each_bit(mut bits: u64, mut each: impl FnMut(usize)) {
     while bits != 0 {
--- a/src/core/queue.rs
+++ b/src/core/queue.rs
@@ -82,26 +82,26 @@
 
     /// Fills `out` with up to `limit` requests, in the order in which they should be tried.
     ///
-    /// `open` says whether an organisation is below its own ceiling.
+    /// `is_eligible` says whether an organisation is below its own ceiling.
     pub fn candidates(
         &self,
         limit: usize,
         slack: u64,
-        open: impl Fn(OrgIndex) -> bool,
+        is_eligible: impl Fn(OrgIndex) -> bool,
         out: &mut Vec<OrderKey>,
     ) {
         out.clear();
         let mut least = None;
-        let mut taken = 0;
+        let mut considered = 0;
         for &(served, organisation) in &self.active {
-            if !open(organisation) {
+            if !is_eligible(organisation) {
                 continue;
             }
             let least = *least.get_or_insert(served);
-            if served > least.saturating_add(slack) || taken == ORGANISATIONS_PER_CHOICE {
+            if served > least.saturating_add(slack) || considered == ORGANISATIONS_PER_CHOICE {
                 break;
             }
-            taken += 1;
+            considered += 1;
             let queue = &self.organisations[&organisation];
             out.extend(queue.waiting.iter().take(limit).copied());
         }
--- a/src/core/scheduler.rs
+++ b/src/core/scheduler.rs
@@ -28,12 +28,12 @@
 
 /// Where a known request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum RequestState {
     Waiting,
     /// Waits too, but is not expected to be in time as things stand; looked at again in turn.
-    Aside,
+    Deferred,
     /// Waits too, but could not be in time at an idle endpoint.
-    Hopeless,
+    Infeasible,
     Running(usize),
     Shedding,
 }
@@ -49,7 +49,7 @@
     /// A length that few answers pass.
     long_output_tokens: u32,
     key: OrderKey,
-    place: Place,
+    state: RequestState,
 }
 
 impl Tracked {
@@ -73,14 +73,14 @@
 enum Choice {
     Grant(usize, u32),
     Hold,
-    Aside(Prospect),
+    Defer(Feasibility),
 }
 
 /// Whether a request can be in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Prospect {
+enum Feasibility {
     /// Yes, as things stand.
-    Reachable,
+    Feasible,
     /// Only if endpoints get free sooner than expected.
     NotNow,
     /// Not even at an idle endpoint.
@@ -90,7 +90,7 @@
 /// The scheduler of one pool.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
-    me: Incarnation,
+    leader: Incarnation,
     policy: PolicySettings,
     spec: PoolSpec,
     endpoints: Vec<EndpointModel>,
@@ -98,21 +98,21 @@
     prefixes: PrefixMap,
     lengths: LengthModel,
     tiers: Vec<TierQueue>,
-    aside: Vec<BTreeSet<OrderKey>>,
-    hopeless: Vec<BTreeSet<OrderKey>>,
+    deferred: Vec<BTreeSet<OrderKey>>,
+    infeasible: Vec<BTreeSet<OrderKey>>,
     /// Where the next look at what was set aside begins, by tier.
-    next_look: Vec<OrderKey>,
+    recheck_from: Vec<OrderKey>,
     requests: HashMap<RequestId, Tracked>,
     registrations: BTreeMap<Incarnation, Registration>,
     organisations: Vec<Organisation>,
     org_by_name: HashMap<Name, OrgIndex>,
     round: LevelRound,
-    everyone: Vec<Incarnation>,
+    confirming_instances: Vec<Incarnation>,
     typical_service_us: f64,
     ticked_us: Micros,
     candidates: Vec<OrderKey>,
-    rooms: Vec<usize>,
-    has_room: Vec<bool>,
+    available_endpoints: Vec<usize>,
+    has_capacity: Vec<bool>,
     spare_tokens: Vec<f64>,
     cached_blocks: Vec<u32>,
     /// Something changed since the last decision that may allow a grant or a shed.
@@ -121,10 +121,10 @@
 
 impl Scheduler {
     /// Creates a scheduler that knows no endpoints yet.
-    pub fn new(me: Incarnation, policy: PolicySettings) -> Self {
+    pub fn new(leader: Incarnation, policy: PolicySettings) -> Self {
         let lengths = LengthModel::new(policy.prior_output_tokens);
         Self {
-            me,
+            leader,
             policy,
             spec: PoolSpec::default(),
             endpoints: Vec::new(),
@@ -132,20 +132,20 @@
             prefixes: PrefixMap::default(),
             lengths,
             tiers: Vec::new(),
-            aside: Vec::new(),
-            hopeless: Vec::new(),
-            next_look: Vec::new(),
+            deferred: Vec::new(),
+            infeasible: Vec::new(),
+            recheck_from: Vec::new(),
             requests: HashMap::new(),
             registrations: BTreeMap::new(),
             organisations: Vec::new(),
             org_by_name: HashMap::new(),
             round: LevelRound::default(),
-            everyone: Vec::new(),
+            confirming_instances: Vec::new(),
             typical_service_us: 500_000.0,
             ticked_us: 0,
             candidates: Vec::new(),
-            rooms: Vec::new(),
-            has_room: Vec::new(),
+            available_endpoints: Vec::new(),
+            has_capacity: Vec::new(),
             spare_tokens: Vec::new(),
             cached_blocks: Vec::new(),
             dirty: true,
@@ -157,9 +157,9 @@
         self.dirty = true;
         let tiers = spec.tiers.max(self.tiers.len());
         self.tiers.resize_with(tiers, TierQueue::default);
-        self.aside.resize_with(tiers, BTreeSet::new);
-        self.hopeless.resize_with(tiers, BTreeSet::new);
-        self.next_look.resize(tiers, OrderKey::default());
+        self.deferred.resize_with(tiers, BTreeSet::new);
+        self.infeasible.resize_with(tiers, BTreeSet::new);
+        self.recheck_from.resize(tiers, OrderKey::default());
         for known in &mut self.endpoints {
             if !spec.endpoints.iter().any(|e| e.name == known.spec.name) {
                 known.spec.draining = true;
@@ -181,8 +181,8 @@
     }
 
     /// Sets the instances that must hold a level before a tier above the lowest is shed.
-    pub fn set_confirming_instances(&mut self, everyone: Vec<Incarnation>) {
-        self.everyone = everyone;
+    pub fn set_confirming_instances(&mut self, confirming_instances: Vec<Incarnation>) {
+        self.confirming_instances = confirming_instances;
     }
 
     /// Takes an input; [`Scheduler::decide`] says what follows.
@@ -194,20 +194,22 @@
             Input::Adopt(registration, meta, endpoint) => {
                 self.adopt(now_us, registration, meta, &endpoint);
             }
-            Input::Withdraw(id) => self.forget(now_us, id),
-            Input::Returned(id) => self.returned(now_us, id),
+            Input::Withdraw(id) => self.remove_request(now_us, id),
+            Input::Returned(id) => self.requeue(now_us, id),
             Input::OrderRejected(registration, id, waits) => {
-                self.not_taken(now_us, registration, id, waits);
+                self.order_rejected(now_us, registration, id, waits);
             }
             Input::FirstToken(id) => self.first_token(now_us, id),
             Input::Progress(id, tokens, span_us) => self.progress(now_us, id, tokens, span_us),
             Input::Finished(id, tokens) => self.finished(now_us, id, tokens),
-            Input::AnswerLength(seen) => self.lengths.observe(&seen),
+            Input::ObservedLength(seen) => self.lengths.observe(&seen),
             Input::Load(endpoint, report) => self.load(now_us, &endpoint, report),
             Input::Cache(endpoint, event) => self.cache(&endpoint, &event),
-            Input::Quarantine(endpoint, until_us) => self.suspect(&endpoint, until_us),
-            Input::LevelReply(from, ask, held) => self.round.answer(now_us, from, ask, held),
-            Input::EntryRemoved(entry) => self.gone(now_us, entry),
+            Input::Quarantine(endpoint, until_us) => self.quarantine(&endpoint, until_us),
+            Input::LevelReply(from, request, held) => {
+                self.round.record_reply(now_us, from, request, held)
+            }
+            Input::EntryRemoved(entry) => self.remove_entry(now_us, entry),
         }
     }
 
@@ -221,7 +223,7 @@
                 endpoint.tick(now_us, since_us);
             }
         }
-        self.look_again(now_us);
+        self.recheck_deferred(now_us);
     }
 
     /// Appends all that can be decided now to `out`.
@@ -237,7 +239,9 @@
 
     /// Returns how many requests wait in each tier.
     pub fn waiting_by_tier(&self) -> Vec<usize> {
-        (0..self.tiers.len()).map(|r| self.kept(r)).collect()
+        (0..self.tiers.len())
+            .map(|r| self.waiting_count(r))
+            .collect()
     }
 
     /// Returns the endpoints as they are seen.
@@ -254,14 +258,18 @@
 
     /// Returns the waiting requests.
     pub fn waiting(&self, now_us: Micros) -> impl Iterator<Item = WaitingView> + '_ {
-        let waits =
-            |t: &&Tracked| matches!(t.place, Place::Waiting | Place::Aside | Place::Hopeless);
+        let waits = |t: &&Tracked| {
+            matches!(
+                t.state,
+                RequestState::Waiting | RequestState::Deferred | RequestState::Infeasible
+            )
+        };
         self.requests.values().filter(waits).map(move |t| {
             let waited_us = now_us.saturating_sub(t.arrived_us);
             WaitingView {
                 meta: t.meta.clone(),
                 waited_us,
-                hopeless: t.place == Place::Hopeless,
+                hopeless: t.state == RequestState::Infeasible,
             }
         })
     }
@@ -270,23 +278,23 @@
     pub fn explain(&self, now_us: Micros, id: RequestId) -> Option<String> {
         let tracked = self.requests.get(&id)?;
         let left_ms = tracked.deadline_us.saturating_sub(now_us) / 1_000;
-        Some(match tracked.place {
-            Place::Running(endpoint) => {
+        Some(match tracked.state {
+            RequestState::Running(endpoint) => {
                 format!("granted to {}", self.endpoints[endpoint].spec.name)
             }
-            Place::Shedding => "being shed".to_owned(),
-            Place::Hopeless => format!(
+            RequestState::Shedding => "being shed".to_owned(),
+            RequestState::Infeasible => format!(
                 "no endpoint is expected to finish its {} prompt and about {} output tokens in the \
                  {left_ms} ms left; kept while a lower tier is kept, or until its deadline",
                 tracked.meta.prompt_tokens, tracked.output_tokens
             ),
-            Place::Waiting | Place::Aside => {
+            RequestState::Waiting | RequestState::Deferred => {
                 let room = self.endpoints.iter();
                 let room = room
-                    .filter(|e| e.has_room(now_us, tracked.meta.rank, PREFILL_AHEAD_US))
+                    .filter(|e| e.has_capacity(now_us, tracked.meta.rank, PREFILL_AHEAD_US))
                     .count();
                 let above: usize = (0..usize::from(tracked.meta.rank))
-                    .map(|r| self.kept(r))
+                    .map(|r| self.waiting_count(r))
                     .sum();
                 let ceiling = &self.organisations[tracked.organisation];
                 let capped = ceiling
@@ -301,15 +309,15 @@
                 format!(
                     "waits with {} of its tier, {above} above; {room} of {} endpoints have room; \
                      {left_ms} ms left{cap}",
-                    self.kept(usize::from(tracked.meta.rank)),
+                    self.waiting_count(usize::from(tracked.meta.rank)),
                     self.endpoints.len()
                 )
             }
         })
     }
 
-    fn kept(&self, rank: usize) -> usize {
-        self.tiers[rank].len() + self.aside[rank].len() + self.hopeless[rank].len()
+    fn waiting_count(&self, rank: usize) -> usize {
+        self.tiers[rank].len() + self.deferred[rank].len() + self.infeasible[rank].len()
     }
 
     fn set_endpoint(&mut self, spec: &EndpointSpec) {
@@ -352,7 +360,7 @@
             .map(|t| t.meta.id)
             .collect();
         for id in held {
-            self.forget(now_us, id);
+            self.remove_request(now_us, id);
         }
         self.registrations.insert(registration.entry, registration);
     }
@@ -382,7 +390,7 @@
             output_tokens,
             long_output_tokens,
             key: (order, meta.id),
-            place: Place::Waiting,
+            state: RequestState::Waiting,
             meta,
         }
     }
@@ -433,29 +441,29 @@
             return;
         }
         let mut tracked = self.track(now_us, registration, meta);
-        tracked.place = Place::Running(index);
+        tracked.state = RequestState::Running(index);
         self.endpoints[index].adopt(now_us, tracked.granted(0));
         self.organisations[tracked.organisation].running += 1;
         self.requests.insert(tracked.meta.id, tracked);
     }
 
-    fn forget(&mut self, now_us: Micros, id: RequestId) {
+    fn remove_request(&mut self, now_us: Micros, id: RequestId) {
         let Some(tracked) = self.requests.remove(&id) else {
             return;
         };
         let rank = usize::from(tracked.meta.rank);
-        match tracked.place {
-            Place::Waiting => {
+        match tracked.state {
+            RequestState::Waiting => {
                 self.tiers[rank].remove(tracked.organisation, tracked.key);
             }
-            Place::Aside => {
-                self.aside[rank].remove(&tracked.key);
+            RequestState::Deferred => {
+                self.deferred[rank].remove(&tracked.key);
             }
-            Place::Hopeless => {
-                self.hopeless[rank].remove(&tracked.key);
+            RequestState::Infeasible => {
+                self.infeasible[rank].remove(&tracked.key);
             }
-            Place::Running(endpoint) => self.release(now_us, endpoint, &tracked),
-            Place::Shedding => {}
+            RequestState::Running(endpoint) => self.release(now_us, endpoint, &tracked),
+            RequestState::Shedding => {}
         }
     }
 
@@ -465,22 +473,22 @@
         organisation.running = organisation.running.saturating_sub(1);
     }
 
-    fn returned(&mut self, now_us: Micros, id: RequestId) {
+    fn requeue(&mut self, now_us: Micros, id: RequestId) {
         let Some(mut tracked) = self.requests.remove(&id) else {
             return;
         };
-        if let Place::Running(endpoint) = tracked.place {
+        if let RequestState::Running(endpoint) = tracked.state {
             self.release(now_us, endpoint, &tracked);
         }
         let rank = usize::from(tracked.meta.rank);
-        self.aside[rank].remove(&tracked.key);
-        self.hopeless[rank].remove(&tracked.key);
-        tracked.place = Place::Waiting;
+        self.deferred[rank].remove(&tracked.key);
+        self.infeasible[rank].remove(&tracked.key);
+        tracked.state = RequestState::Waiting;
         self.tiers[rank].insert(tracked.organisation, tracked.key);
         self.requests.insert(id, tracked);
     }
 
-    fn not_taken(
+    fn order_rejected(
         &mut self,
         now_us: Micros,
         registration: Registration,
@@ -492,9 +500,9 @@
             return;
         }
         if waits {
-            self.returned(now_us, id);
+            self.requeue(now_us, id);
         } else {
-            self.forget(now_us, id);
+            self.remove_request(now_us, id);
         }
     }
 
@@ -514,8 +522,8 @@
     }
 
     fn running_at(&self, id: RequestId) -> Option<usize> {
-        match self.requests.get(&id)?.place {
-            Place::Running(endpoint) => Some(endpoint),
+        match self.requests.get(&id)?.state {
+            RequestState::Running(endpoint) => Some(endpoint),
             _ => None,
         }
     }
@@ -535,12 +543,12 @@
             let took_us = now_us.saturating_sub(tracked.arrived_us) as f64;
             self.typical_service_us += (took_us - self.typical_service_us) * 0.02;
         }
-        self.forget(now_us, id);
+        self.remove_request(now_us, id);
     }
 
     fn load(&mut self, now_us: Micros, endpoint: &Name, report: LoadReport) {
         if let Some(&index) = self.by_name.get(endpoint) {
-            self.endpoints[index].report(now_us, report);
+            self.endpoints[index].record_load_report(now_us, report);
         }
     }
 
@@ -550,22 +558,22 @@
         }
     }
 
-    fn suspect(&mut self, endpoint: &Name, until_us: Micros) {
+    fn quarantine(&mut self, endpoint: &Name, until_us: Micros) {
         if let Some(&index) = self.by_name.get(endpoint) {
-            self.endpoints[index].suspect(until_us);
-            self.prefixes.forget(index);
+            self.endpoints[index].quarantine(until_us);
+            self.prefixes.clear_endpoint(index);
         }
     }
 
-    fn gone(&mut self, now_us: Micros, entry: Incarnation) {
+    fn remove_entry(&mut self, now_us: Micros, entry: Incarnation) {
         let registration = Registration { entry, epoch: 0 };
         self.attach(now_us, registration);
         self.registrations.remove(&entry);
     }
 
     fn grant_one(&mut self, now_us: Micros, rank: usize, out: &mut Vec<Action>) -> bool {
-        self.find_rooms(now_us, rank as Rank);
-        if self.rooms.is_empty() {
+        self.find_available_endpoints(now_us, rank as Rank);
+        if self.available_endpoints.is_empty() {
             return false;
         }
         let mut candidates = std::mem::take(&mut self.candidates);
@@ -579,7 +587,7 @@
                     granted = true;
                     break;
                 }
-                Choice::Aside(prospect) => self.set_aside(rank, (order, id), prospect),
+                Choice::Defer(feasibility) => self.defer(rank, (order, id), feasibility),
                 Choice::Hold => {}
             }
         }
@@ -587,21 +595,21 @@
         granted
     }
 
-    fn find_rooms(&mut self, now_us: Micros, rank: Rank) {
-        self.rooms.clear();
-        self.has_room.clear();
+    fn find_available_endpoints(&mut self, now_us: Micros, rank: Rank) {
+        self.available_endpoints.clear();
+        self.has_capacity.clear();
         self.spare_tokens.clear();
         for (index, endpoint) in self.endpoints.iter().enumerate() {
-            let has_room = endpoint.has_room(now_us, rank, PREFILL_AHEAD_US);
-            self.has_room.push(has_room);
-            let spare = if has_room {
+            let has_capacity = endpoint.has_capacity(now_us, rank, PREFILL_AHEAD_US);
+            self.has_capacity.push(has_capacity);
+            let spare = if has_capacity {
                 endpoint.spare_tokens(now_us, rank)
             } else {
                 0.0
             };
             self.spare_tokens.push(spare);
-            if has_room {
-                self.rooms.push(index);
+            if has_capacity {
+                self.available_endpoints.push(index);
             }
         }
     }
@@ -624,8 +632,8 @@
     fn choose(&self, now_us: Micros, tracked: &Tracked) -> Choice {
         let left_us = tracked.deadline_us.saturating_sub(now_us) as f64;
         let mut best: Option<(f64, usize, u32)> = None;
-        for &index in &self.rooms {
-            if !self.keeps_event_room(now_us, tracked, index) {
+        for &index in &self.available_endpoints {
+            if !self.respects_event_reserve(now_us, tracked, index) {
                 continue;
             }
             let uncached = self.uncached_tokens(index, &tracked.meta);
@@ -638,10 +646,10 @@
             if self.policy.deadline_check && finish_us > left_us {
                 continue;
             }
-            if self.policy.protect_streams && !self.is_spared(index, uncached) {
+            if self.policy.protect_streams && !self.fits_spare_tokens(index, uncached) {
                 continue;
             }
-            let long_us = self.finish_if_long(now_us, tracked, index, uncached);
+            let long_us = self.long_finish_us(now_us, tracked, index, uncached);
             let over_us = (long_us - left_us).max(0.0);
             let cost =
                 self.cost(index, finish_us, left_us, uncached) + over_us * self.policy.risk_weight;
@@ -650,12 +658,12 @@
             }
         }
         let Some((cost, index, uncached)) = best else {
-            return match self.prospect(now_us, tracked, left_us) {
-                Prospect::Reachable => Choice::Hold,
-                prospect => Choice::Aside(prospect),
+            return match self.feasibility(now_us, tracked, left_us) {
+                Feasibility::Feasible => Choice::Hold,
+                feasibility => Choice::Defer(feasibility),
             };
         };
-        if self.policy.prefix_affinity && self.better_to_wait(now_us, tracked, cost, left_us) {
+        if self.policy.prefix_affinity && self.is_worth_waiting(now_us, tracked, cost, left_us) {
             return Choice::Hold;
         }
         Choice::Grant(index, uncached)
@@ -665,7 +673,8 @@
     fn look_up_cached(&mut self, id: RequestId) {
         if let Some(tracked) = self.requests.get(&id) {
             let prefix = &tracked.meta.prefix;
-            self.prefixes.cached_at_all(prefix, &mut self.cached_blocks);
+            self.prefixes
+                .cached_at_each(prefix, &mut self.cached_blocks);
         }
     }
 
@@ -680,11 +689,11 @@
     }
 
     /// Returns whether the endpoint's streams, of this tier and above, can spare the prompt work.
-    fn is_spared(&self, index: usize, uncached: u32) -> bool {
+    fn fits_spare_tokens(&self, index: usize, uncached: u32) -> bool {
         f64::from(uncached) <= self.spare_tokens[index]
     }
 
-    fn finish_if_long(
+    fn long_finish_us(
         &self,
         now_us: Micros,
         tracked: &Tracked,
@@ -706,11 +715,11 @@
     }
 
     /// Returns whether an endpoint that holds the prefix but has no room now is worth waiting for.
-    fn better_to_wait(&self, now_us: Micros, tracked: &Tracked, cost: f64, left_us: f64) -> bool {
+    fn is_worth_waiting(&self, now_us: Micros, tracked: &Tracked, cost: f64, left_us: f64) -> bool {
         let service_us = self.typical_service_us;
         self.endpoints.iter().enumerate().any(|(index, endpoint)| {
             let holds = self.cached_blocks[index] > 0;
-            if !holds || endpoint.spec.draining || self.has_room[index] {
+            if !holds || endpoint.spec.draining || self.has_capacity[index] {
                 return false;
             }
             let uncached = self.uncached_tokens(index, &tracked.meta);
@@ -721,11 +730,11 @@
         })
     }
 
-    fn prospect(&self, now_us: Micros, tracked: &Tracked, left_us: f64) -> Prospect {
+    fn feasibility(&self, now_us: Micros, tracked: &Tracked, left_us: f64) -> Feasibility {
         if !self.policy.deadline_check {
-            return Prospect::Reachable;
+            return Feasibility::Feasible;
         }
-        let mut prospect = Prospect::Never;
+        let mut feasibility = Feasibility::Never;
         let output_tokens = tracked.output_tokens;
         for (index, endpoint) in self.endpoints.iter().enumerate() {
             if endpoint.spec.draining {
@@ -735,18 +744,18 @@
             if endpoint.idle_finish_us(uncached, output_tokens) > left_us {
                 continue;
             }
-            prospect = Prospect::NotNow;
+            feasibility = Feasibility::NotNow;
             let wait_us = endpoint.slot_wait_us(self.typical_service_us);
             let finish_us = endpoint.finish_us(now_us, tracked.meta.rank, uncached, output_tokens);
             if wait_us + finish_us <= left_us {
-                return Prospect::Reachable;
+                return Feasibility::Feasible;
             }
         }
-        prospect
+        feasibility
     }
 
     /// Returns whether a request of a lower tier leaves the room that an event is kept.
-    fn keeps_event_room(&self, now_us: Micros, tracked: &Tracked, index: usize) -> bool {
+    fn respects_event_reserve(&self, now_us: Micros, tracked: &Tracked, index: usize) -> bool {
         if !self.policy.event_room {
             return true;
         }
@@ -779,7 +788,7 @@
             return;
         };
         let rank = usize::from(tracked.meta.rank);
-        tracked.place = Place::Running(endpoint);
+        tracked.state = RequestState::Running(endpoint);
         self.tiers[rank].remove(tracked.organisation, tracked.key);
         let model = &mut self.endpoints[endpoint];
         model.grant(now_us, tracked.granted(uncached));
@@ -798,80 +807,85 @@
         });
     }
 
-    fn set_aside(&mut self, rank: usize, key: OrderKey, prospect: Prospect) {
+    fn defer(&mut self, rank: usize, key: OrderKey, feasibility: Feasibility) {
         let Some(tracked) = self.requests.get_mut(&key.1) else {
             return;
         };
         self.tiers[rank].remove(tracked.organisation, key);
-        self.aside[rank].remove(&key);
-        self.hopeless[rank].remove(&key);
-        if prospect == Prospect::Never {
-            tracked.place = Place::Hopeless;
-            self.hopeless[rank].insert(key);
+        self.deferred[rank].remove(&key);
+        self.infeasible[rank].remove(&key);
+        if feasibility == Feasibility::Never {
+            tracked.state = RequestState::Infeasible;
+            self.infeasible[rank].insert(key);
         } else {
-            tracked.place = Place::Aside;
-            self.aside[rank].insert(key);
+            tracked.state = RequestState::Deferred;
+            self.deferred[rank].insert(key);
         }
     }
 
-    fn look_again(&mut self, now_us: Micros) {
-        for rank in 0..self.aside.len() {
-            for key in self.next_looks(rank) {
+    fn recheck_deferred(&mut self, now_us: Micros) {
+        for rank in 0..self.deferred.len() {
+            for key in self.next_rechecks(rank) {
                 self.look_up_cached(key.1);
                 let tracked = &self.requests[&key.1];
                 let left_us = tracked.deadline_us.saturating_sub(now_us) as f64;
-                match self.prospect(now_us, tracked, left_us) {
-                    Prospect::Reachable => self.returned(now_us, key.1),
-                    prospect => self.set_aside(rank, key, prospect),
+                match self.feasibility(now_us, tracked, left_us) {
+                    Feasibility::Feasible => self.requeue(now_us, key.1),
+                    feasibility => self.defer(rank, key, feasibility),
                 }
             }
         }
     }
 
     /// Returns the next few requests of those set aside, in turn.
-    fn next_looks(&mut self, rank: usize) -> Vec<OrderKey> {
-        let from = self.next_look[rank];
-        let aside = self.aside[rank].range((Bound::Excluded(from), Bound::Unbounded));
-        let mut keys: Vec<OrderKey> = aside.take(RECHECKS_PER_TICK).copied().collect();
-        // Back to the start at the end of the round; endpoints that recover may save the hopeless.
-        self.next_look[rank] = keys.last().copied().unwrap_or_default();
-        keys.extend(self.hopeless[rank].iter().next_back());
+    fn next_rechecks(&mut self, rank: usize) -> Vec<OrderKey> {
+        let from = self.recheck_from[rank];
+        let deferred = self.deferred[rank].range((Bound::Excluded(from), Bound::Unbounded));
+        let mut keys: Vec<OrderKey> = deferred.take(RECHECKS_PER_TICK).copied().collect();
+        // Back to the start at the end of the round; endpoints that recover may save the infeasible.
+        self.recheck_from[rank] = keys.last().copied().unwrap_or_default();
+        keys.extend(self.infeasible[rank].iter().next_back());
         keys
     }
 
     /// Sheds what was given up and what is over the limit, lowest tier first.
     fn shed(&mut self, now_us: Micros, out: &mut Vec<Action>) {
-        let Some(rank) = (0..self.tiers.len()).rev().find(|r| self.kept(*r) > 0) else {
+        let Some(rank) = (0..self.tiers.len())
+            .rev()
+            .find(|r| self.waiting_count(*r) > 0)
+        else {
             return;
         };
-        let waiting: usize = (0..self.tiers.len()).map(|r| self.kept(r)).sum();
+        let waiting: usize = (0..self.tiers.len()).map(|r| self.waiting_count(r)).sum();
         let over = waiting.saturating_sub(self.policy.max_waiting);
         let needed = shedding::level_needed(rank as Rank, self.spec.tiers);
         if self.round.confirmed(now_us) < needed {
             if over > 0 {
-                let everyone = self.everyone.iter().copied();
-                let ask = self.round.next_ask(now_us, self.me, needed, everyone);
-                out.extend(ask.map(Action::RequestLevel));
+                let confirming_instances = self.confirming_instances.iter().copied();
+                let request =
+                    self.round
+                        .next_request(now_us, self.leader, needed, confirming_instances);
+                out.extend(request.map(Action::RequestLevel));
             }
             return;
         }
-        while let Some(key) = self.hopeless[rank].pop_first() {
+        while let Some(key) = self.infeasible[rank].pop_first() {
             self.shed_one(key.1, ShedReason::DeadlineUnreachable, out);
         }
-        let left = waiting - (waiting - self.total_kept());
+        let left = waiting - (waiting - self.total_waiting());
         for _ in self.policy.max_waiting..left {
             let Some((_, key)) = self.tiers[rank].last() else {
                 break;
             };
             self.shed_one(key.1, ShedReason::QueueFull, out);
         }
-        if self.kept(rank) == 0 && rank > 0 {
+        if self.waiting_count(rank) == 0 && rank > 0 {
             self.shed(now_us, out);
         }
     }
 
-    fn total_kept(&self) -> usize {
-        (0..self.tiers.len()).map(|r| self.kept(r)).sum()
+    fn total_waiting(&self) -> usize {
+        (0..self.tiers.len()).map(|r| self.waiting_count(r)).sum()
     }
 
     fn shed_one(&mut self, id: RequestId, reason: ShedReason, out: &mut Vec<Action>) {
@@ -882,7 +896,7 @@
         };
         let rank = usize::from(tracked.meta.rank);
         self.tiers[rank].remove(tracked.organisation, tracked.key);
-        tracked.place = Place::Shedding;
+        tracked.state = RequestState::Shedding;
         out.push(Action::Shed {
             registration: tracked.registration,
             id,
@@ -896,7 +910,7 @@
     /// request's id so that callers refused together do not return together.
     fn retry_after_ms(&self, id: RequestId) -> u32 {
         let slots: u32 = self.endpoints.iter().map(|e| e.spec.slots).sum();
-        let waves = self.total_kept() as f64 / f64::from(slots.max(1));
+        let waves = self.total_waiting() as f64 / f64::from(slots.max(1));
         let base_ms = (self.typical_service_us / 1e3 * (1.0 + waves)).clamp(250.0, 60_000.0);
         let spread = id.seq.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 48;
         (base_ms * (1.0 + spread as f64 / 65_536.0)) as u32
--- a/src/core/shedding.rs
+++ b/src/core/shedding.rs
@@ -59,7 +59,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Hold {
-    ask: LevelRequest,
+    request: LevelRequest,
     since_us: Micros,
     until_us: Micros,
 }
@@ -67,21 +67,23 @@
 impl HeldLevel {
     /// Answers a leader; true means that the level is now held.
     ///
-    /// `keeps` says whether the instance keeps a request of the tiers that the level clears. The
+    /// `has_waiting` says whether the instance keeps a request of the tiers that the level clears. The
     /// first level may be refused to arrivals at once; a higher one needs the level below it, of
     /// the same chain, confirmed no longer than [`STEP_US`] ago.
-    pub fn try_hold(&mut self, now_us: Micros, ask: LevelRequest, keeps: bool) -> bool {
+    pub fn try_hold(&mut self, now_us: Micros, request: LevelRequest, has_waiting: bool) -> bool {
         self.held.retain(|h| h.until_us > now_us);
-        if ask.level > 1 && !self.acts_on(now_us, ask.leader, ask.chain, ask.level - 1) {
+        if request.level > 1
+            && !self.is_in_force(now_us, request.leader, request.chain, request.level - 1)
+        {
             return false;
         }
-        if keeps {
+        if has_waiting {
             return false;
         }
         self.held.push(Hold {
-            ask,
+            request,
             since_us: now_us,
-            until_us: now_us + hold_us(ask.level),
+            until_us: now_us + hold_us(request.level),
         });
         true
     }
@@ -91,7 +93,7 @@
         let needed = level_needed(rank, tiers) + 1;
         self.held
             .iter()
-            .any(|h| h.ask.level >= needed && h.until_us > now_us)
+            .any(|h| h.request.level >= needed && h.until_us > now_us)
     }
 
     /// Returns whether the leader's order to shed `rank` may be followed now.
@@ -104,12 +106,13 @@
         tiers: usize,
     ) -> bool {
         let needed = level_needed(rank, tiers);
-        needed == 0 || self.acts_on(now_us, leader, chain, needed)
+        needed == 0 || self.is_in_force(now_us, leader, chain, needed)
     }
 
-    fn acts_on(&self, now_us: Micros, leader: Incarnation, chain: u64, level: u8) -> bool {
+    fn is_in_force(&self, now_us: Micros, leader: Incarnation, chain: u64, level: u8) -> bool {
         self.held.iter().any(|h| {
-            let same = h.ask.leader == leader && h.ask.chain == chain && h.ask.level == level;
+            let same =
+                h.request.leader == leader && h.request.chain == chain && h.request.level == level;
             same && now_us <= h.since_us + STEP_US
         })
     }
@@ -120,8 +123,8 @@
 pub struct LevelRound {
     chain: u64,
     level: u8,
-    asked_us: Micros,
-    missing: BTreeSet<Incarnation>,
+    requested_us: Micros,
+    unconfirmed: BTreeSet<Incarnation>,
     confirmed: u8,
     confirmed_us: Micros,
     refused: bool,
@@ -141,24 +144,24 @@
         self.confirmed
     }
 
-    /// Asks for the next step towards `wanted`, or returns none while an answer is outstanding.
-    pub fn next_ask(
+    /// Asks for the next step towards `target`, or returns none while an answer is outstanding.
+    pub fn next_request(
         &mut self,
         now_us: Micros,
         leader: Incarnation,
-        wanted: u8,
-        everyone: impl IntoIterator<Item = Incarnation>,
+        target: u8,
+        instances: impl IntoIterator<Item = Incarnation>,
     ) -> Option<LevelRequest> {
-        let waiting = !self.missing.is_empty() && !self.refused;
-        if waiting && now_us.saturating_sub(self.asked_us) <= CONFIRM_US {
+        let waiting = !self.unconfirmed.is_empty() && !self.refused;
+        if waiting && now_us.saturating_sub(self.requested_us) <= CONFIRM_US {
             return None;
         }
-        let done = self.confirmed(now_us) >= wanted;
+        let done = self.confirmed(now_us) >= target;
         let fresh = now_us.saturating_sub(self.confirmed_us) < STEP_US / 2;
         if done && fresh {
             return None;
         }
-        if self.refused && now_us.saturating_sub(self.asked_us) < CONFIRM_US / 4 {
+        if self.refused && now_us.saturating_sub(self.requested_us) < CONFIRM_US / 4 {
             return None;
         }
         let failed = waiting || self.refused;
@@ -168,9 +171,9 @@
             self.level = 0;
         }
         self.level += 1;
-        self.asked_us = now_us;
+        self.requested_us = now_us;
         self.refused = false;
-        self.missing = everyone.into_iter().collect();
+        self.unconfirmed = instances.into_iter().collect();
         Some(LevelRequest {
             leader,
             chain: self.chain,
@@ -179,21 +182,27 @@
     }
 
     /// Takes an instance's answer.
-    pub fn answer(&mut self, now_us: Micros, from: Incarnation, ask: LevelRequest, held: bool) {
-        if ask.chain != self.chain || ask.level != self.level {
+    pub fn record_reply(
+        &mut self,
+        now_us: Micros,
+        from: Incarnation,
+        request: LevelRequest,
+        held: bool,
+    ) {
+        if request.chain != self.chain || request.level != self.level {
             return;
         }
-        if now_us.saturating_sub(self.asked_us) > CONFIRM_US {
+        if now_us.saturating_sub(self.requested_us) > CONFIRM_US {
             return;
         }
         if !held {
             self.refused = true;
             return;
         }
-        if self.missing.remove(&from) && self.missing.is_empty() && !self.refused {
+        if self.unconfirmed.remove(&from) && self.unconfirmed.is_empty() && !self.refused {
             self.confirmed = self.level;
             // Counted from the asking: confirmations are no older than that.
-            self.confirmed_us = self.asked_us;
+            self.confirmed_us = self.requested_us;
         }
     }
 }
--- a/src/pool/leader.rs
+++ b/src/pool/leader.rs
@@ -31,20 +31,20 @@
 };
 
 /// A new leader grants nothing until all present have registered, or for this long.
-const SETTLE: Duration = Duration::from_millis(300);
-const TICK: Duration = Duration::from_millis(20);
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(300);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
-const ENDPOINT_REST_US: u64 = 1_000_000;
+const ENDPOINT_QUARANTINE_US: u64 = 1_000_000;
 
 /// What a leader's task is sent.
 enum Message {
     Updates(UpdateBatch, oneshot::Sender<Result<(), UpdatesRefused>>),
     Replies(Vec<(Order, OrderReply)>),
     Unreachable(Incarnation),
-    Level(Incarnation, LevelRequest, bool),
+    LevelReply(Incarnation, LevelRequest, bool),
     Load(Name, LoadReport),
     Cache(Name, CacheEvent),
-    Look(oneshot::Sender<PoolView>),
+    View(oneshot::Sender<PoolView>),
     Explain(RequestId, oneshot::Sender<Option<String>>),
 }
 
@@ -63,7 +63,7 @@
     pub entries: Vec<Registration>,
 }
 
-const WAITING_IN_VIEW: usize = 1_000;
+const MAX_WAITING_IN_VIEW: usize = 1_000;
 
 /// The pools that this instance leads.
 #[derive(Default)]
@@ -81,8 +81,8 @@
         instance: &Arc<Instance<S>>,
         batch: UpdateBatch,
     ) -> Result<(), UpdatesRefused> {
-        let for_me = batch.leader == instance.incarnation;
-        if !for_me
+        let addressed_here = batch.leader == instance.incarnation;
+        if !addressed_here
             || !instance
                 .gossip
                 .view()
@@ -105,7 +105,7 @@
         let mut views = Vec::new();
         for task in tasks {
             let (sender, answer) = oneshot::channel();
-            if task.send(Message::Look(sender)).is_ok() {
+            if task.send(Message::View(sender)).is_ok() {
                 views.extend(answer.await.ok());
             }
         }
@@ -124,9 +124,9 @@
         for (pool, task) in tasks {
             let (sender, answer) = oneshot::channel();
             if task.send(Message::Explain(id, sender)).is_ok()
-                && let Ok(Some(why)) = answer.await
+                && let Ok(Some(explanation)) = answer.await
             {
-                known.push((pool, why));
+                known.push((pool, explanation));
             }
         }
         known
@@ -134,15 +134,15 @@
 
     /// Passes on an endpoint's load report, if the pool is led here.
     pub fn forward_load_report(&self, pool: &Name, endpoint: Name, report: LoadReport) {
-        self.tell(pool, Message::Load(endpoint, report));
+        self.send(pool, Message::Load(endpoint, report));
     }
 
     /// Passes on an endpoint's cache event, if the pool is led here.
     pub fn forward_cache_event(&self, pool: &Name, endpoint: Name, event: CacheEvent) {
-        self.tell(pool, Message::Cache(endpoint, event));
+        self.send(pool, Message::Cache(endpoint, event));
     }
 
-    fn tell(&self, pool: &Name, message: Message) {
+    fn send(&self, pool: &Name, message: Message) {
         if let Some(task) = self.lock().get(pool) {
             // A task that has ended leads no more.
             let _ = task.send(message);
@@ -175,13 +175,17 @@
     pool: Name,
     scheduler: Scheduler,
     registrations: HashMap<Incarnation, Registration>,
-    me: mpsc::WeakUnboundedSender<Message>,
+    inbox: mpsc::WeakUnboundedSender<Message>,
     started: time::Instant,
     actions: Vec<Action>,
 }
 
 impl<S: Store> Leader<S> {
-    fn new(instance: Arc<Instance<S>>, pool: Name, me: mpsc::WeakUnboundedSender<Message>) -> Self {
+    fn new(
+        instance: Arc<Instance<S>>,
+        pool: Name,
+        inbox: mpsc::WeakUnboundedSender<Message>,
+    ) -> Self {
         let config = instance.config.current();
         let policy = slice::policy(&config.config, &pool);
         Self {
@@ -189,7 +193,7 @@
             instance,
             pool,
             registrations: HashMap::new(),
-            me,
+            inbox,
             started: time::Instant::now(),
             actions: Vec::new(),
         }
@@ -200,10 +204,10 @@
         self.instance.metrics.leads_taken.inc();
         let mut view = self.instance.gossip.watch();
         let mut config = self.instance.config.watch();
-        let mut tick = time::interval(TICK);
+        let mut tick = time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         self.configure();
-        self.meet();
+        self.apply_membership();
         let mut batch = Vec::new();
         loop {
             tokio::select! {
@@ -211,7 +215,7 @@
                     if !view.borrow_and_update().leads(&slice::leader_key(&self.pool)) {
                         break;
                     }
-                    self.meet();
+                    self.apply_membership();
                 }
                 _ = config.changed() => self.configure(),
                 _ = tick.tick() => self.scheduler.tick(self.instance.clock.now_us()),
@@ -220,7 +224,7 @@
                         break;
                     }
                     for message in batch.drain(..) {
-                        self.take(message);
+                        self.handle(message);
                     }
                 }
             }
@@ -240,16 +244,16 @@
     }
 
     /// Looks who is there: the gone hold nothing any more, the rest must be asked before a shed.
-    fn meet(&mut self) {
+    fn apply_membership(&mut self) {
         let view = self.instance.gossip.view();
         let now_us = self.instance.clock.now_us();
-        let gone: Vec<Incarnation> = self
+        let absent: Vec<Incarnation> = self
             .registrations
             .keys()
             .filter(|i| !view.member(**i).is_some_and(|m| m.is_present()))
             .copied()
             .collect();
-        for entry in gone {
+        for entry in absent {
             self.registrations.remove(&entry);
             self.scheduler.handle(now_us, Input::EntryRemoved(entry));
         }
@@ -258,7 +262,7 @@
     }
 
     fn is_settled(&self) -> bool {
-        if self.started.elapsed() > SETTLE {
+        if self.started.elapsed() > SETTLE_TIMEOUT {
             return true;
         }
         let view = self.instance.gossip.view();
@@ -266,23 +270,23 @@
             .all(|m| self.registrations.contains_key(&m.info.incarnation))
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         let now_us = self.instance.clock.now_us();
         match message {
             Message::Updates(batch, answer) => {
-                let taken = self.take_updates(now_us, batch);
+                let result = self.handle_updates(now_us, batch);
                 // An entry that has gone will register with the next leader.
-                let _ = answer.send(taken);
+                let _ = answer.send(result);
             }
-            Message::Replies(replies) => self.take_replies(now_us, replies),
+            Message::Replies(replies) => self.handle_replies(now_us, replies),
             Message::Unreachable(entry) => {
                 // What it took is not known: it has to register anew.
                 self.registrations.remove(&entry);
                 self.scheduler.handle(now_us, Input::EntryRemoved(entry));
             }
-            Message::Level(from, ask, held) => {
+            Message::LevelReply(from, request, held) => {
                 self.scheduler
-                    .handle(now_us, Input::LevelReply(from, ask, held));
+                    .handle(now_us, Input::LevelReply(from, request, held));
             }
             Message::Load(endpoint, report) => {
                 self.scheduler.handle(now_us, Input::Load(endpoint, report));
@@ -293,13 +297,13 @@
             Message::Explain(id, answer) => {
                 let _ = answer.send(self.scheduler.explain(now_us, id));
             }
-            Message::Look(answer) => {
+            Message::View(answer) => {
                 let _ = answer.send(self.view(now_us));
             }
         }
     }
 
-    fn take_updates(&mut self, now_us: u64, batch: UpdateBatch) -> Result<(), UpdatesRefused> {
+    fn handle_updates(&mut self, now_us: u64, batch: UpdateBatch) -> Result<(), UpdatesRefused> {
         let registration = batch.registration;
         let known = self.registrations.get(&registration.entry);
         if batch.attach {
@@ -312,13 +316,13 @@
             return Err(UpdatesRefused::NotRegistered);
         }
         for update in batch.updates {
-            let input = input_of(now_us, registration, update);
+            let input = scheduler_input(now_us, registration, update);
             self.scheduler.handle(now_us, input);
         }
         Ok(())
     }
 
-    fn take_replies(&mut self, now_us: u64, replies: Vec<(Order, OrderReply)>) {
+    fn handle_replies(&mut self, now_us: u64, replies: Vec<(Order, OrderReply)>) {
         for (order, reply) in replies {
             let waits = match reply {
                 OrderReply::Taken => continue,
@@ -335,18 +339,18 @@
             return;
         }
         let now_us = self.instance.clock.now_us();
-        let began = std::time::Instant::now();
+        let decision_start = std::time::Instant::now();
         let mut actions = std::mem::take(&mut self.actions);
         self.scheduler.decide(now_us, &mut actions);
         if !actions.is_empty() {
-            let each = began.elapsed().as_secs_f64() / actions.len() as f64;
+            let each = decision_start.elapsed().as_secs_f64() / actions.len() as f64;
             self.instance.metrics.decision_seconds.observe(each);
         }
         let mut by_entry: BTreeMap<Incarnation, Vec<Order>> = BTreeMap::new();
         for action in actions.drain(..) {
-            match order_of(action) {
+            match order_for(action) {
                 Ok((entry, order)) => by_entry.entry(entry).or_default().push(order),
-                Err(ask) => self.ask_all(ask),
+                Err(request) => self.request_level(request),
             }
         }
         self.actions = actions;
@@ -361,16 +365,18 @@
             leader: self.instance.incarnation,
             orders,
         };
-        let Some(me) = self.me.upgrade() else { return };
+        let Some(inbox) = self.inbox.upgrade() else {
+            return;
+        };
         if entry == self.instance.incarnation {
             let replies = self.instance.carry_out(&batch);
             let replies = batch.orders.into_iter().zip(replies).collect();
-            let _ = me.send(Message::Replies(replies));
+            let _ = inbox.send(Message::Replies(replies));
             return;
         }
         let view = self.instance.gossip.view();
         let Some(addr) = view.member(entry).map(|m| m.info.peer_addr) else {
-            let _ = me.send(Message::Unreachable(entry));
+            let _ = inbox.send(Message::Unreachable(entry));
             return;
         };
         let instance = self.instance.clone();
@@ -385,17 +391,19 @@
                 Ok(replies) => Message::Replies(orders.into_iter().zip(replies).collect()),
                 Err(_) => Message::Unreachable(entry),
             };
-            let _ = me.send(message);
+            let _ = inbox.send(message);
         });
     }
 
-    fn ask_all(&self, ask: LevelRequest) {
+    fn request_level(&self, request: LevelRequest) {
         let view = self.instance.gossip.view();
         for entry in view.may_hold_requests() {
-            let Some(me) = self.me.upgrade() else { return };
+            let Some(inbox) = self.inbox.upgrade() else {
+                return;
+            };
             if entry == self.instance.incarnation {
-                let held = self.instance.registry.hold_level(&self.pool, ask);
-                let _ = me.send(Message::Level(entry, ask, held));
+                let held = self.instance.registry.hold_level(&self.pool, request);
+                let _ = inbox.send(Message::LevelReply(entry, request, held));
                 continue;
             }
             // One that cannot be asked never confirms, so nothing is shed on its account.
@@ -407,10 +415,10 @@
                 let call = instance
                     .peers
                     .call(addr, ORDER_TIMEOUT, |client, context| async move {
-                        client.hold_level(context, pool, ask).await
+                        client.hold_level(context, pool, request).await
                     });
                 if let Ok(held) = call.await {
-                    let _ = me.send(Message::Level(entry, ask, held));
+                    let _ = inbox.send(Message::LevelReply(entry, request, held));
                 }
             });
         }
@@ -424,28 +432,28 @@
             waiting: self
                 .scheduler
                 .waiting(now_us)
-                .take(WAITING_IN_VIEW)
+                .take(MAX_WAITING_IN_VIEW)
                 .collect(),
             entries: self.registrations.values().copied().collect(),
         }
     }
 }
 
-fn input_of(now_us: u64, registration: Registration, update: Update) -> Input {
+fn scheduler_input(now_us: u64, registration: Registration, update: Update) -> Input {
     match update {
         Update::Add(meta) => Input::Add(registration, meta),
         Update::Adopt(meta, endpoint) => Input::Adopt(registration, meta, endpoint),
-        Update::Seen(seen) => Input::AnswerLength(seen),
+        Update::Seen(seen) => Input::ObservedLength(seen),
         Update::Withdraw(id) => Input::Withdraw(id),
         Update::Returned(id) => Input::Returned(id),
         Update::FirstToken(id) => Input::FirstToken(id),
         Update::Progress(id, tokens, span_us) => Input::Progress(id, tokens, span_us),
         Update::Finished(id, tokens) => Input::Finished(id, tokens),
-        Update::EndpointFailed(name) => Input::Quarantine(name, now_us + ENDPOINT_REST_US),
+        Update::EndpointFailed(name) => Input::Quarantine(name, now_us + ENDPOINT_QUARANTINE_US),
     }
 }
 
-fn order_of(action: Action) -> Result<(Incarnation, Order), LevelRequest> {
+fn order_for(action: Action) -> Result<(Incarnation, Order), LevelRequest> {
     match action {
         Action::Grant {
             registration,
@@ -477,6 +485,6 @@
             };
             Ok((registration.entry, order))
         }
-        Action::RequestLevel(ask) => Err(ask),
+        Action::RequestLevel(request) => Err(request),
     }
 }
--- a/src/pool/registrar.rs
+++ b/src/pool/registrar.rs
@@ -18,9 +18,9 @@
 };
 
 /// With nothing to tell, an entry still shows itself this often.
-const KEEPALIVE: Duration = Duration::from_millis(1_000);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1_000);
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-const RETRY: Duration = Duration::from_millis(30);
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 const MAX_BATCH: usize = 2_000;
 
 /// Runs one pool's registrar until cancelled.
@@ -55,7 +55,7 @@
                 .cloned();
             let Some(leader) = leader else {
                 // Nobody can lead while every instance leaves; what waits, waits.
-                let _ = time::timeout(KEEPALIVE, view.changed()).await;
+                let _ = time::timeout(KEEPALIVE_INTERVAL, view.changed()).await;
                 continue;
             };
             let current = self.instance.registry.registration(&self.pool);
@@ -67,8 +67,8 @@
                 Some((_, registration)) => {
                     tokio::select! {
                         _ = view.changed() => {}
-                        updates = collect(&self.instance, &mut self.notes) => {
-                            self.pass_on(&leader, registration, updates).await;
+                        updates = collect_updates(&self.instance, &mut self.notes) => {
+                            self.send_updates(&leader, registration, updates).await;
                         }
                     }
                 }
@@ -87,16 +87,21 @@
         if self.send(leader, batch).await {
             self.registered = Some((leader.info.incarnation, registration));
         } else {
-            time::sleep(RETRY).await;
+            time::sleep(RETRY_DELAY).await;
         }
     }
 
-    async fn pass_on(&mut self, leader: &Member, registration: Registration, updates: Vec<Update>) {
+    async fn send_updates(
+        &mut self,
+        leader: &Member,
+        registration: Registration,
+        updates: Vec<Update>,
+    ) {
         let batch = self.batch(leader, registration, updates, false);
         if !self.send(leader, batch).await {
             // Whether it was taken is not known: begin anew with the whole state.
             self.registered = None;
-            time::sleep(RETRY).await;
+            time::sleep(RETRY_DELAY).await;
         }
     }
 
@@ -117,7 +122,7 @@
     }
 
     async fn send(&self, leader: &Member, batch: UpdateBatch) -> bool {
-        let taken = if leader.info.incarnation == self.instance.incarnation {
+        let result = if leader.info.incarnation == self.instance.incarnation {
             self.instance
                 .leaders
                 .apply_updates(&self.instance, batch)
@@ -133,18 +138,18 @@
             // An error may mean that it was taken; registering anew settles it.
             call.await.unwrap_or(Err(UpdatesRefused::NotRegistered))
         };
-        taken.is_ok()
+        result.is_ok()
     }
 }
 
 /// Waits for something to tell, or for the time to show oneself.
-async fn collect<S: Store>(
+async fn collect_updates<S: Store>(
     instance: &Instance<S>,
     notes: &mut mpsc::UnboundedReceiver<Note>,
 ) -> Vec<Update> {
     let mut batch = Vec::new();
     // `recv_many` takes nothing if it is cancelled.
-    let _ = time::timeout(KEEPALIVE, notes.recv_many(&mut batch, MAX_BATCH)).await;
+    let _ = time::timeout(KEEPALIVE_INTERVAL, notes.recv_many(&mut batch, MAX_BATCH)).await;
     let updates = batch.into_iter().filter_map(|note| match note {
         Note::Added(id) => instance.registry.waiting_meta(id).map(Update::Add),
         Note::Update(update) => Some(update),
--- a/src/pool/slice.rs
+++ b/src/pool/slice.rs
@@ -29,12 +29,12 @@
     if pool.split == Split::None {
         return pool.name.clone();
     }
-    let mut places: Vec<&Name> = endpoints_of(config, pool)
+    let mut data_centres: Vec<&Name> = endpoints_of(config, pool)
         .filter_map(|e| config.data_centre(&e.hall))
         .collect();
-    places.sort_unstable();
-    let own = places.iter().find(|p| ****p == *data_centre);
-    let Some(place) = own.or(places.first()) else {
+    data_centres.sort_unstable();
+    let own = data_centres.iter().find(|p| ****p == *data_centre);
+    let Some(place) = own.or(data_centres.first()) else {
         return pool.name.clone();
     };
     format!("{}{SLICE_SEPARATOR}{place}", pool.name).into()
@@ -46,8 +46,8 @@
         .pools
         .iter()
         .flat_map(|pool| {
-            let places = config.halls.iter().map(|h| &h.data_centre);
-            places.map(move |place| slice_for(config, pool, place))
+            let data_centres = config.halls.iter().map(|h| &h.data_centre);
+            data_centres.map(move |place| slice_for(config, pool, place))
         })
         .collect();
     slices.sort_unstable();
--- a/src/replay/run.rs
+++ b/src/replay/run.rs
@@ -647,7 +647,7 @@
             self.deciders[pool].handle(now_us, attach);
             for (of, seen) in &self.seen {
                 if *of == pool {
-                    self.deciders[pool].handle(now_us, Input::AnswerLength(seen.clone()));
+                    self.deciders[pool].handle(now_us, Input::ObservedLength(seen.clone()));
                 }
             }
         }
--- a/tests/core/shedding.rs
+++ b/tests/core/shedding.rs
@@ -54,15 +54,15 @@
 #[test]
 fn one_silent_instance_keeps_the_level_down() {
     let mut round = LevelRound::default();
-    let everyone = [Incarnation(1), Incarnation(2)];
-    let asked = round.next_ask(1_000, LEADER, 1, everyone).unwrap();
-    round.answer(2_000, Incarnation(1), asked, true);
+    let instances = [Incarnation(1), Incarnation(2)];
+    let asked = round.next_request(1_000, LEADER, 1, instances).unwrap();
+    round.record_reply(2_000, Incarnation(1), asked, true);
     assert_eq!(round.confirmed(2_000), 0);
-    round.answer(1_000 + CONFIRM_US + 1, Incarnation(2), asked, true);
+    round.record_reply(1_000 + CONFIRM_US + 1, Incarnation(2), asked, true);
     assert_eq!(round.confirmed(1_000 + CONFIRM_US + 1), 0);
-    let again = round.next_ask(500_000, LEADER, 1, everyone).unwrap();
+    let again = round.next_request(500_000, LEADER, 1, instances).unwrap();
     assert_ne!(again.chain, asked.chain);
-    round.answer(500_001, Incarnation(1), again, true);
-    round.answer(500_002, Incarnation(2), again, true);
+    round.record_reply(500_001, Incarnation(1), again, true);
+    round.record_reply(500_002, Incarnation(2), again, true);
     assert_eq!(round.confirmed(500_002), 1);
 }
