--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,4 +1,5 @@
-//! One decision against endpoints and waiting requests: an endpoint gets free, a request is granted.
+//! Time of one decision by number of endpoints and of waiting requests: a slot becomes free, and a
+//! request is granted.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use ryevalve::{
@@ -19,7 +20,8 @@
     (1_100, 50_000),
 ];
 
-/// A pool whose endpoints are all full, with `waiting` more requests.
+/// Creates a pool whose endpoints are all full, with `waiting` further requests. Returns its scheduler,
+/// the running requests and the next sequence number.
 fn full_pool(endpoints: usize, waiting: usize) -> (Scheduler, Vec<RequestId>, u64) {
     let policy = PolicySettings {
         max_waiting: 1_000_000,
--- a/src/core/scheduler.rs
+++ b/src/core/scheduler.rs
@@ -40,6 +40,7 @@
     Shedding,
 }
 
+/// A request known to the scheduler.
 #[derive(Clone, Debug)]
 struct Tracked {
     registration: Registration,
@@ -72,11 +73,13 @@
     running: u32,
 }
 
+/// The decision on one request.
 enum Choice {
     /// Run it at the endpoint of this index, with this many uncached prompt tokens.
     Grant(usize, u32),
     /// Leave it in the queue.
     Hold,
+    /// Take it out of the queue and check it again later.
     Defer(Feasibility),
 }
 
--- a/tests/core/lifecycle.rs
+++ b/tests/core/lifecycle.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn refuses_a_grant_of_an_earlier_registration() {
+fn rejects_grant_of_earlier_registration() {
     let mut request = Lifecycle::new(registration(1));
     request.reregister(registration(2));
     assert_matches!(
--- a/tests/core/main.rs
+++ b/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decision core.
+//! Tests of the scheduling logic.
 
 mod lifecycle;
 mod prefix;
--- a/tests/core/prefix.rs
+++ b/tests/core/prefix.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn on_a_gap_keeps_only_what_was_granted_of_late() {
+fn event_gap_keeps_only_recently_granted_blocks() {
     let mut map = map(8);
     let event = |seq| CacheEvent {
         seq,
@@ -38,11 +38,11 @@
         ..event(7)
     };
     assert!(!map.apply(1, &later));
-    assert_eq!(map.cached_blocks(1, &[9]), 0, "known from an event only");
+    assert_eq!(map.cached_blocks(1, &[9]), 0, "known only from an event");
     assert_eq!(
         map.cached_blocks(1, &[5]),
         0,
-        "granted, but half a cache ago"
+        "granted, but older than half the cache's size"
     );
     assert_eq!(map.cached_blocks(1, &[1, 2]), 2);
 }
--- a/tests/core/queue.rs
+++ b/tests/core/queue.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn passes_over_the_organisation_that_got_more() {
+fn skips_organisation_that_was_served_more() {
     let mut queue = TierQueue::default();
     queue.insert(0, key(1, 1));
     queue.insert(1, key(9, 2));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn saves_no_credit_while_idle() {
+fn builds_up_no_credit_while_idle() {
     let mut queue = TierQueue::default();
     queue.insert(0, key(1, 1));
     queue.charge(0, 1_000);
--- a/tests/core/scheduler.rs
+++ b/tests/core/scheduler.rs
@@ -1,4 +1,4 @@
-//! Tests of `core::scheduler`: leaders' state, orders that come too late, the order of tiers.
+//! Tests of `core::scheduler`: changes of registration, late orders, and the order of tiers.
 
 use ryevalve::{
     core::{
@@ -8,7 +8,7 @@
     prelude::*,
 };
 
-const ME: Incarnation = Incarnation(9);
+const LEADER: Incarnation = Incarnation(9);
 const ENTRY: Incarnation = Incarnation(1);
 
 fn registration(epoch: u64) -> Registration {
@@ -24,7 +24,7 @@
         prior_output_tokens: 10,
         ..PolicySettings::default()
     };
-    let mut scheduler = Scheduler::new(ME, policy);
+    let mut scheduler = Scheduler::new(LEADER, policy);
     scheduler.configure(PoolSpec {
         tiers: 3,
         endpoints: vec![EndpointSpec {
@@ -88,11 +88,11 @@
 }
 
 #[test]
-fn an_order_not_taken_under_an_earlier_registration_loses_no_request() {
+fn rejected_order_of_earlier_registration_loses_no_request() {
     let mut scheduler = scheduler(1, 100);
     add(&mut scheduler, 1, 1, 0);
     assert_eq!(granted(&decide(&mut scheduler, 0)), [1]);
-    // The grant is on its way when the entry registers anew; it finds the request waiting still.
+    // The entry registers again while the grant is in flight. The request still waits when the grant arrives.
     scheduler.handle(1, Input::Attach(registration(2)));
     add(&mut scheduler, 2, 1, 0);
     let id = RequestId {
@@ -116,36 +116,36 @@
 }
 
 #[test]
-fn over_the_limit_the_lowest_tier_goes_and_a_higher_one_asks_first() {
+fn over_limit_lowest_tier_is_shed_and_higher_tier_needs_a_level() {
     let mut scheduler = scheduler(1, 2);
     for seq in 1..=6 {
         add(&mut scheduler, 1, seq, if seq > 4 { 2 } else { 0 });
     }
     let actions = decide(&mut scheduler, 0);
     assert_eq!(granted(&actions).len(), 1);
-    let mut gone = shed(&actions);
-    gone.sort_unstable();
+    let mut shed_first = shed(&actions);
+    shed_first.sort_unstable();
     assert_eq!(
-        gone,
+        shed_first,
         [5, 6],
         "only the lowest tier without a confirmed level"
     );
-    let mut asked = actions;
+    let mut latest = actions;
     for now_us in 1.. {
-        let Some(Action::RequestLevel(ask)) =
-            asked.iter().find(|a| matches!(a, Action::RequestLevel(_)))
+        let Some(Action::RequestLevel(request)) =
+            latest.iter().find(|a| matches!(a, Action::RequestLevel(_)))
         else {
             break;
         };
-        scheduler.handle(now_us, Input::LevelReply(ENTRY, *ask, true));
-        asked = decide(&mut scheduler, now_us);
+        scheduler.handle(now_us, Input::LevelReply(ENTRY, *request, true));
+        latest = decide(&mut scheduler, now_us);
     }
-    assert_eq!(shed(&asked).len(), 1, "{asked:?}");
+    assert_eq!(shed(&latest).len(), 1, "{latest:?}");
     assert_eq!(scheduler.waiting_by_tier(), [2, 0, 0]);
 }
 
 #[test]
-fn a_hopeless_request_of_a_higher_tier_is_kept_while_a_lower_one_waits() {
+fn infeasible_request_of_higher_tier_is_kept_while_lower_tier_waits() {
     let mut scheduler = scheduler(1, 100);
     add(&mut scheduler, 1, 1, 2);
     assert_eq!(granted(&decide(&mut scheduler, 0)), [1]);
@@ -157,14 +157,14 @@
 }
 
 #[test]
-fn a_hopeless_request_of_the_lowest_tier_is_refused_at_once() {
+fn infeasible_request_of_lowest_tier_is_shed_at_once() {
     let mut scheduler = scheduler(1, 100);
     scheduler.handle(0, Input::Add(registration(1), meta(1, 2, 1_000)));
     assert_eq!(shed(&decide(&mut scheduler, 0)), [1]);
 }
 
 #[test]
-fn a_draining_endpoint_gets_nothing_and_the_ledger_is_kept() {
+fn draining_endpoint_gets_no_grant_and_its_running_requests_still_count() {
     let mut scheduler = scheduler(2, 100);
     add(&mut scheduler, 1, 1, 0);
     assert_eq!(granted(&decide(&mut scheduler, 0)), [1]);
--- a/tests/properties/core_walk.rs
+++ b/tests/properties/core_walk.rs
@@ -1,5 +1,5 @@
-//! Random walks over the real core and the real messages: entries that register anew, lose answers
-//! and die, leaders that are replaced, grants and sheds that come late.
+//! Random walks over the scheduler, the request state machine and the levels of shedding: entries
+//! register again, leaders are replaced, and orders to grant or shed arrive late, reordered or never.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -41,24 +41,24 @@
     ]
 }
 
-struct World {
+struct Simulation {
     now_us: Micros,
     leader: Scheduler,
     epochs: BTreeMap<u64, u64>,
     requests: BTreeMap<RequestId, (Rank, Lifecycle, u32)>,
     levels: BTreeMap<u64, HeldLevel>,
-    /// Orders on their way; they arrive in any order, or never.
+    /// Orders in flight; they arrive in any order or never.
     orders: Vec<(Incarnation, Action)>,
     leaders: u64,
 }
 
-fn scheduler(me: u64) -> Scheduler {
+fn scheduler(leader: u64) -> Scheduler {
     let policy = PolicySettings {
         max_waiting: 4,
         prior_output_tokens: 5,
         ..PolicySettings::default()
     };
-    let mut scheduler = Scheduler::new(Incarnation(me), policy);
+    let mut scheduler = Scheduler::new(Incarnation(leader), policy);
     let endpoint = |name: &str| EndpointSpec {
         name: name.into(),
         hall: "h".into(),
@@ -77,9 +77,9 @@
     scheduler
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now_us: 1_000_000,
             leader: scheduler(100),
             epochs: BTreeMap::new(),
@@ -88,8 +88,8 @@
             orders: Vec::new(),
             leaders: 100,
         };
-        (0..ENTRIES).for_each(|e| world.register(e));
-        world
+        (0..ENTRIES).for_each(|e| simulation.register(e));
+        simulation
     }
 
     fn meta(&self, id: RequestId, rank: Rank, remaining_us: u64) -> RequestMeta {
@@ -142,26 +142,26 @@
         }
     }
 
-    fn keeps_below(&self, entry: Option<u64>, rank: Rank) -> bool {
+    fn is_waiting_below(&self, entry: Option<u64>, rank: Rank) -> bool {
         self.requests.iter().any(|(id, (r, lifecycle, _))| {
             let here = entry.is_none_or(|e| id.entry.0 == e);
             here && *r > rank && lifecycle.stage() == Stage::Waiting
         })
     }
 
-    fn hold(&mut self, ask: LevelRequest) {
+    fn request_level(&mut self, request: LevelRequest) {
         for entry in 0..ENTRIES {
-            let keeps = self.requests.iter().any(|(id, (rank, lifecycle, _))| {
+            let has_waiting = self.requests.iter().any(|(id, (rank, lifecycle, _))| {
                 id.entry.0 == entry
                     && lifecycle.stage() == Stage::Waiting
-                    && level_needed(*rank, TIERS) < ask.level
+                    && level_needed(*rank, TIERS) < request.level
             });
-            let held = self
-                .levels
-                .entry(entry)
-                .or_default()
-                .try_hold(self.now_us, ask, keeps);
-            let level = Input::LevelReply(Incarnation(entry), ask, held);
+            let held =
+                self.levels
+                    .entry(entry)
+                    .or_default()
+                    .try_hold(self.now_us, request, has_waiting);
+            let level = Input::LevelReply(Incarnation(entry), request, held);
             self.leader.handle(self.now_us, level);
         }
     }
@@ -183,8 +183,8 @@
                     *sent += 1;
                     prop_assert_eq!(*sent, 1, "dispatched twice");
                 } else {
-                    let not_taken = Input::OrderRejected(registration, id, false);
-                    self.leader.handle(self.now_us, not_taken);
+                    let rejected = Input::OrderRejected(registration, id, false);
+                    self.leader.handle(self.now_us, rejected);
                 }
             }
             Action::Shed {
@@ -201,10 +201,10 @@
                 let allowed = level.may_shed(self.now_us, leader, chain, rank, TIERS);
                 let current = registration == lifecycle.registration();
                 if allowed && current && lifecycle.shed().is_ok() {
-                    prop_assert_eq!(*sent, 0, "told not_run after it was sent");
+                    prop_assert_eq!(*sent, 0, "refused as not run after it was sent");
                     prop_assert!(
-                        !self.keeps_below(None, rank),
-                        "shed above a kept lower tier"
+                        !self.is_waiting_below(None, rank),
+                        "shed while a lower tier waits"
                     );
                 }
             }
@@ -213,14 +213,14 @@
         Ok(())
     }
 
-    fn take(&mut self, step: Step, seq: u64) -> Result<(), TestCaseError> {
+    fn apply(&mut self, step: Step, seq: u64) -> Result<(), TestCaseError> {
         match step {
             Step::Arrive(entry, rank, remaining_us) => {
                 let level = self.levels.entry(entry).or_default();
                 if level.refuses(self.now_us, rank, TIERS) {
                     prop_assert!(
-                        !self.keeps_below(None, rank),
-                        "refused above a kept lower tier"
+                        !self.is_waiting_below(None, rank),
+                        "refused while a lower tier waits"
                     );
                     return Ok(());
                 }
@@ -245,11 +245,11 @@
                 self.leader.tick(self.now_us);
                 let mut actions = Vec::new();
                 self.leader.decide(self.now_us, &mut actions);
-                let me = Incarnation(self.leaders);
+                let leader = Incarnation(self.leaders);
                 for action in actions {
                     match action {
-                        Action::RequestLevel(ask) => self.hold(ask),
-                        order => self.orders.push((me, order)),
+                        Action::RequestLevel(request) => self.request_level(request),
+                        order => self.orders.push((leader, order)),
                     }
                 }
             }
@@ -271,8 +271,8 @@
         Ok(())
     }
 
-    /// With everything delivered and every entry registered, nothing that waits is unknown.
-    fn settle(mut self) -> Result<(), TestCaseError> {
+    /// Once every entry has registered again, the leader knows exactly the requests that wait.
+    fn check_waiting_known(mut self) -> Result<(), TestCaseError> {
         (0..ENTRIES).for_each(|e| self.register(e));
         let waiting: BTreeSet<RequestId> = self
             .requests
@@ -285,7 +285,11 @@
             .waiting(self.now_us)
             .map(|w| w.meta.id)
             .collect();
-        prop_assert_eq!(waiting, known, "a request that waits is lost to the leader");
+        prop_assert_eq!(
+            waiting,
+            known,
+            "the leader doesn't know exactly the waiting requests"
+        );
         Ok(())
     }
 }
@@ -294,11 +298,11 @@
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_walk_breaks_a_property(steps in prop::collection::vec(step(), 1..120)) {
-        let mut world = World::new();
+    fn random_walk_preserves_invariants(steps in prop::collection::vec(step(), 1..120)) {
+        let mut simulation = Simulation::new();
         for (seq, step) in steps.into_iter().enumerate() {
-            world.take(step, seq as u64)?;
+            simulation.apply(step, seq as u64)?;
         }
-        world.settle()?;
+        simulation.check_waiting_known()?;
     }
 }
--- a/tests/properties/main.rs
+++ b/tests/properties/main.rs
@@ -1,4 +1,4 @@
-//! Properties over random inputs: the core, the protocol's messages, the language, the decoders.
+//! Property tests over random inputs: scheduling, membership, the operators' language, and decoders.
 
 mod core_walk;
 mod decoders;
