--- a/src/core/endpoint.rs
+++ b/src/core/endpoint.rs
@@ -276,13 +276,13 @@
         let request = *request;
         self.awaiting_first[usize::from(request.rank)] -= 1;
         self.observed_us = now_us;
-        let took = now_us.saturating_sub(request.granted_us) as f64;
-        let planned = request
+        let elapsed_us = now_us.saturating_sub(request.granted_us) as f64;
+        let planned_us = request
             .predicted_first_us
             .saturating_sub(request.granted_us)
             .max(1) as f64;
         if request.uncached_tokens > CHUNK_TOKENS {
-            let ratio = self.prefill_ratio * (took / planned).clamp(0.2, 5.0);
+            let ratio = self.prefill_ratio * (elapsed_us / planned_us).clamp(0.2, 5.0);
             let share = if request.queued_behind { 0.3 } else { 1.0 };
             self.prefill_ratio = smooth(self.prefill_ratio, ratio, PREFILL_GAIN * share);
         }
@@ -450,12 +450,12 @@
 
 /// Returns by what factor a first token exceeds its predicted time; none if it isn't overdue.
 fn overdue_factor(request: &InFlightRequest, now_us: Micros) -> Option<f64> {
-    let planned = request
+    let planned_us = request
         .predicted_first_us
         .saturating_sub(request.granted_us);
     let waited = now_us.saturating_sub(request.granted_us);
     let slack = 20_000;
-    (waited > planned + slack).then(|| waited as f64 / (planned + slack) as f64)
+    (waited > planned_us + slack).then(|| waited as f64 / (planned_us + slack) as f64)
 }
 
 /// Moves `old` towards `new` by the share `gain`, within the bounds of the ratios.
--- a/src/core/length.rs
+++ b/src/core/length.rs
@@ -106,10 +106,10 @@
     }
 
     /// Records the length of an answer.
-    pub fn observe(&mut self, seen: &AnswerLength) {
-        let size = size_class(seen.prompt_tokens);
-        let (rank, tokens) = (seen.rank, seen.output_tokens);
-        let fine = (seen.organisation.clone(), rank, size);
+    pub fn observe(&mut self, answer: &AnswerLength) {
+        let size = size_class(answer.prompt_tokens);
+        let (rank, tokens) = (answer.rank, answer.output_tokens);
+        let fine = (answer.organisation.clone(), rank, size);
         self.fine.entry(fine).or_default().add(tokens);
         self.coarse.entry((rank, size)).or_default().add(tokens);
         self.all.entry(rank).or_default().add(tokens);
--- a/src/core/scheduler.rs
+++ b/src/core/scheduler.rs
@@ -18,13 +18,13 @@
 };
 
 /// How many waiting requests of a tier one decision considers.
-const CANDIDATES: usize = 24;
+const CANDIDATES_PER_DECISION: usize = 24;
 /// How many deferred requests are checked again on each tick, per tier.
 const RECHECKS_PER_TICK: usize = 32;
 /// Quantile of the predicted length that is used to assess the risk of a placement.
 const LONG_QUANTILE: f32 = 0.92;
 /// An endpoint with more prompt computation than this queued ahead of a request isn't granted it.
-const PREFILL_AHEAD_US: f64 = 120_000.0;
+const MAX_PREFILL_BACKLOG_US: f64 = 120_000.0;
 
 /// The state of a request at the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
 }
 
 impl Tracked {
-    fn granted(&self, uncached_tokens: u32) -> GrantDetails {
+    fn grant_details(&self, uncached_tokens: u32) -> GrantDetails {
         GrantDetails {
             id: self.meta.id,
             rank: self.meta.rank,
@@ -224,11 +224,11 @@
     /// Applies the passing of time: checks for overdue first tokens and checks deferred requests again.
     pub fn tick(&mut self, now_us: Micros) {
         self.dirty = true;
-        let since_us = now_us.saturating_sub(self.ticked_us);
+        let elapsed_us = now_us.saturating_sub(self.ticked_us);
         self.ticked_us = now_us;
         if self.policy.learn_speed {
             for endpoint in &mut self.endpoints {
-                endpoint.tick(now_us, since_us);
+                endpoint.tick(now_us, elapsed_us);
             }
         }
         self.recheck_deferred(now_us);
@@ -299,7 +299,7 @@
             RequestState::Waiting | RequestState::Deferred => {
                 let available = self.endpoints.iter();
                 let available = available
-                    .filter(|e| e.has_capacity(now_us, tracked.meta.rank, PREFILL_AHEAD_US))
+                    .filter(|e| e.has_capacity(now_us, tracked.meta.rank, MAX_PREFILL_BACKLOG_US))
                     .count();
                 let above: usize = (0..usize::from(tracked.meta.rank))
                     .map(|r| self.waiting_count(r))
@@ -450,7 +450,7 @@
         }
         let mut tracked = self.track(now_us, registration, meta);
         tracked.state = RequestState::Running(index);
-        self.endpoints[index].adopt(now_us, tracked.granted(0));
+        self.endpoints[index].adopt(now_us, tracked.grant_details(0));
         self.organisations[tracked.organisation].running += 1;
         self.requests.insert(tracked.meta.id, tracked);
     }
@@ -608,7 +608,7 @@
         self.has_capacity.clear();
         self.spare_tokens.clear();
         for (index, endpoint) in self.endpoints.iter().enumerate() {
-            let has_capacity = endpoint.has_capacity(now_us, rank, PREFILL_AHEAD_US);
+            let has_capacity = endpoint.has_capacity(now_us, rank, MAX_PREFILL_BACKLOG_US);
             self.has_capacity.push(has_capacity);
             let spare = if has_capacity {
                 endpoint.spare_tokens(now_us, rank)
@@ -633,7 +633,7 @@
             let ceiling = organisation.spec.max_running.unwrap_or(u32::MAX);
             organisation.running < ceiling
         };
-        self.tiers[rank].candidates(CANDIDATES, slack, is_eligible, out);
+        self.tiers[rank].candidates(CANDIDATES_PER_DECISION, slack, is_eligible, out);
     }
 
     /// Chooses an endpoint for a request, or decides that it keeps its place or is deferred.
@@ -801,7 +801,7 @@
         tracked.state = RequestState::Running(endpoint);
         self.tiers[rank].remove(tracked.organisation, tracked.key);
         let model = &mut self.endpoints[endpoint];
-        model.grant(now_us, tracked.granted(uncached));
+        model.grant(now_us, tracked.grant_details(uncached));
         self.prefixes.touch(endpoint, &tracked.meta.prefix);
         let organisation = &mut self.organisations[tracked.organisation];
         organisation.running += 1;
