--- a/src/core/length.rs
+++ b/src/core/length.rs
@@ -79,12 +79,12 @@
 /// and prompt size; or by tier alone.
 ///
 /// ```
-/// use ryevalve::core::length::{LengthModel, SeenLength};
+/// use ryevalve::core::length::{LengthModel, AnswerLength};
 /// let mut model = LengthModel::new(200);
 /// assert_eq!(model.predict(&"a".into(), 0, 100, 0.5), 200);
 /// for _ in 0..50 {
 ///     let organisation = "a".into();
-///     model.observe(&SeenLength { organisation, rank: 0, prompt_tokens: 100, output_tokens: 30 });
+///     model.observe(&AnswerLength { organisation, rank: 0, prompt_tokens: 100, output_tokens: 30 });
 /// }
 /// assert!(model.predict(&"a".into(), 0, 100, 0.5) < 40);
 /// ```
