--- a/src/pool/leader.rs
+++ b/src/pool/leader.rs
@@ -1,5 +1,5 @@
-//! Leads pools: feeds the scheduler with what entries and endpoints say, and carries out what it
-//! decides. Its state is soft; entries bring it to whoever leads next.
+//! The leader of a pool: passes updates from entries and endpoints to the scheduler and sends its
+//! decisions to the entries. Its state is not persisted; entries register it again with the next leader.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -18,7 +18,7 @@
         endpoint::LoadReport,
         prefix::CacheEvent,
         scheduler::{Action, EndpointView, Input, Scheduler, WaitingView},
-        shedding::LevelAsk,
+        shedding::LevelRequest,
     },
     entry::registry::OrderReply,
     instance::Instance,
@@ -30,40 +30,42 @@
     store::Store,
 };
 
-/// A new leader grants nothing until all present have registered, or for this long.
-const SETTLE: Duration = Duration::from_millis(300);
-const TICK: Duration = Duration::from_millis(20);
+/// A new leader grants nothing until all present instances have registered, or this much time has passed.
+const SETTLE_TIMEOUT: Duration = Duration::from_millis(300);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 const ORDER_TIMEOUT: Duration = Duration::from_millis(700);
-const ENDPOINT_REST_US: u64 = 1_000_000;
+/// A failed endpoint gets no new requests for this long.
+const ENDPOINT_QUARANTINE_US: u64 = 1_000_000;
 
-/// What a leader's task is sent.
+/// A message to the task of a leader.
 enum Message {
     Updates(UpdateBatch, oneshot::Sender<Result<(), UpdatesRefused>>),
     Replies(Vec<(Order, OrderReply)>),
+    /// Orders to the entry couldn't be delivered.
     Unreachable(Incarnation),
-    Level(Incarnation, LevelAsk, bool),
+    LevelReply(Incarnation, LevelRequest, bool),
     Load(Name, LoadReport),
     Cache(Name, CacheEvent),
-    Look(oneshot::Sender<PoolView>),
+    View(oneshot::Sender<PoolView>),
     Explain(RequestId, oneshot::Sender<Option<String>>),
 }
 
-/// A pool as its leader sees it.
+/// The state of a pool at its leader.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PoolView {
     /// The pool slice.
     pub pool: String,
-    /// Waiting requests, by tier from the highest.
+    /// The number of waiting requests by tier, from the highest.
     pub waiting_by_tier: Vec<usize>,
     /// The endpoints.
     pub endpoints: Vec<EndpointView>,
-    /// Up to a bounded number of the waiting requests.
+    /// The waiting requests, up to a maximum number.
     pub waiting: Vec<WaitingView>,
-    /// Entries that are registered.
+    /// The registrations of the entries.
     pub entries: Vec<Registration>,
 }
 
-const WAITING_IN_VIEW: usize = 1_000;
+const MAX_WAITING_IN_VIEW: usize = 1_000;
 
 /// The pools that this instance leads.
 #[derive(Default)]
@@ -72,17 +74,22 @@
 }
 
 impl Leaders {
-    /// Takes an entry's updates for a pool that this instance leads.
+    /// Applies an entry's updates to a pool that this instance leads.
     ///
     /// # Errors
-    /// This instance does not lead the pool, or does not know the registration.
-    pub async fn updates<S: Store>(
+    /// This instance doesn't lead the pool or doesn't know the registration.
+    pub async fn apply_updates<S: Store>(
         &self,
         instance: &Arc<Instance<S>>,
         batch: UpdateBatch,
     ) -> Result<(), UpdatesRefused> {
-        let for_me = batch.leader == instance.incarnation;
-        if !for_me || !instance.gossip.view().leads(&slice::subject(&batch.pool)) {
+        let addressed_here = batch.leader == instance.incarnation;
+        if !addressed_here
+            || !instance
+                .gossip
+                .view()
+                .leads(&slice::leader_key(&batch.pool))
+        {
             return Err(UpdatesRefused::NotLeader);
         }
         let task = self.task(instance, &batch.pool);
@@ -94,13 +101,13 @@
         answer.await.unwrap_or(Err(UpdatesRefused::NotLeader))
     }
 
-    /// Returns the pools led here, as they are seen.
+    /// Returns the state of the pools that this instance leads.
     pub async fn views(&self) -> Vec<PoolView> {
         let tasks: Vec<_> = self.lock().values().cloned().collect();
         let mut views = Vec::new();
         for task in tasks {
             let (sender, answer) = oneshot::channel();
-            if task.send(Message::Look(sender)).is_ok() {
+            if task.send(Message::View(sender)).is_ok() {
                 views.extend(answer.await.ok());
             }
         }
@@ -108,38 +115,38 @@
         views
     }
 
-    /// Says why a request stands as it does, for each pool led here that knows it.
+    /// Explains the state of a request, for each pool led here that knows the request.
     pub async fn explain(&self, id: RequestId) -> Vec<(Name, String)> {
         let tasks: Vec<_> = self
             .lock()
             .iter()
             .map(|(n, t)| (n.clone(), t.clone()))
             .collect();
-        let mut known = Vec::new();
+        let mut explanations = Vec::new();
         for (pool, task) in tasks {
             let (sender, answer) = oneshot::channel();
             if task.send(Message::Explain(id, sender)).is_ok()
-                && let Ok(Some(why)) = answer.await
+                && let Ok(Some(explanation)) = answer.await
             {
-                known.push((pool, why));
+                explanations.push((pool, explanation));
             }
         }
-        known
+        explanations
     }
 
-    /// Passes on an endpoint's load report, if the pool is led here.
-    pub fn load(&self, pool: &Name, endpoint: Name, report: LoadReport) {
-        self.tell(pool, Message::Load(endpoint, report));
+    /// Forwards an endpoint's load report to the pool's leader, if this instance leads it.
+    pub fn forward_load_report(&self, pool: &Name, endpoint: Name, report: LoadReport) {
+        self.send(pool, Message::Load(endpoint, report));
     }
 
-    /// Passes on an endpoint's cache event, if the pool is led here.
-    pub fn cache(&self, pool: &Name, endpoint: Name, event: CacheEvent) {
-        self.tell(pool, Message::Cache(endpoint, event));
+    /// Forwards an endpoint's cache event to the pool's leader, if this instance leads it.
+    pub fn forward_cache_event(&self, pool: &Name, endpoint: Name, event: CacheEvent) {
+        self.send(pool, Message::Cache(endpoint, event));
     }
 
-    fn tell(&self, pool: &Name, message: Message) {
+    fn send(&self, pool: &Name, message: Message) {
         if let Some(task) = self.lock().get(pool) {
-            // A task that has ended leads no more.
+            // Fails if the task has ended: this instance no longer leads the pool.
             let _ = task.send(message);
         }
     }
@@ -170,13 +177,13 @@
     pool: Name,
     scheduler: Scheduler,
     registrations: HashMap<Incarnation, Registration>,
-    me: mpsc::WeakUnboundedSender<Message>,
+    tx: mpsc::WeakUnboundedSender<Message>,
     started: time::Instant,
     actions: Vec<Action>,
 }
 
 impl<S: Store> Leader<S> {
-    fn new(instance: Arc<Instance<S>>, pool: Name, me: mpsc::WeakUnboundedSender<Message>) -> Self {
+    fn new(instance: Arc<Instance<S>>, pool: Name, tx: mpsc::WeakUnboundedSender<Message>) -> Self {
         let config = instance.config.current();
         let policy = slice::policy(&config.config, &pool);
         Self {
@@ -184,29 +191,29 @@
             instance,
             pool,
             registrations: HashMap::new(),
-            me,
+            tx,
             started: time::Instant::now(),
             actions: Vec::new(),
         }
     }
 
     async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
-        log::info!("leads pool {}", self.pool);
+        log::info!("started leading pool {}", self.pool);
         self.instance.metrics.leads_taken.inc();
         let mut view = self.instance.gossip.watch();
         let mut config = self.instance.config.watch();
-        let mut tick = time::interval(TICK);
+        let mut tick = time::interval(TICK_INTERVAL);
         tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         self.configure();
-        self.meet();
+        self.apply_membership();
         let mut batch = Vec::new();
         loop {
             tokio::select! {
                 _ = view.changed() => {
-                    if !view.borrow_and_update().leads(&slice::subject(&self.pool)) {
+                    if !view.borrow_and_update().leads(&slice::leader_key(&self.pool)) {
                         break;
                     }
-                    self.meet();
+                    self.apply_membership();
                 }
                 _ = config.changed() => self.configure(),
                 _ = tick.tick() => self.scheduler.tick(self.instance.clock.now_us()),
@@ -215,13 +222,13 @@
                         break;
                     }
                     for message in batch.drain(..) {
-                        self.take(message);
+                        self.handle(message);
                     }
                 }
             }
             self.decide();
         }
-        log::info!("leads pool {} no more", self.pool);
+        log::info!("stopped leading pool {}", self.pool);
     }
 
     fn configure(&mut self) {
@@ -234,25 +241,27 @@
         self.scheduler.configure(spec);
     }
 
-    /// Looks who is there: the gone hold nothing any more, the rest must be asked before a shed.
-    fn meet(&mut self) {
+    /// Applies the membership view: drops the requests of absent entries and sets the instances that
+    /// must confirm a level before requests are shed.
+    fn apply_membership(&mut self) {
         let view = self.instance.gossip.view();
         let now_us = self.instance.clock.now_us();
-        let gone: Vec<Incarnation> = self
+        let absent: Vec<Incarnation> = self
             .registrations
             .keys()
             .filter(|i| !view.member(**i).is_some_and(|m| m.is_present()))
             .copied()
             .collect();
-        for entry in gone {
+        for entry in absent {
             self.registrations.remove(&entry);
-            self.scheduler.handle(now_us, Input::Gone(entry));
+            self.scheduler.handle(now_us, Input::EntryRemoved(entry));
         }
-        self.scheduler.set_everyone(view.may_hold_requests());
+        self.scheduler
+            .set_confirming_instances(view.may_hold_requests());
     }
 
     fn is_settled(&self) -> bool {
-        if self.started.elapsed() > SETTLE {
+        if self.started.elapsed() > SETTLE_TIMEOUT {
             return true;
         }
         let view = self.instance.gossip.view();
@@ -260,22 +269,23 @@
             .all(|m| self.registrations.contains_key(&m.info.incarnation))
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         let now_us = self.instance.clock.now_us();
         match message {
             Message::Updates(batch, answer) => {
-                let taken = self.take_updates(now_us, batch);
-                // An entry that has gone will register with the next leader.
-                let _ = answer.send(taken);
+                let result = self.handle_updates(now_us, batch);
+                // Fails if the entry no longer waits for the answer; it will register again.
+                let _ = answer.send(result);
             }
-            Message::Replies(replies) => self.take_replies(now_us, replies),
+            Message::Replies(replies) => self.handle_replies(now_us, replies),
             Message::Unreachable(entry) => {
-                // What it took is not known: it has to register anew.
+                // Which orders the entry received is unknown, so it has to register again.
                 self.registrations.remove(&entry);
-                self.scheduler.handle(now_us, Input::Gone(entry));
+                self.scheduler.handle(now_us, Input::EntryRemoved(entry));
             }
-            Message::Level(from, ask, held) => {
-                self.scheduler.handle(now_us, Input::Level(from, ask, held));
+            Message::LevelReply(from, request, held) => {
+                self.scheduler
+                    .handle(now_us, Input::LevelReply(from, request, held));
             }
             Message::Load(endpoint, report) => {
                 self.scheduler.handle(now_us, Input::Load(endpoint, report));
@@ -286,13 +296,13 @@
             Message::Explain(id, answer) => {
                 let _ = answer.send(self.scheduler.explain(now_us, id));
             }
-            Message::Look(answer) => {
+            Message::View(answer) => {
                 let _ = answer.send(self.view(now_us));
             }
         }
     }
 
-    fn take_updates(&mut self, now_us: u64, batch: UpdateBatch) -> Result<(), UpdatesRefused> {
+    fn handle_updates(&mut self, now_us: u64, batch: UpdateBatch) -> Result<(), UpdatesRefused> {
         let registration = batch.registration;
         let known = self.registrations.get(&registration.entry);
         if batch.attach {
@@ -305,20 +315,20 @@
             return Err(UpdatesRefused::NotRegistered);
         }
         for update in batch.updates {
-            let input = input_of(now_us, registration, update);
+            let input = scheduler_input(now_us, registration, update);
             self.scheduler.handle(now_us, input);
         }
         Ok(())
     }
 
-    fn take_replies(&mut self, now_us: u64, replies: Vec<(Order, OrderReply)>) {
+    fn handle_replies(&mut self, now_us: u64, replies: Vec<(Order, OrderReply)>) {
         for (order, reply) in replies {
             let waits = match reply {
                 OrderReply::Taken => continue,
                 OrderReply::Waits => true,
                 OrderReply::Gone => false,
             };
-            let input = Input::NotTaken(order.registration(), order.id(), waits);
+            let input = Input::OrderRejected(order.registration(), order.id(), waits);
             self.scheduler.handle(now_us, input);
         }
     }
@@ -328,18 +338,18 @@
             return;
         }
         let now_us = self.instance.clock.now_us();
-        let began = std::time::Instant::now();
+        let decision_start = std::time::Instant::now();
         let mut actions = std::mem::take(&mut self.actions);
         self.scheduler.decide(now_us, &mut actions);
         if !actions.is_empty() {
-            let each = began.elapsed().as_secs_f64() / actions.len() as f64;
+            let each = decision_start.elapsed().as_secs_f64() / actions.len() as f64;
             self.instance.metrics.decision_seconds.observe(each);
         }
         let mut by_entry: BTreeMap<Incarnation, Vec<Order>> = BTreeMap::new();
         for action in actions.drain(..) {
-            match order_of(action) {
+            match order_for(action) {
                 Ok((entry, order)) => by_entry.entry(entry).or_default().push(order),
-                Err(ask) => self.ask_all(ask),
+                Err(request) => self.request_level(request),
             }
         }
         self.actions = actions;
@@ -354,16 +364,16 @@
             leader: self.instance.incarnation,
             orders,
         };
-        let Some(me) = self.me.upgrade() else { return };
+        let Some(tx) = self.tx.upgrade() else { return };
         if entry == self.instance.incarnation {
             let replies = self.instance.carry_out(&batch);
             let replies = batch.orders.into_iter().zip(replies).collect();
-            let _ = me.send(Message::Replies(replies));
+            let _ = tx.send(Message::Replies(replies));
             return;
         }
         let view = self.instance.gossip.view();
         let Some(addr) = view.member(entry).map(|m| m.info.peer_addr) else {
-            let _ = me.send(Message::Unreachable(entry));
+            let _ = tx.send(Message::Unreachable(entry));
             return;
         };
         let instance = self.instance.clone();
@@ -378,20 +388,20 @@
                 Ok(replies) => Message::Replies(orders.into_iter().zip(replies).collect()),
                 Err(_) => Message::Unreachable(entry),
             };
-            let _ = me.send(message);
+            let _ = tx.send(message);
         });
     }
 
-    fn ask_all(&self, ask: LevelAsk) {
+    fn request_level(&self, request: LevelRequest) {
         let view = self.instance.gossip.view();
         for entry in view.may_hold_requests() {
-            let Some(me) = self.me.upgrade() else { return };
+            let Some(tx) = self.tx.upgrade() else { return };
             if entry == self.instance.incarnation {
-                let held = self.instance.registry.hold_level(&self.pool, ask);
-                let _ = me.send(Message::Level(entry, ask, held));
+                let held = self.instance.registry.hold_level(&self.pool, request);
+                let _ = tx.send(Message::LevelReply(entry, request, held));
                 continue;
             }
-            // One that cannot be asked never confirms, so nothing is shed on its account.
+            // An instance that can't be reached never confirms, so no level is confirmed without it.
             let Some(addr) = view.member(entry).map(|m| m.info.peer_addr) else {
                 continue;
             };
@@ -400,10 +410,10 @@
                 let call = instance
                     .peers
                     .call(addr, ORDER_TIMEOUT, |client, context| async move {
-                        client.hold_level(context, pool, ask).await
+                        client.hold_level(context, pool, request).await
                     });
                 if let Ok(held) = call.await {
-                    let _ = me.send(Message::Level(entry, ask, held));
+                    let _ = tx.send(Message::LevelReply(entry, request, held));
                 }
             });
         }
@@ -417,28 +427,28 @@
             waiting: self
                 .scheduler
                 .waiting(now_us)
-                .take(WAITING_IN_VIEW)
+                .take(MAX_WAITING_IN_VIEW)
                 .collect(),
             entries: self.registrations.values().copied().collect(),
         }
     }
 }
 
-fn input_of(now_us: u64, registration: Registration, update: Update) -> Input {
+fn scheduler_input(now_us: u64, registration: Registration, update: Update) -> Input {
     match update {
         Update::Add(meta) => Input::Add(registration, meta),
         Update::Adopt(meta, endpoint) => Input::Adopt(registration, meta, endpoint),
-        Update::Seen(seen) => Input::Seen(seen),
+        Update::Seen(seen) => Input::ObservedLength(seen),
         Update::Withdraw(id) => Input::Withdraw(id),
         Update::Returned(id) => Input::Returned(id),
         Update::FirstToken(id) => Input::FirstToken(id),
         Update::Progress(id, tokens, span_us) => Input::Progress(id, tokens, span_us),
         Update::Finished(id, tokens) => Input::Finished(id, tokens),
-        Update::EndpointFailed(name) => Input::Suspect(name, now_us + ENDPOINT_REST_US),
+        Update::EndpointFailed(name) => Input::Quarantine(name, now_us + ENDPOINT_QUARANTINE_US),
     }
 }
 
-fn order_of(action: Action) -> Result<(Incarnation, Order), LevelAsk> {
+fn order_for(action: Action) -> Result<(Incarnation, Order), LevelRequest> {
     match action {
         Action::Grant {
             registration,
@@ -470,6 +480,6 @@
             };
             Ok((registration.entry, order))
         }
-        Action::Ask(ask) => Err(ask),
+        Action::RequestLevel(request) => Err(request),
     }
 }
--- a/src/pool/registrar.rs
+++ b/src/pool/registrar.rs
@@ -1,4 +1,4 @@
-//! Keeps this entry registered with a pool's leader and passes on what happens.
+//! Keeps this entry registered with the leader of a pool and sends it updates.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,10 +17,10 @@
     store::Store,
 };
 
-/// With nothing to tell, an entry still shows itself this often.
-const KEEPALIVE: Duration = Duration::from_millis(1_000);
+/// An entry without updates sends an empty batch at this interval.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(1_000);
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
-const RETRY: Duration = Duration::from_millis(30);
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 const MAX_BATCH: usize = 2_000;
 
 /// Runs one pool's registrar until cancelled.
@@ -51,24 +51,24 @@
         loop {
             let leader = view
                 .borrow_and_update()
-                .leader(&slice::subject(&self.pool))
+                .leader(&slice::leader_key(&self.pool))
                 .cloned();
             let Some(leader) = leader else {
-                // Nobody can lead while every instance leaves; what waits, waits.
-                let _ = time::timeout(KEEPALIVE, view.changed()).await;
+                // There is no leader while every instance is leaving; requests wait until there is one.
+                let _ = time::timeout(KEEPALIVE_INTERVAL, view.changed()).await;
                 continue;
             };
             let current = self.instance.registry.registration(&self.pool);
-            let known = self
-                .registered
-                .filter(|(to, with)| *to == leader.info.incarnation && *with == current);
-            match known {
+            let valid = self.registered.filter(|(to, registration)| {
+                *to == leader.info.incarnation && *registration == current
+            });
+            match valid {
                 None => self.register(&leader).await,
                 Some((_, registration)) => {
                     tokio::select! {
                         _ = view.changed() => {}
-                        updates = collect(&self.instance, &mut self.notes) => {
-                            self.pass_on(&leader, registration, updates).await;
+                        updates = collect_updates(&self.instance, &mut self.notes) => {
+                            self.send_updates(&leader, registration, updates).await;
                         }
                     }
                 }
@@ -77,9 +77,9 @@
     }
 
     async fn register(&mut self, leader: &Member) {
-        // Notes that came before are part of the state that is read now.
+        // Earlier notes are contained in the state that is read below.
         while self.notes.try_recv().is_ok() {}
-        // From here on no grant of an earlier registration is taken, so none is in force.
+        // From here on grants under earlier registrations are rejected, so there is no valid registration.
         self.registered = None;
         let (registration, updates) = self.instance.registry.reregister(&self.pool);
         self.instance.metrics.registrations.inc();
@@ -87,16 +87,21 @@
         if self.send(leader, batch).await {
             self.registered = Some((leader.info.incarnation, registration));
         } else {
-            time::sleep(RETRY).await;
+            time::sleep(RETRY_DELAY).await;
         }
     }
 
-    async fn pass_on(&mut self, leader: &Member, registration: Registration, updates: Vec<Update>) {
+    async fn send_updates(
+        &mut self,
+        leader: &Member,
+        registration: Registration,
+        updates: Vec<Update>,
+    ) {
         let batch = self.batch(leader, registration, updates, false);
         if !self.send(leader, batch).await {
-            // Whether it was taken is not known: begin anew with the whole state.
+            // The leader may or may not have applied the batch, so register again with the full state.
             self.registered = None;
-            time::sleep(RETRY).await;
+            time::sleep(RETRY_DELAY).await;
         }
     }
 
@@ -117,8 +122,11 @@
     }
 
     async fn send(&self, leader: &Member, batch: UpdateBatch) -> bool {
-        let taken = if leader.info.incarnation == self.instance.incarnation {
-            self.instance.leaders.updates(&self.instance, batch).await
+        let result = if leader.info.incarnation == self.instance.incarnation {
+            self.instance
+                .leaders
+                .apply_updates(&self.instance, batch)
+                .await
         } else {
             let addr = leader.info.peer_addr;
             let call = self
@@ -127,21 +135,21 @@
                 .call(addr, CALL_TIMEOUT, |client, context| async move {
                     client.updates(context, batch).await
                 });
-            // An error may mean that it was taken; registering anew settles it.
+            // The leader may have applied the batch in spite of an error; registering again resolves that.
             call.await.unwrap_or(Err(UpdatesRefused::NotRegistered))
         };
-        taken.is_ok()
+        result.is_ok()
     }
 }
 
-/// Waits for something to tell, or for the time to show oneself.
-async fn collect<S: Store>(
+/// Waits for updates; returns an empty batch after [`KEEPALIVE_INTERVAL`].
+async fn collect_updates<S: Store>(
     instance: &Instance<S>,
     notes: &mut mpsc::UnboundedReceiver<Note>,
 ) -> Vec<Update> {
     let mut batch = Vec::new();
-    // `recv_many` takes nothing if it is cancelled.
-    let _ = time::timeout(KEEPALIVE, notes.recv_many(&mut batch, MAX_BATCH)).await;
+    // `recv_many` is cancel safe: no note is lost.
+    let _ = time::timeout(KEEPALIVE_INTERVAL, notes.recv_many(&mut batch, MAX_BATCH)).await;
     let updates = batch.into_iter().filter_map(|note| match note {
         Note::Added(id) => instance.registry.waiting_meta(id).map(Update::Add),
         Note::Update(update) => Some(update),
