--- a/src/distribution.rs
+++ b/src/distribution.rs
@@ -38,13 +38,13 @@
 /// How many instances watch the platform.
 const WATCHERS: usize = 3;
 const WATCH_WAIT: Duration = Duration::from_secs(25);
-const WATCH_REST_MS: u64 = 1_000;
+const WATCH_RETRY_MS: u64 = 1_000;
 const LIST_INTERVAL_MS: u64 = 5_000;
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Steps are made from up to this many versions back; older ones get the whole.
-const KEPT_VERSIONS: usize = 64;
+const MAX_PREVIOUS_VERSIONS: usize = 64;
 /// How many accepted changes the stored history names.
-pub const KEPT_HISTORY: usize = 100;
+pub const MAX_HISTORY_ENTRIES: usize = 100;
 
 /// One accepted change of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -128,7 +128,7 @@
     current: ArcSwap<Versioned>,
     drains: ArcSwap<Drains>,
     /// Held while either is replaced, so that neither ever goes back.
-    installing: Mutex<VecDeque<Arc<Versioned>>>,
+    previous_versions: Mutex<VecDeque<Arc<Versioned>>>,
     changed: watch::Sender<u64>,
 }
 
@@ -137,7 +137,7 @@
         Self {
             current: ArcSwap::default(),
             drains: ArcSwap::default(),
-            installing: Mutex::default(),
+            previous_versions: Mutex::default(),
             changed: watch::channel(0).0,
         }
     }
@@ -161,21 +161,21 @@
 
     /// Puts a version in force, unless it is not higher than the one that is.
     pub fn install(&self, next: Versioned) -> bool {
-        let mut kept = self
-            .installing
+        let mut older_versions = self
+            .previous_versions
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let current = self.current.load_full();
         if next.version <= current.version {
             return false;
         }
-        kept.push_back(current);
-        if kept.len() > KEPT_VERSIONS {
-            kept.pop_front();
+        older_versions.push_back(current);
+        if older_versions.len() > MAX_PREVIOUS_VERSIONS {
+            older_versions.pop_front();
         }
         log::info!("configuration {} is in force", next.version);
         self.current.store(Arc::new(next));
-        drop(kept);
+        drop(older_versions);
         self.changed.send_modify(|n| *n += 1);
         true
     }
@@ -183,32 +183,34 @@
     /// Takes drain orders; returns whether any was news.
     pub fn merge_drains(&self, orders: Vec<DrainOrder>) -> bool {
         let guard = self
-            .installing
+            .previous_versions
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let mut drains = Drains::clone(&self.drains.load());
-        let news = drains.merge(orders);
-        if news {
+        let is_changed = drains.merge(orders);
+        if is_changed {
             self.drains.store(Arc::new(drains));
         }
         drop(guard);
-        if news {
+        if is_changed {
             self.changed.send_modify(|n| *n += 1);
         }
-        news
+        is_changed
     }
 
     /// Returns what a peer at that version has to be sent.
     pub fn copy_after(&self, version: u64, hash: Hash) -> ConfigCopy {
-        let kept = self
-            .installing
+        let older_versions = self
+            .previous_versions
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         let current = self.current.load_full();
         if version >= current.version {
             return ConfigCopy::NothingNewer;
         }
-        let base = kept.iter().find(|v| v.version == version && v.hash == hash);
+        let base = older_versions
+            .iter()
+            .find(|v| v.version == version && v.hash == hash);
         match base.filter(|_| version > 0) {
             Some(base) => ConfigCopy::Step(base.delta_to(&current)),
             None => ConfigCopy::Whole {
@@ -218,7 +220,7 @@
         }
     }
 
-    fn take_copy(&self, copy: ConfigCopy) -> Result<bool, VersionError> {
+    fn apply_copy(&self, copy: ConfigCopy) -> Result<bool, VersionError> {
         match copy {
             ConfigCopy::NothingNewer => Ok(false),
             ConfigCopy::Step(delta) => {
@@ -235,16 +237,16 @@
 
 /// Brings this instance up to the highest version it can learn; returns whether it may serve.
 pub async fn catch_up<S: Store>(instance: &Arc<Instance<S>>) -> bool {
-    let stored = read_stored(instance).await;
+    let is_store_read = read_stored(instance).await;
     read_drains(instance).await;
     let view = instance.gossip.view();
     for member in view.others() {
         fetch_from(instance, member).await;
         exchange_drains(instance, member).await;
     }
-    let met_all = view.unmet.is_empty() || view.others().next().is_some();
-    let learned = stored || (met_all && view.others().next().is_some());
-    learned && instance.config.current().version > 0
+    let is_list_reached = view.unmet.is_empty() || view.others().next().is_some();
+    let has_source = is_store_read || (is_list_reached && view.others().next().is_some());
+    has_source && instance.config.current().version > 0
 }
 
 /// Follows the platform's object while this instance is one of its watchers.
@@ -269,7 +271,7 @@
             Ok(None) => {}
             Err(_) => {
                 instance.metrics.platform_errors.inc();
-                rest(WATCH_REST_MS).await;
+                sleep_jittered(WATCH_RETRY_MS).await;
             }
         }
     }
@@ -285,14 +287,14 @@
     let mut view = instance.gossip.watch();
     let mut config = instance.config.watch();
     loop {
-        let now = view.borrow_and_update().clone();
+        let current_view = view.borrow_and_update().clone();
         let mine = own_digest(&instance);
         instance.gossip.set_digest(mine);
-        let ahead = now
+        let ahead = current_view
             .others()
             .filter(|m| m.digest.config_version > mine.config_version);
         let newest = ahead.max_by_key(|m| m.digest.config_version);
-        let differs = now
+        let differs = current_view
             .others()
             .find(|m| m.digest.orders_hash != mine.orders_hash);
         let mut failed = false;
@@ -303,7 +305,7 @@
             failed |= !exchange_drains(&instance, member).await;
         }
         if failed {
-            rest(100).await;
+            sleep_jittered(100).await;
             continue;
         }
         tokio::select! {
@@ -321,7 +323,7 @@
 }
 
 /// Keeps the platform's instance list at hand; it only says whom to meet and who is gone.
-pub async fn follow_list<S: Store>(instance: Arc<Instance<S>>) {
+pub async fn follow_instance_list<S: Store>(instance: Arc<Instance<S>>) {
     loop {
         match instance.store.instances().await {
             Ok(list) => {
@@ -332,19 +334,19 @@
                 instance.metrics.platform_errors.inc();
             }
         }
-        rest(LIST_INTERVAL_MS).await;
+        sleep_jittered(LIST_INTERVAL_MS).await;
     }
 }
 
 /// Writes drain orders to the platform while this instance is the one to do it.
-pub async fn keep_drains<S: Store>(instance: Arc<Instance<S>>) {
+pub async fn persist_drains<S: Store>(instance: Arc<Instance<S>>) {
     let mut config = instance.config.watch();
-    let mut written = instance.config.drains().hash();
+    let mut written_hash = instance.config.drains().hash();
     loop {
         let drains = instance.config.drains();
-        let due = drains.hash() != written && instance.gossip.view().leads(DRAINS_KEY);
+        let due = drains.hash() != written_hash && instance.gossip.view().leads(DRAINS_KEY);
         if due && write_drains(&instance).await {
-            written = drains.hash();
+            written_hash = drains.hash();
         }
         // Looks again after a while too: the one who was to write may be gone.
         let wait = Duration::from_millis(rand::rng().random_range(1_000..3_000));
@@ -403,19 +405,19 @@
 
 async fn fetch_from<S: Store>(instance: &Arc<Instance<S>>, member: &Member) -> bool {
     let mine = instance.config.current();
-    let Some(copy) = ask_copy(instance, member, mine.version, mine.hash).await else {
+    let Some(copy) = fetch_copy(instance, member, mine.version, mine.hash).await else {
         return false;
     };
-    if instance.config.take_copy(copy).is_ok() {
+    if instance.config.apply_copy(copy).is_ok() {
         return true;
     }
     // The step did not lead where it said: take the whole.
     instance.metrics.config_steps_refused.inc();
-    let whole = ask_copy(instance, member, 0, Hash::default()).await;
-    whole.is_some_and(|copy| instance.config.take_copy(copy).is_ok())
+    let whole = fetch_copy(instance, member, 0, Hash::default()).await;
+    whole.is_some_and(|copy| instance.config.apply_copy(copy).is_ok())
 }
 
-async fn ask_copy<S: Store>(
+async fn fetch_copy<S: Store>(
     instance: &Arc<Instance<S>>,
     member: &Member,
     version: u64,
@@ -448,12 +450,12 @@
 }
 
 /// Waits for about `ms`, spread so that instances do not act together.
-async fn rest(ms: u64) {
+async fn sleep_jittered(ms: u64) {
     let spread = rand::rng().random_range(ms / 2..=ms + ms / 2);
     time::sleep(Duration::from_millis(spread)).await;
 }
 
 /// Returns a wait before another try at the platform, longer each time.
-pub fn retry_wait(attempt: u32) -> Duration {
+pub fn retry_delay(attempt: u32) -> Duration {
     backoff(attempt)
 }
--- a/src/endpoint/kept.rs
+++ b/src/endpoint/connection_pool.rs
@@ -23,88 +23,88 @@
 /// A connection comes up within some milliseconds; an endpoint that is dark never answers.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long a connection rests at most when its endpoint does not say when it closes it.
-const REST_US: Micros = 3_000_000;
+const DEFAULT_IDLE_US: Micros = 3_000_000;
 /// An endpoint closes a resting connection when it said; ours is given up this long before.
-const REST_MARGIN_US: Micros = 1_000_000;
+const IDLE_MARGIN_US: Micros = 1_000_000;
 /// Resting connections to one endpoint; about as many as it runs requests.
-const MAX_RESTING: usize = 8;
+const MAX_IDLE_PER_ENDPOINT: usize = 8;
 
 /// A connection to an endpoint; dropping it closes it.
 pub struct EndpointConnection {
     /// Sends a request and gives its answer.
     pub sender: SendRequest<Full<Bytes>>,
     /// It has carried a request before.
-    pub is_kept: bool,
+    pub is_reused: bool,
     driver: AbortOnDropHandle<()>,
 }
 
-struct Resting {
+struct IdleConnection {
     connection: EndpointConnection,
-    until_us: Micros,
+    expires_us: Micros,
 }
 
 /// The resting connections, by address.
 #[derive(Default)]
-pub struct KeptConnections {
-    resting: Mutex<HashMap<SocketAddr, Vec<Resting>>>,
+pub struct ConnectionPool {
+    idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
-impl KeptConnections {
+impl ConnectionPool {
     /// Returns a resting connection, the one used last first.
-    pub fn take(&self, now_us: Micros, addr: SocketAddr) -> Option<EndpointConnection> {
-        let mut resting = self.lock();
-        let to_addr = resting.get_mut(&addr)?;
+    pub fn take_idle(&self, now_us: Micros, addr: SocketAddr) -> Option<EndpointConnection> {
+        let mut idle = self.lock();
+        let to_addr = idle.get_mut(&addr)?;
         while let Some(last) = to_addr.pop() {
-            if last.until_us > now_us && last.connection.sender.is_ready() {
+            if last.expires_us > now_us && last.connection.sender.is_ready() {
                 return Some(last.connection);
             }
         }
         None
     }
 
-    /// Keeps a connection whose answer was read whole. `closes_after` is what the endpoint said.
-    pub fn keep(
+    /// Keeps a connection whose answer was read whole. `idle_timeout` is what the endpoint said.
+    pub fn return_idle(
         &self,
         now_us: Micros,
         addr: SocketAddr,
         mut connection: EndpointConnection,
-        closes_after: Option<Duration>,
+        idle_timeout: Option<Duration>,
     ) {
-        let rest_us = closes_after.map_or(REST_US, |after| {
-            (after.as_micros() as Micros).saturating_sub(REST_MARGIN_US)
+        let idle_us = idle_timeout.map_or(DEFAULT_IDLE_US, |after| {
+            (after.as_micros() as Micros).saturating_sub(IDLE_MARGIN_US)
         });
-        connection.is_kept = true;
-        let mut resting = self.lock();
-        let to_addr = resting.entry(addr).or_default();
-        if rest_us > 0 && to_addr.len() < MAX_RESTING {
-            to_addr.push(Resting {
+        connection.is_reused = true;
+        let mut idle = self.lock();
+        let to_addr = idle.entry(addr).or_default();
+        if idle_us > 0 && to_addr.len() < MAX_IDLE_PER_ENDPOINT {
+            to_addr.push(IdleConnection {
                 connection,
-                until_us: now_us + rest_us,
+                expires_us: now_us + idle_us,
             });
         }
     }
 
     /// Closes the connections that rest at an address.
-    pub fn forget(&self, addr: SocketAddr) {
+    pub fn close_idle(&self, addr: SocketAddr) {
         self.lock().remove(&addr);
     }
 
     /// Closes connections that rested for their time or were closed by the endpoint.
-    pub fn sweep(&self, now_us: Micros) {
+    pub fn remove_expired(&self, now_us: Micros) {
         self.lock().retain(|_, to_addr| {
-            to_addr.retain(|r| r.until_us > now_us && !r.connection.sender.is_closed());
+            to_addr.retain(|r| r.expires_us > now_us && !r.connection.sender.is_closed());
             !to_addr.is_empty()
         });
     }
 
     /// Returns how many connections rest.
-    pub fn count(&self) -> usize {
+    pub fn idle_count(&self) -> usize {
         self.lock().values().map(Vec::len).sum()
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Vec<Resting>>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Vec<IdleConnection>>> {
         // Every step leaves the map whole, so a poisoned lock is usable.
-        self.resting.lock().unwrap_or_else(PoisonError::into_inner)
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -126,7 +126,7 @@
         }));
         Ok(Self {
             sender,
-            is_kept: false,
+            is_reused: false,
             driver,
         })
     }
--- a/src/endpoint/engine.rs
+++ b/src/endpoint/engine.rs
@@ -23,7 +23,7 @@
 const RESUME_PAUSE: Duration = Duration::from_millis(50);
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 /// A stream that says nothing for this long is taken as broken.
-const SILENCE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Why a stream brought no whole answer.
 #[derive(Debug, Snafu)]
@@ -38,7 +38,7 @@
     },
     /// The stream broke and could not be resumed.
     #[snafu(display("the stream broke after {events} events"))]
-    Cut {
+    Broken {
         /// Events seen.
         events: u64,
         /// Whether the engine still answered, so that others may be sent there.
@@ -46,7 +46,7 @@
     },
     /// The stream ended, but not as a whole answer does.
     #[snafu(display("the stream ended without being whole: {reason}"))]
-    NotWhole {
+    Incomplete {
         /// What is missing.
         reason: &'static str,
     },
@@ -90,7 +90,7 @@
 
 /// One event of the answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Piece {
+pub struct EngineEvent {
     /// The event's data, as the engine wrote it.
     pub data: String,
     /// The text in it.
@@ -131,7 +131,7 @@
         if let Some(answer) = answer {
             let status = answer.response.status();
             if status != StatusCode::OK {
-                let text = beginning(answer).await;
+                let text = read_error_text(answer).await;
                 return RefusedSnafu { status, text }.fail();
             }
             return Ok(Self::new(addr, id, Some(answer)));
@@ -158,15 +158,15 @@
     ///
     /// # Errors
     /// The stream broke for good, or ended without being whole.
-    pub async fn next(&mut self) -> Result<Option<Piece>, StreamError> {
+    pub async fn next(&mut self) -> Result<Option<EngineEvent>, StreamError> {
         loop {
             match self.next_event().await {
                 Ok(Some(event)) => {
-                    if let Some(piece) = self.take(event)? {
-                        return Ok(Some(piece));
+                    if let Some(engine_event) = self.apply_event(event)? {
+                        return Ok(Some(engine_event));
                     }
                 }
-                Ok(None) if self.done => return self.check_whole().map(|()| None),
+                Ok(None) if self.done => return self.check_complete().map(|()| None),
                 Ok(None) | Err(Broken) => self.resume().await?,
             }
         }
@@ -196,7 +196,7 @@
                 return Ok(None);
             }
             let answer = self.answer.as_mut().ok_or(Broken)?;
-            let frame = time::timeout(SILENCE, answer.response.body_mut().frame()).await;
+            let frame = time::timeout(IDLE_TIMEOUT, answer.response.body_mut().frame()).await;
             match frame.map_err(|_| Broken)? {
                 Some(Ok(frame)) => {
                     if let Some(bytes) = frame.data_ref() {
@@ -210,7 +210,7 @@
     }
 
     /// Takes an event in; none for one that was seen before a resume.
-    fn take(&mut self, event: Event) -> Result<Option<Piece>, StreamError> {
+    fn apply_event(&mut self, event: Event) -> Result<Option<EngineEvent>, StreamError> {
         if event.data == DONE {
             self.done = true;
             return Ok(None);
@@ -219,13 +219,13 @@
             Some(id) if id <= self.events => return Ok(None),
             Some(id) if id > self.events + 1 => {
                 let reason = "an event is missing";
-                return NotWholeSnafu { reason }.fail();
+                return IncompleteSnafu { reason }.fail();
             }
             _ => self.events += 1,
         }
         let Ok(chunk) = serde_json::from_str::<Chunk<'_>>(&event.data) else {
             let reason = "an event cannot be read";
-            return NotWholeSnafu { reason }.fail();
+            return IncompleteSnafu { reason }.fail();
         };
         if chunk.usage.is_some() {
             self.usage = chunk.usage;
@@ -242,20 +242,20 @@
         }
         let is_token = !text.is_empty();
         self.tokens += u32::from(is_token);
-        Ok(Some(Piece {
+        Ok(Some(EngineEvent {
             text,
             is_token,
             data: event.data,
         }))
     }
 
-    fn check_whole(&self) -> Result<(), StreamError> {
+    fn check_complete(&self) -> Result<(), StreamError> {
         let reason = match (&self.finish_reason, self.usage) {
             (None, _) => "it has no finish reason",
             (_, Some(usage)) if usage.completion_tokens != self.tokens => "tokens are missing",
             _ => return Ok(()),
         };
-        NotWholeSnafu { reason }.fail()
+        IncompleteSnafu { reason }.fail()
     }
 
     /// Reads on where the stream broke; the engine goes on with the same run, so nothing is sent
@@ -283,7 +283,7 @@
                 _ => {}
             }
         }
-        CutSnafu { events, reachable }.fail()
+        BrokenSnafu { events, reachable }.fail()
     }
 }
 
@@ -322,10 +322,10 @@
     builder.body(Full::default()).unwrap_or_default()
 }
 
-async fn beginning(mut answer: Answer) -> String {
-    const SHOWN: usize = 300;
+async fn read_error_text(mut answer: Answer) -> String {
+    const MAX_BYTES: usize = 300;
     let first = time::timeout(CANCEL_TIMEOUT, answer.response.body_mut().frame()).await;
     let bytes = first.ok().flatten().and_then(Result::ok);
     let bytes = bytes.and_then(|f| f.into_data().ok()).unwrap_or_default();
-    String::from_utf8_lossy(&bytes[..bytes.len().min(SHOWN)]).into_owned()
+    String::from_utf8_lossy(&bytes[..bytes.len().min(MAX_BYTES)]).into_owned()
 }
--- a/src/endpoint/events.rs
+++ b/src/endpoint/events.rs
@@ -7,7 +7,7 @@
 
 /// One or more whole events.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WholeEvents {
+pub struct CompleteEvents {
     /// Their bytes.
     pub bytes: Bytes,
     /// The id of the last event that has one.
@@ -23,28 +23,28 @@
 /// Takes bytes in any pieces and gives whole events.
 ///
 /// ```
-/// use ryevalve::endpoint::events::EventCutter;
-/// let mut cutter = EventCutter::default();
-/// cutter.push(b"id: 3\ndata: a");
-/// assert_eq!(cutter.take(None), Ok(None));
-/// cutter.push(b"b\n\nid: 4\n");
-/// let events = cutter.take(None).unwrap().unwrap();
+/// use ryevalve::endpoint::events::EventSplitter;
+/// let mut splitter = EventSplitter::default();
+/// splitter.push(b"id: 3\ndata: a");
+/// assert_eq!(splitter.take_complete(None), Ok(None));
+/// splitter.push(b"b\n\nid: 4\n");
+/// let events = splitter.take_complete(None).unwrap().unwrap();
 /// assert_eq!((&events.bytes[..], events.last_id), (&b"id: 3\ndata: ab\n\n"[..], Some(3)));
-/// assert!(cutter.has_rest());
+/// assert!(splitter.has_partial_event());
 /// ```
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     buffer: BytesMut,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Adds bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
     /// Returns whether part of an event is left.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
@@ -52,7 +52,10 @@
     ///
     /// # Errors
     /// An event is too long; nothing more can be read.
-    pub fn take(&mut self, seen: Option<u64>) -> Result<Option<WholeEvents>, EventTooLong> {
+    pub fn take_complete(
+        &mut self,
+        last_seen: Option<u64>,
+    ) -> Result<Option<CompleteEvents>, EventTooLong> {
         let mut end = 0;
         let mut skipped = 0;
         let mut last_id = None;
@@ -60,7 +63,7 @@
         while let Some(length) = event_length(&self.buffer[end..]) {
             let id = event_id(&self.buffer[end..end + length]);
             end += length;
-            let is_old = id.is_some_and(|id| seen.max(last_id).is_some_and(|s| id <= s));
+            let is_old = id.is_some_and(|id| last_seen.max(last_id).is_some_and(|s| id <= s));
             if is_old && count == 0 {
                 skipped = end;
                 continue;
@@ -78,7 +81,7 @@
         }
         let mut bytes = self.buffer.split_to(end);
         let _ = bytes.split_to(skipped);
-        Ok((count > 0).then(|| WholeEvents {
+        Ok((count > 0).then(|| CompleteEvents {
             bytes: bytes.freeze(),
             last_id,
             count,
--- a/src/endpoint/mod.rs
+++ b/src/endpoint/mod.rs
@@ -1,8 +1,8 @@
 //! How endpoints are reached: model engines that stream tokens, and plain services.
 
 pub mod connection;
+pub mod connection_pool;
 pub mod engine;
 pub mod events;
-pub mod kept;
 pub mod poll;
 pub mod sse;
--- a/src/endpoint/poll.rs
+++ b/src/endpoint/poll.rs
@@ -19,12 +19,12 @@
     store::Store,
 };
 
-const INTERVAL_MS: u64 = 1_000;
+const POLL_INTERVAL_MS: u64 = 1_000;
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-const MAX_ANSWER_BYTES: usize = 1 << 20;
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
 #[derive(Deserialize)]
-struct Load {
+struct LoadResponse {
     running: u32,
     waiting: u32,
     #[serde(default)]
@@ -33,9 +33,9 @@
 
 /// Polls the endpoints of every pool that is led here, until cancelled with its task.
 pub async fn run<S: Store>(instance: Arc<Instance<S>>) {
-    let mut seen = std::collections::HashMap::new();
+    let mut newest_seqs = std::collections::HashMap::new();
     loop {
-        let wait_ms = rand::rng().random_range(INTERVAL_MS * 3 / 4..INTERVAL_MS * 5 / 4);
+        let wait_ms = rand::rng().random_range(POLL_INTERVAL_MS * 3 / 4..POLL_INTERVAL_MS * 5 / 4);
         time::sleep(Duration::from_millis(wait_ms)).await;
         let config = instance.config.current();
         let view = instance.gossip.view();
@@ -49,19 +49,19 @@
                 let Ok(addr) = endpoint.addr.parse() else {
                     continue;
                 };
-                let after = (kind == Some(PoolKind::Model))
-                    .then(|| seen.get(&endpoint.name).copied().unwrap_or(0));
+                let after_seq = (kind == Some(PoolKind::Model))
+                    .then(|| newest_seqs.get(&endpoint.name).copied().unwrap_or(0));
                 let (instance, pool) = (instance.clone(), pool.clone());
                 let name = endpoint.name.clone();
                 polls.spawn(async move {
-                    let newest = poll(&instance, &pool, &name, addr, after).await;
-                    (name, newest)
+                    let newest_seq = poll(&instance, &pool, &name, addr, after_seq).await;
+                    (name, newest_seq)
                 });
             }
         }
         while let Some(done) = polls.join_next().await {
-            if let Ok((name, Some(newest))) = done {
-                seen.insert(name, newest);
+            if let Ok((name, Some(newest_seq))) = done {
+                newest_seqs.insert(name, newest_seq);
             }
         }
     }
@@ -73,9 +73,9 @@
     pool: &Name,
     name: &Name,
     addr: SocketAddr,
-    after: Option<u64>,
+    after_seq: Option<u64>,
 ) -> Option<u64> {
-    if let Some(load) = get::<Load>(addr, "/load").await {
+    if let Some(load) = get::<LoadResponse>(addr, "/load").await {
         let report = LoadReport {
             running: load.running,
             waiting: load.waiting,
@@ -83,13 +83,13 @@
         };
         instance.leaders.load(pool, name.clone(), report);
     }
-    let path = format!("/cache/events?after={}", after?);
+    let path = format!("/cache/events?after={}", after_seq?);
     let events: Vec<CacheEvent> = get(addr, &path).await?;
-    let newest = events.last().map(|e| e.seq);
+    let newest_seq = events.last().map(|e| e.seq);
     for event in events {
         instance.leaders.cache(pool, name.clone(), event);
     }
-    newest
+    newest_seq
 }
 
 async fn get<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> Option<T> {
@@ -104,7 +104,7 @@
         if answer.response.status() != StatusCode::OK {
             return None;
         }
-        let body = Limited::new(answer.response.into_body(), MAX_ANSWER_BYTES);
+        let body = Limited::new(answer.response.into_body(), MAX_RESPONSE_BYTES);
         let bytes = body.collect().await.ok()?.to_bytes();
         serde_json::from_slice(&bytes).ok()
     };
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -13,7 +13,7 @@
 use crate::{
     endpoint::{
         connection::Connection,
-        engine::{self, EngineStream, Piece, StreamError, Usage},
+        engine::{self, EngineEvent, EngineStream, StreamError, Usage},
     },
     entry::{
         answer::{self, Message},
@@ -371,7 +371,7 @@
     async fn next_piece(
         &self,
         engine: &mut EngineStream,
-    ) -> Option<Result<Option<Piece>, StreamError>> {
+    ) -> Option<Result<Option<EngineEvent>, StreamError>> {
         tokio::select! {
             biased;
             () = self.answer.closed() => None,
@@ -559,7 +559,7 @@
         log::debug!("{}: {error}", self.held.id);
         let unreachable = matches!(
             error,
-            StreamError::Cut {
+            StreamError::Broken {
                 reachable: false,
                 ..
             }
--- a/src/gateway/aggregators.rs
+++ b/src/gateway/aggregators.rs
@@ -144,7 +144,7 @@
     names.dedup();
     let of_hall = |name: Name| {
         let is_able = |m: &Member| m.info.hall == name && m.can_lead();
-        let members = view.chosen("aggregate", usize::MAX, is_able);
+        let members = view.rank_members("aggregate", usize::MAX, is_able);
         Hall {
             members: members.into_iter().cloned().collect(),
             name,
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -17,7 +17,7 @@
 use crate::{
     balance::{balancer::Choice, cost::PlacementRequest},
     clock::Clock,
-    endpoint::kept::EndpointConnection,
+    endpoint::connection_pool::EndpointConnection,
     gateway::{
         config::Route,
         endpoint_announcements,
@@ -308,7 +308,7 @@
 ) -> Result<EndpointConnection, AttemptError> {
     let addr = in_flight.choice.addr;
     if job.is_repeatable()
-        && let Some(kept) = gateway.connections.take(gateway.clock.now_us(), addr)
+        && let Some(kept) = gateway.connections.take_idle(gateway.clock.now_us(), addr)
     {
         return Ok(kept);
     }
@@ -411,7 +411,7 @@
     if connection.is_open() {
         gateway
             .connections
-            .keep(now_us, addr, connection, idle_timeout);
+            .return_idle(now_us, addr, connection, idle_timeout);
     }
 }
 
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -315,8 +315,8 @@
         self.gateway.quota.set_view(now_us, view);
         let mut state = self.lock();
         if state.aggregators.set_view(view) {
-            state.instances_in_view = view.instances();
-            let in_turn = view.chosen("store", usize::MAX, Member::can_lead);
+            state.instances_in_view = view.instance_count();
+            let in_turn = view.rank_members("store", usize::MAX, Member::can_lead);
             let me = self.place.me.incarnation;
             let place = in_turn.iter().position(|m| m.info.incarnation == me);
             state.is_watcher = place.is_some_and(|p| p < WATCHERS);
--- a/src/gateway/probes.rs
+++ b/src/gateway/probes.rs
@@ -59,6 +59,6 @@
         resting_endpoints: balancer.rests().len(),
         waiting: balancer.waiting_count(),
         instances_heard: gateway.sharers().heard,
-        resting_connections: gateway.connections.count(),
+        resting_connections: gateway.connections.idle_count(),
     }
 }
--- a/src/gateway/quota.rs
+++ b/src/gateway/quota.rs
@@ -118,7 +118,7 @@
             return;
         }
         state.view.clone_from(view);
-        let servers = view.chosen("quota", usize::MAX, Member::can_lead);
+        let servers = view.rank_members("quota", usize::MAX, Member::can_lead);
         let servers: Vec<Incarnation> = servers.iter().map(|m| m.info.incarnation).collect();
         state.node.set_members(now_us, &servers);
     }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -18,7 +18,7 @@
         discovery::{Change, EndpointsDelta},
     },
     clock::Clock,
-    endpoint::kept::KeptConnections,
+    endpoint::connection_pool::ConnectionPool,
     gateway::{
         caller_timeouts::TypicalTimeouts,
         config::GatewayConfig,
@@ -99,7 +99,7 @@
     /// The configuration in force.
     pub config: CurrentConfig,
     /// Connections to endpoints.
-    pub connections: KeptConnections,
+    pub connections: ConnectionPool,
     /// The counters.
     pub metrics: GatewayMetrics,
     bounds: Mutex<GatewayBounds>,
@@ -168,7 +168,7 @@
             protocol,
             clock,
             config: CurrentConfig::default(),
-            connections: KeptConnections::default(),
+            connections: ConnectionPool::default(),
             metrics: GatewayMetrics::default(),
             bounds: Mutex::new(bounds),
             balancer: Mutex::new(Balancer::new(hall)),
@@ -394,7 +394,7 @@
             let addr = key.and_then(|key| balancer.entry(key)).map(|e| e.addr);
             drop(balancer);
             // They lead to the start before, if to anything.
-            addr.inspect(|addr| self.connections.forget(*addr));
+            addr.inspect(|addr| self.connections.close_idle(*addr));
         }
         self.log_endpoint(id, change, from);
     }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -20,7 +20,7 @@
         balancer::{Choice, Placement},
         load::EndpointKey,
     },
-    endpoint::{events::EventCutter, kept::EndpointConnection},
+    endpoint::{connection_pool::EndpointConnection, events::EventSplitter},
     entry::answer::Body,
     gateway::{
         attempt::{self, AttemptDeadline, AttemptError, EndpointResponse, InFlightRequest, Job},
@@ -59,7 +59,7 @@
     in_flight: InFlightRequest<P>,
     status: StatusCode,
     reuse: Option<Option<Duration>>,
-    cutter: EventCutter,
+    cutter: EventSplitter,
     events_seen: u32,
     last_event_us: Micros,
 }
@@ -100,7 +100,7 @@
             in_flight: received.in_flight,
             status: parts.status,
             reuse,
-            cutter: EventCutter::default(),
+            cutter: EventSplitter::default(),
             events_seen: 0,
             last_event_us: now_us,
         };
@@ -249,7 +249,7 @@
 
     async fn next_events(&mut self) -> Result<Bytes, StreamEnd> {
         loop {
-            let complete_events = self.upstream.cutter.take(self.last_id);
+            let complete_events = self.upstream.cutter.take_complete(self.last_id);
             match complete_events {
                 Ok(Some(events)) => {
                     self.last_id = events.last_id.or(self.last_id);
@@ -268,7 +268,7 @@
                     }
                 }
                 Some(Some(Err(_))) => return Err(StreamEnd::Broken("stream_broke")),
-                Some(None) if self.upstream.cutter.has_rest() => {
+                Some(None) if self.upstream.cutter.has_partial_event() => {
                     return Err(StreamEnd::Broken("ended_inside_event"));
                 }
                 Some(None) => return Err(self.complete()),
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -378,8 +378,8 @@
         self.spawn(follow_config(instance.clone(), stop));
         self.spawn(distribution::watch_platform(instance.clone()));
         self.spawn(distribution::follow_peers(instance.clone()));
-        self.spawn(distribution::follow_list(instance.clone()));
-        self.spawn(distribution::keep_drains(instance.clone()));
+        self.spawn(distribution::follow_instance_list(instance.clone()));
+        self.spawn(distribution::persist_drains(instance.clone()));
         self.spawn(poll::run(instance));
     }
 
--- a/src/operator/orders.rs
+++ b/src/operator/orders.rs
@@ -18,7 +18,7 @@
         model::{Endpoint, Event},
         version::Versioned,
     },
-    distribution::{CONFIG_KEY, HistoryEntry, KEPT_HISTORY, StoredConfig, retry_wait},
+    distribution::{CONFIG_KEY, HistoryEntry, MAX_HISTORY_ENTRIES, StoredConfig, retry_delay},
     endpoint::connection::Connection,
     instance::Instance,
     operator::{
@@ -311,7 +311,7 @@
         let mut in_doubt = false;
         for attempt in 0..WRITE_TRIES {
             if attempt > 0 {
-                time::sleep(retry_wait(attempt)).await;
+                time::sleep(retry_delay(attempt)).await;
             }
             match self.round(at_version, what, &edit, in_doubt).await {
                 Round::Ended(reply) => return reply,
@@ -396,7 +396,7 @@
             command: self.id.to_owned(),
             what: what.to_owned(),
         });
-        let over = stored.history.len().saturating_sub(KEPT_HISTORY);
+        let over = stored.history.len().saturating_sub(MAX_HISTORY_ENTRIES);
         stored.history.drain(..over);
     }
 
@@ -501,7 +501,7 @@
 ) -> Result<u64, Reply> {
     for attempt in 0..WRITE_TRIES {
         if attempt > 0 {
-            time::sleep(retry_wait(attempt)).await;
+            time::sleep(retry_delay(attempt)).await;
         }
         let Ok(read) = instance.store.read(FENCE_KEY).await else {
             break;
--- a/src/peers/gossip.rs
+++ b/src/peers/gossip.rs
@@ -28,17 +28,17 @@
 };
 
 /// Shortest time between two views. A view is as large as the group, and while a group meets each datagram changes it.
-const VIEW_PACE_US: Micros = 40_000;
+const MIN_VIEW_INTERVAL_US: Micros = 40_000;
 
 /// Says when a view is to be worked out anew: at once after a time without changes, and once for all the changes that
 /// come shortly after each other.
 #[derive(Debug, Default)]
-pub struct ViewPace {
+pub struct ViewThrottle {
     published_us: Option<Micros>,
     is_pending: bool,
 }
 
-impl ViewPace {
+impl ViewThrottle {
     /// Notes a change.
     pub fn note_change(&mut self) {
         self.is_pending = true;
@@ -47,7 +47,7 @@
     /// Returns whether a view is to be published now, and takes it for done.
     pub fn take_due(&mut self, now_us: Micros) -> bool {
         let published_us = self.published_us;
-        let is_soon = |at_us: Micros| now_us.saturating_sub(at_us) < VIEW_PACE_US;
+        let is_soon = |at_us: Micros| now_us.saturating_sub(at_us) < MIN_VIEW_INTERVAL_US;
         if !self.is_pending || published_us.is_some_and(is_soon) {
             return false;
         }
@@ -72,7 +72,7 @@
 
 struct State {
     membership: Membership,
-    pace: ViewPace,
+    throttle: ViewThrottle,
 }
 
 /// The membership of this instance, running.
@@ -102,7 +102,7 @@
             socket: UdpSocket::bind(addr).await?,
             state: Mutex::new(State {
                 membership,
-                pace: ViewPace::default(),
+                throttle: ViewThrottle::default(),
             }),
             authenticator: Authenticator::new(cluster_key, "ryevalve datagram"),
             clock,
@@ -124,17 +124,17 @@
 
     /// Sets what later datagrams say of this instance's state.
     pub fn set_digest(&self, digest: Digest) {
-        self.with(|m| m.set_digest(digest));
+        self.with_membership(|m| m.set_digest(digest));
     }
 
     /// Takes the platform's instance list.
     pub fn set_listed(&self, listed: Vec<SocketAddr>) {
-        self.with(|m| m.set_listed(listed));
+        self.with_membership(|m| m.set_listed(listed));
     }
 
     /// Says that this instance takes no new work.
     pub fn leave(&self) {
-        self.with(Membership::leave);
+        self.with_membership(Membership::leave);
     }
 
     /// Says goodbye, after which the others know that nothing is held here.
@@ -163,7 +163,7 @@
 
     async fn tick(&self) {
         let mut out = Vec::new();
-        let paused = self.with(|m| m.tick(self.clock.now_us(), &mut out));
+        let paused = self.with_membership(|m| m.tick(self.clock.now_us(), &mut out));
         if paused {
             self.counts.pauses.fetch_add(1, Ordering::Relaxed);
             log::warn!("this process was paused; views and leads are taken up anew");
@@ -175,14 +175,15 @@
         let len = bytes.len() as u64;
         self.counts.received_bytes.fetch_add(len, Ordering::Relaxed);
         let mut out = Vec::new();
-        let taken = match datagram::decode(&self.authenticator, bytes) {
+        let is_accepted = match datagram::decode(&self.authenticator, bytes) {
             Ok(packet) => {
                 let now_us = self.clock.now_us();
-                self.with(|m| m.receive(now_us, packet, &mut out)).is_ok()
+                self.with_membership(|m| m.receive(now_us, packet, &mut out))
+                    .is_ok()
             }
             Err(_) => false,
         };
-        if !taken {
+        if !is_accepted {
             self.counts.dropped.fetch_add(1, Ordering::Relaxed);
         }
         self.send(out).await;
@@ -200,18 +201,18 @@
         }
     }
 
-    fn with<T>(&self, change: impl FnOnce(&mut Membership) -> T) -> T {
+    fn with_membership<T>(&self, change: impl FnOnce(&mut Membership) -> T) -> T {
         let mut state = self.lock();
         let result = change(&mut state.membership);
         if state.membership.take_changed() {
-            state.pace.note_change();
+            state.throttle.note_change();
         }
         self.publish_if_due(&mut state);
         result
     }
 
     fn publish_if_due(&self, state: &mut State) {
-        if state.pace.take_due(self.clock.now_us()) {
+        if state.throttle.take_due(self.clock.now_us()) {
             self.view.send_replace(Arc::new(state.membership.view()));
         }
     }
--- a/src/peers/membership.rs
+++ b/src/peers/membership.rs
@@ -24,24 +24,24 @@
 /// Time between probes.
 pub const PERIOD_US: Micros = 200_000;
 /// A suspect that does not answer for this long is dead; longer in groups of more than fifteen.
-pub const SUSPECT_US: Micros = 800_000;
+pub const SUSPECT_TIMEOUT_US: Micros = 800_000;
 /// A gap between two ticks that says this process was paused.
 pub const PAUSE_US: Micros = 1_000_000;
 /// The dead are probed at this interval, so that a mended network is noticed.
-const REPROBE_US: Micros = 3_000_000;
+const DEAD_PROBE_INTERVAL_US: Micros = 3_000_000;
 /// The dead are forgotten after this time.
-const FORGET_US: Micros = 600_000_000;
+const DEAD_RETENTION_US: Micros = 600_000_000;
 /// Up to this many members each one probes two a period, above it one.
-const SMALL_GROUP: usize = 12;
-const HELPERS: usize = 2;
+const SMALL_CLUSTER: usize = 12;
+const INDIRECT_PROBES: usize = 2;
 /// How many that were only heard of are met a period. After the loss of all 295 instances, at eight a
 /// period three to five seconds passed until they heard of each other, and for as long organisations
 /// below their limits were refused. With sixty, some 10 KB, 250 that know one seed meet in at most ten
 /// periods of virtual time where it took 57.
-const MEETINGS: usize = 60;
+const MAX_DISCOVERY_PINGS: usize = 60;
 /// How often a member that was met is told of. Whoever hears of it meets it, and tells of it as often: more than one
 /// telling reaches all.
-const ADMISSION_TELLINGS: u32 = 12;
+const ADMISSION_TRANSMISSIONS: u32 = 12;
 const RUMOURS_PER_PACKET: usize = 12;
 const REPLAY_WINDOW: u64 = 64;
 
@@ -64,15 +64,15 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownMember {
     info: MemberInfo,
     liveness: Liveness,
-    since_us: Micros,
-    probed_us: Micros,
+    liveness_since_us: Micros,
+    last_probe_us: Micros,
     digest: Digest,
     newest_seq: u64,
-    seen: u64,
-    rumour_left: u32,
+    seen_seqs: u64,
+    transmissions_left: u32,
     /// It answered a number of ours in this incarnation.
     admitted: bool,
 }
@@ -82,7 +82,7 @@
     target: Option<Incarnation>,
     addr: SocketAddr,
     sent_us: Micros,
-    helped: bool,
+    is_indirect: bool,
 }
 
 /// One instance's membership state.
@@ -91,15 +91,15 @@
     me: MemberInfo,
     digest: Digest,
     seq: u64,
-    known: BTreeMap<Incarnation, Known>,
+    known: BTreeMap<Incarnation, KnownMember>,
     probes: BTreeMap<u64, Probe>,
     /// Pings made for others: our number to theirs.
-    relayed: VecDeque<(u64, u64, SocketAddr)>,
+    indirect_pings: VecDeque<(u64, u64, SocketAddr)>,
     seeds: Vec<SocketAddr>,
     listed: Vec<SocketAddr>,
-    turn: Vec<Incarnation>,
-    ticked_us: Option<Micros>,
-    last_hello_us: Micros,
+    probe_order: Vec<Incarnation>,
+    last_tick_us: Option<Micros>,
+    last_discovery_us: Micros,
     rng: ChaCha8Rng,
     changed: bool,
 }
@@ -113,12 +113,12 @@
             seq: 0,
             known: BTreeMap::new(),
             probes: BTreeMap::new(),
-            relayed: VecDeque::new(),
+            indirect_pings: VecDeque::new(),
             seeds,
             listed: Vec::new(),
-            turn: Vec::new(),
-            ticked_us: None,
-            last_hello_us: 0,
+            probe_order: Vec::new(),
+            last_tick_us: None,
+            last_discovery_us: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
             changed: true,
         }
@@ -179,9 +179,12 @@
             digest: self.digest,
         });
         members.sort_by_key(|m| m.info.incarnation);
-        let met: HashSet<SocketAddr> = members.iter().map(|m| m.info.peer_addr).collect();
-        let unmet = self.listed.iter().filter(|addr| !met.contains(addr));
-        let unmet = unmet.copied().collect();
+        let known_addrs: HashSet<SocketAddr> = members.iter().map(|m| m.info.peer_addr).collect();
+        let unmet = self
+            .listed
+            .iter()
+            .filter(|addr| !known_addrs.contains(addr));
+        let unmet = undiscovered.copied().collect();
         View {
             me: self.me.incarnation,
             members,
@@ -192,16 +195,16 @@
     /// Does what a period brings; returns true first if this process was paused since the last.
     pub fn tick(&mut self, now_us: Micros, out: &mut Vec<Outgoing>) -> bool {
         let paused = self
-            .ticked_us
+            .last_tick_us
             .is_some_and(|before| now_us.saturating_sub(before) > PAUSE_US);
-        self.ticked_us = Some(now_us);
+        self.last_tick_us = Some(now_us);
         if paused {
             self.resume(now_us);
         }
-        self.judge_probes(now_us, out);
-        self.judge_suspects(now_us);
-        self.probe_next(now_us, out);
-        self.hello_unmet(now_us, out);
+        self.check_overdue_probes(now_us, out);
+        self.expire_members(now_us);
+        self.probe_members(now_us, out);
+        self.ping_undiscovered(now_us, out);
         paused
     }
 
@@ -221,19 +224,19 @@
         }
         self.note_sender(now_us, &packet)?;
         for rumour in packet.rumours {
-            self.hear(now_us, rumour);
+            self.apply_rumour(now_us, rumour);
         }
         let sender = packet.from.peer_addr;
         match packet.body {
             Body::Ping(nonce) => out.push(self.packet(sender, Body::Ack(nonce))),
-            Body::Ack(nonce) => self.acked(now_us, from, packet.digest, nonce, out),
+            Body::Ack(nonce) => self.receive_ack(now_us, from, packet.digest, nonce, out),
             Body::PingFor { target, nonce } => {
-                let own: u64 = self.rng.random();
-                self.relayed.push_back((own, nonce, sender));
-                if self.relayed.len() > 256 {
-                    self.relayed.pop_front();
+                let own_nonce: u64 = self.rng.random();
+                self.indirect_pings.push_back((own_nonce, nonce, sender));
+                if self.indirect_pings.len() > 256 {
+                    self.indirect_pings.pop_front();
                 }
-                out.push(self.packet(target, Body::Ping(own)));
+                out.push(self.packet(target, Body::Ping(own_nonce)));
             }
             Body::Goodbye => self.set_liveness(now_us, from, Liveness::Left),
         }
@@ -246,7 +249,7 @@
         self.me.beat += 1;
         self.probes.clear();
         for known in self.known.values_mut() {
-            known.since_us = now_us;
+            known.liveness_since_us = now_us;
             if known.liveness == Liveness::Suspect {
                 known.liveness = Liveness::Alive;
             }
@@ -257,7 +260,7 @@
     fn note_sender(&mut self, now_us: Micros, packet: &Packet) -> Result<(), Dropped> {
         let info = &packet.from;
         let known = self.known.entry(info.incarnation).or_insert_with(|| {
-            let mut known = Known::new(info.clone(), now_us);
+            let mut known = KnownMember::new(info.clone(), now_us);
             known.newest_seq = packet.seq.saturating_sub(1);
             known
         });
@@ -268,17 +271,17 @@
             known.digest = packet.digest;
             self.changed = true;
         }
-        let heard = Rumour {
+        let alive = Rumour {
             info: info.clone(),
             liveness: Liveness::Alive,
         };
-        self.hear(now_us, heard);
+        self.apply_rumour(now_us, alive);
         Ok(())
     }
 
-    fn hear(&mut self, now_us: Micros, rumour: Rumour) {
+    fn apply_rumour(&mut self, now_us: Micros, rumour: Rumour) {
         let incarnation = rumour.info.incarnation;
-        let budget = rumour_budget(self.known.len());
+        let limit = transmission_limit(self.known.len());
         if incarnation == self.me.incarnation {
             if rumour.liveness != Liveness::Alive && rumour.info.beat >= self.me.beat {
                 self.me.beat = rumour.info.beat + 1;
@@ -288,7 +291,7 @@
         let Some(known) = self.known.get_mut(&incarnation) else {
             // Of the dead nothing need be known; others are met before they count.
             if rumour.liveness < Liveness::Dead {
-                let known = Known::new(rumour.info, now_us);
+                let known = KnownMember::new(rumour.info, now_us);
                 self.known.insert(incarnation, known);
             }
             return;
@@ -303,13 +306,13 @@
         }
         if known.liveness != rumour.liveness {
             known.liveness = rumour.liveness;
-            known.since_us = now_us;
+            known.liveness_since_us = now_us;
         }
-        known.rumour_left = budget;
+        known.transmissions_left = limit;
         self.changed = true;
     }
 
-    fn acked(
+    fn receive_ack(
         &mut self,
         now_us: Micros,
         from: Incarnation,
@@ -317,11 +320,14 @@
         nonce: u64,
         out: &mut Vec<Outgoing>,
     ) {
-        if let Some(at) = self.relayed.iter().position(|(own, ..)| *own == nonce)
-            && let Some((_, theirs, to)) = self.relayed.remove(at)
+        if let Some(at) = self
+            .indirect_pings
+            .iter()
+            .position(|(own_nonce, ..)| *own_nonce == nonce)
+            && let Some((_, their_nonce, to)) = self.indirect_pings.remove(at)
         {
             // Passed on as a rumour: the one who asked admits nobody by it.
-            let mut packet = self.packet(to, Body::Ack(theirs));
+            let mut packet = self.packet(to, Body::Ack(their_nonce));
             if let Some(known) = self.known.get(&from) {
                 packet.packet.rumours.insert(0, known.rumour());
             }
@@ -332,7 +338,7 @@
             return;
         };
         if probe.target.is_some_and(|t| t != from) {
-            self.answered_by_other(now_us, probe, from);
+            self.receive_ack_from_other(now_us, probe, from);
             return;
         }
         let Some(known) = self.known.get_mut(&from) else {
@@ -341,16 +347,16 @@
         known.digest = digest;
         if !known.admitted {
             known.admitted = true;
-            known.rumour_left = known.rumour_left.max(ADMISSION_TELLINGS);
+            known.transmissions_left = known.transmissions_left.max(ADMISSION_TRANSMISSIONS);
             self.changed = true;
         }
         self.set_liveness(now_us, from, Liveness::Alive);
-        self.replaced(from);
+        self.remove_replaced(from);
     }
 
     /// A probe was answered by another than it was for: a helper that reached it, or a new start
     /// at the same address.
-    fn answered_by_other(&mut self, now_us: Micros, probe: Probe, from: Incarnation) {
+    fn receive_ack_from_other(&mut self, now_us: Micros, probe: Probe, from: Incarnation) {
         let Some(target) = probe.target else { return };
         let addr = self.known.get(&from).map(|k| k.info.peer_addr);
         if addr == Some(probe.addr) {
@@ -361,7 +367,7 @@
     }
 
     /// A member that answered at an address replaces any earlier start there.
-    fn replaced(&mut self, by: Incarnation) {
+    fn remove_replaced(&mut self, by: Incarnation) {
         let Some(addr) = self.known.get(&by).map(|k| k.info.peer_addr) else {
             return;
         };
@@ -372,7 +378,7 @@
     }
 
     fn set_liveness(&mut self, now_us: Micros, of: Incarnation, liveness: Liveness) {
-        let budget = rumour_budget(self.known.len());
+        let limit = transmission_limit(self.known.len());
         let Some(known) = self.known.get_mut(&of) else {
             return;
         };
@@ -380,12 +386,12 @@
             return;
         }
         known.liveness = liveness;
-        known.since_us = now_us;
-        known.rumour_left = budget;
+        known.liveness_since_us = now_us;
+        known.transmissions_left = limit;
         self.changed = true;
     }
 
-    fn judge_probes(&mut self, now_us: Micros, out: &mut Vec<Outgoing>) {
+    fn check_overdue_probes(&mut self, now_us: Micros, out: &mut Vec<Outgoing>) {
         let overdue: Vec<u64> = self
             .probes
             .iter()
@@ -400,11 +406,11 @@
                 self.probes.remove(&nonce);
                 continue;
             };
-            if !probe.helped {
-                probe.helped = true;
+            if !probe.is_indirect {
+                probe.is_indirect = true;
                 probe.sent_us = now_us;
                 let addr = probe.addr;
-                self.ask_helpers(target, addr, nonce, out);
+                self.send_indirect_probes(target, addr, nonce, out);
             } else {
                 self.probes.remove(&nonce);
                 if self
@@ -418,7 +424,7 @@
         }
     }
 
-    fn ask_helpers(
+    fn send_indirect_probes(
         &mut self,
         target: Incarnation,
         addr: SocketAddr,
@@ -432,7 +438,7 @@
             .map(|k| k.info.peer_addr)
             .collect();
         helpers.shuffle(&mut self.rng);
-        for helper in helpers.into_iter().take(HELPERS) {
+        for helper in helpers.into_iter().take(INDIRECT_PROBES) {
             let body = Body::PingFor {
                 target: addr,
                 nonce,
@@ -442,15 +448,15 @@
         out.push(self.packet(addr, Body::Ping(nonce)));
     }
 
-    fn judge_suspects(&mut self, now_us: Micros) {
+    fn expire_members(&mut self, now_us: Micros) {
         // A refutation takes longer to get round in a larger group.
         let doublings = u64::from((self.known.len() + 1).ilog2());
-        let patience_us = SUSPECT_US * doublings.max(3) / 3;
+        let timeout_us = SUSPECT_TIMEOUT_US * doublings.max(3) / 3;
         let expired: Vec<Incarnation> = self
             .known
             .iter()
             .filter(|(_, k)| k.liveness == Liveness::Suspect)
-            .filter(|(_, k)| now_us.saturating_sub(k.since_us) > patience_us)
+            .filter(|(_, k)| now_us.saturating_sub(k.liveness_since_us) > timeout_us)
             .map(|(i, _)| *i)
             .collect();
         for incarnation in expired {
@@ -458,48 +464,55 @@
         }
         let before = self.known.len();
         self.known.retain(|_, k| {
-            let old = now_us.saturating_sub(k.since_us);
-            let unmet = !k.admitted && old > 10 * PERIOD_US;
-            let gone = k.liveness >= Liveness::Dead && old > FORGET_US;
-            !(unmet || gone)
+            let age_us = now_us.saturating_sub(k.liveness_since_us);
+            let never_admitted = !k.admitted && age_us > 10 * PERIOD_US;
+            let is_expired = k.liveness >= Liveness::Dead && age_us > DEAD_RETENTION_US;
+            !(never_admitted || is_expired)
         });
         self.changed |= self.known.len() != before;
     }
 
-    fn probe_next(&mut self, now_us: Micros, out: &mut Vec<Outgoing>) {
+    fn probe_members(&mut self, now_us: Micros, out: &mut Vec<Outgoing>) {
         let present = self.known.values().filter(|k| k.liveness < Liveness::Dead);
-        let count = if present.count() <= SMALL_GROUP { 2 } else { 1 };
+        let count = if present.count() <= SMALL_CLUSTER {
+            2
+        } else {
+            1
+        };
         // Those heard of but never met go first, or a large group would take minutes to meet.
-        let unmet = self
+        let unadmitted = self
             .known
             .iter()
-            .filter(|(_, k)| !k.admitted && k.probed_us == 0);
-        let unmet: Vec<Incarnation> = unmet.map(|(i, _)| *i).take(MEETINGS).collect();
-        for target in unmet {
+            .filter(|(_, k)| !k.admitted && k.last_probe_us == 0);
+        let unadmitted: Vec<Incarnation> = undiscovered
+            .map(|(i, _)| *i)
+            .take(MAX_DISCOVERY_PINGS)
+            .collect();
+        for target in unadmitted {
             self.probe(now_us, target, out);
         }
         for _ in 0..count {
-            if let Some(target) = self.next_in_turn(now_us) {
+            if let Some(target) = self.next_probe_target(now_us) {
                 self.probe(now_us, target, out);
             }
         }
     }
 
-    fn next_in_turn(&mut self, now_us: Micros) -> Option<Incarnation> {
-        if self.turn.is_empty() {
-            self.turn = self.known.keys().copied().collect();
-            self.turn.shuffle(&mut self.rng);
+    fn next_probe_target(&mut self, now_us: Micros) -> Option<Incarnation> {
+        if self.probe_order.is_empty() {
+            self.probe_order = self.known.keys().copied().collect();
+            self.probe_order.shuffle(&mut self.rng);
         }
-        while let Some(target) = self.turn.pop() {
+        while let Some(target) = self.probe_order.pop() {
             let Some(known) = self.known.get(&target) else {
                 continue;
             };
             let wait_us = match known.liveness {
                 Liveness::Left => continue,
-                Liveness::Dead => REPROBE_US,
+                Liveness::Dead => DEAD_PROBE_INTERVAL_US,
                 Liveness::Alive | Liveness::Suspect => 0,
             };
-            if now_us >= known.probed_us + wait_us {
+            if now_us >= known.last_probe_us + wait_us {
                 return Some(target);
             }
         }
@@ -510,7 +523,7 @@
         let Some(known) = self.known.get_mut(&target) else {
             return;
         };
-        known.probed_us = now_us;
+        known.last_probe_us = now_us;
         let addr = known.info.peer_addr;
         self.ping(now_us, Some(target), addr, out);
     }
@@ -527,7 +540,7 @@
             target,
             addr,
             sent_us: now_us,
-            helped: false,
+            is_indirect: false,
         };
         self.probes.insert(nonce, probe);
         let mut ping = self.packet(addr, Body::Ping(nonce));
@@ -539,24 +552,24 @@
         out.push(ping);
     }
 
-    fn hello_unmet(&mut self, now_us: Micros, out: &mut Vec<Outgoing>) {
-        if now_us < self.last_hello_us + 2 * PERIOD_US {
+    fn ping_undiscovered(&mut self, now_us: Micros, out: &mut Vec<Outgoing>) {
+        if now_us < self.last_discovery_us + 2 * PERIOD_US {
             return;
         }
-        self.last_hello_us = now_us;
+        self.last_discovery_us = now_us;
         let admitted = self.known.values();
         let admitted = admitted.filter(|k| k.liveness < Liveness::Dead && k.admitted);
         let admitted: HashSet<SocketAddr> = admitted.map(|k| k.info.peer_addr).collect();
-        let met = |addr: &SocketAddr| admitted.contains(addr);
+        let is_admitted = |addr: &SocketAddr| admitted.contains(addr);
         let addrs = self.seeds.iter().chain(&self.listed);
-        let mut unmet: Vec<SocketAddr> = addrs
-            .filter(|a| **a != self.me.peer_addr && !met(a))
+        let mut undiscovered: Vec<SocketAddr> = addrs
+            .filter(|a| **a != self.me.peer_addr && !is_admitted(a))
             .copied()
             .collect();
-        unmet.sort_unstable();
-        unmet.dedup();
-        unmet.shuffle(&mut self.rng);
-        for addr in unmet.into_iter().take(MEETINGS) {
+        undiscovered.sort_unstable();
+        undiscovered.dedup();
+        undiscovered.shuffle(&mut self.rng);
+        for addr in undiscovered.into_iter().take(MAX_DISCOVERY_PINGS) {
             self.ping(now_us, None, addr, out);
         }
     }
@@ -565,22 +578,22 @@
     /// would pass on the same few first.
     fn take_rumours(&mut self) -> Vec<Rumour> {
         let first = Incarnation(self.rng.random());
-        let news = |known: &&mut Known| known.rumour_left > 0;
+        let has_transmissions = |known: &&mut KnownMember| known.transmissions_left > 0;
         let after = self.known.range_mut(first..);
-        let mut taken: Vec<Rumour> = after
+        let mut rumours: Vec<Rumour> = after
             .map(|(_, known)| known)
-            .filter(news)
+            .filter(has_transmissions)
             .take(RUMOURS_PER_PACKET)
-            .map(Known::take_rumour)
+            .map(KnownMember::next_rumour)
             .collect();
         let before = self.known.range_mut(..first);
         let rest = before
             .map(|(_, known)| known)
-            .filter(news)
-            .take(RUMOURS_PER_PACKET - taken.len())
-            .map(Known::take_rumour);
-        taken.extend(rest);
-        taken
+            .filter(has_transmissions)
+            .take(RUMOURS_PER_PACKET - rumours.len())
+            .map(KnownMember::next_rumour);
+        rumours.extend(rest);
+        rumours
     }
 
     fn packet(&mut self, to: SocketAddr, body: Body) -> Outgoing {
@@ -590,7 +603,7 @@
         if rumours.is_empty() && !self.known.is_empty() {
             let pick = self.rng.random_range(0..self.known.len());
             let any = self.known.values().nth(pick);
-            rumours.extend(any.filter(|k| k.admitted).map(Known::rumour));
+            rumours.extend(any.filter(|k| k.admitted).map(KnownMember::rumour));
         }
         let packet = Packet {
             from: self.me.clone(),
@@ -603,17 +616,17 @@
     }
 }
 
-impl Known {
+impl KnownMember {
     fn new(info: MemberInfo, now_us: Micros) -> Self {
         Self {
             info,
             liveness: Liveness::Alive,
-            since_us: now_us,
-            probed_us: 0,
+            liveness_since_us: now_us,
+            last_probe_us: 0,
             digest: Digest::default(),
             newest_seq: 0,
-            seen: 0,
-            rumour_left: 0,
+            seen_seqs: 0,
+            transmissions_left: 0,
             admitted: false,
         }
     }
@@ -625,8 +638,8 @@
         }
     }
 
-    fn take_rumour(&mut self) -> Rumour {
-        self.rumour_left -= 1;
+    fn next_rumour(&mut self) -> Rumour {
+        self.transmissions_left -= 1;
         self.rumour()
     }
 
@@ -634,25 +647,25 @@
     fn is_new(&mut self, seq: u64) -> bool {
         if seq > self.newest_seq {
             let shift = seq - self.newest_seq;
-            self.seen = if shift >= REPLAY_WINDOW {
+            self.seen_seqs = if shift >= REPLAY_WINDOW {
                 0
             } else {
-                self.seen << shift
+                self.seen_seqs << shift
             };
-            self.seen |= 1;
+            self.seen_seqs |= 1;
             self.newest_seq = seq;
             return true;
         }
         let age = self.newest_seq - seq;
-        if age >= REPLAY_WINDOW || self.seen & (1 << age) != 0 {
+        if age >= REPLAY_WINDOW || self.seen_seqs & (1 << age) != 0 {
             return false;
         }
-        self.seen |= 1 << age;
+        self.seen_seqs |= 1 << age;
         true
     }
 }
 
 /// Returns how often a belief is passed on: a few times the logarithm of the group.
-fn rumour_budget(members: usize) -> u32 {
+fn transmission_limit(members: usize) -> u32 {
     3 * (members + 2).ilog2()
 }
--- a/src/peers/view.rs
+++ b/src/peers/view.rs
@@ -52,23 +52,23 @@
 
     /// Returns the `count` members with the highest hashes for `subject`, the highest last.
     pub fn leaders(&self, subject: &str, count: usize) -> Vec<&Member> {
-        let mut leaders = self.chosen(subject, count, Member::can_lead);
+        let mut leaders = self.rank_members(subject, count, Member::can_lead);
         leaders.reverse();
         leaders
     }
 
-    /// Returns the `count` members with the highest hashes for `subject` of those that `may` be
+    /// Returns the `count` members with the highest hashes for `subject` of those that `is_eligible` be
     /// chosen, the highest first.
-    pub fn chosen(
+    pub fn rank_members(
         &self,
         subject: &str,
         count: usize,
-        may: impl Fn(&Member) -> bool,
+        is_eligible: impl Fn(&Member) -> bool,
     ) -> Vec<&Member> {
-        let mut able: Vec<&Member> = self.members.iter().filter(|m| may(m)).collect();
-        able.sort_by_cached_key(|m| std::cmp::Reverse(score(subject, m.info.incarnation)));
-        able.truncate(count);
-        able
+        let mut eligible: Vec<&Member> = self.members.iter().filter(|m| is_eligible(m)).collect();
+        eligible.sort_by_cached_key(|m| std::cmp::Reverse(score(subject, m.info.incarnation)));
+        eligible.truncate(count);
+        eligible
     }
 
     /// Returns whether this instance leads what `subject` names.
@@ -89,7 +89,7 @@
 
     /// Returns how many instances there are, by address: those that left by their own word are none any more, those
     /// that are silent may be cut off.
-    pub fn instances(&self) -> usize {
+    pub fn instance_count(&self) -> usize {
         let members = self.members.iter();
         let members = members.filter(|m| m.liveness != Liveness::Left);
         let members = members.map(|m| m.info.peer_addr);
--- a/src/platform/edge.rs
+++ b/src/platform/edge.rs
@@ -300,7 +300,7 @@
     loop {
         period.tick().await;
         let now_us = gateway.clock.now_us();
-        gateway.connections.sweep(now_us);
+        gateway.connections.remove_expired(now_us);
         gateway.suspects().expire(now_us);
         gateway.permits.expire(now_us);
         let (gone, _) = gateway.balancer().tick(now_us);
--- a/tests/gateway/events.rs
+++ b/tests/gateway/events.rs
@@ -1,7 +1,7 @@
 //! Streams are cut at the ends of events, whatever pieces they come in.
 
 use proptest::prelude::*;
-use ryevalve::endpoint::events::EventCutter;
+use ryevalve::endpoint::events::EventSplitter;
 
 fn stream(ids: std::ops::Range<u64>) -> Vec<u8> {
     ids.flat_map(|id| format!("id: {id}\ndata: text {id}\n\n").into_bytes())
@@ -12,13 +12,13 @@
     #[test]
     fn no_byte_is_lost_doubled_or_moved(cuts in prop::collection::vec(1_usize..40, 1..60)) {
         let bytes = stream(1..30);
-        let mut cutter = EventCutter::default();
+        let mut splitter = EventSplitter::default();
         let (mut at, mut out, mut last) = (0, Vec::new(), None);
         for cut in cuts.into_iter().cycle().take(2_000) {
             let end = (at + cut).min(bytes.len());
-            cutter.push(&bytes[at..end]);
+            splitter.push(&bytes[at..end]);
             at = end;
-            while let Some(events) = cutter.take(last).unwrap() {
+            while let Some(events) = splitter.take_complete(last).unwrap() {
                 prop_assert!(events.bytes.ends_with(b"\n\n"));
                 prop_assert!(events.last_id > last);
                 last = events.last_id;
@@ -26,23 +26,23 @@
             }
         }
         prop_assert_eq!(out, bytes);
-        prop_assert!(!cutter.has_rest());
+        prop_assert!(!splitter.has_partial_event());
     }
 
     #[test]
     fn another_run_goes_on_after_the_last_event(broke_after in 1_u64..20, begins_at in 1_u64..20) {
         let begins_at = begins_at.min(broke_after + 1);
-        let mut first = EventCutter::default();
+        let mut first = EventSplitter::default();
         first.push(&stream(1..broke_after + 1));
         // The break comes in the middle of an event.
         first.push(b"id: 99\ndata: bro");
-        let mut out = first.take(None).unwrap().unwrap();
-        prop_assert!(first.has_rest());
+        let mut out = first.take_complete(None).unwrap().unwrap();
+        prop_assert!(first.has_partial_event());
         let mut bytes = out.bytes.to_vec();
-        let mut second = EventCutter::default();
+        let mut second = EventSplitter::default();
         second.push(&stream(begins_at..25));
         let last = out.last_id;
-        if let Some(events) = second.take(last).unwrap() {
+        if let Some(events) = second.take_complete(last).unwrap() {
             bytes.extend_from_slice(&events.bytes);
             out = events;
         }
@@ -53,15 +53,15 @@
 
 #[test]
 fn an_endless_event_is_refused() {
-    let mut cutter = EventCutter::default();
-    cutter.push(&vec![b'a'; (1 << 20) + 1]);
-    assert!(cutter.take(None).is_err());
+    let mut splitter = EventSplitter::default();
+    splitter.push(&vec![b'a'; (1 << 20) + 1]);
+    assert!(splitter.take_complete(None).is_err());
 }
 
 #[test]
 fn events_end_with_either_line_ending() {
-    let mut cutter = EventCutter::default();
-    cutter.push(b"id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\n\n");
-    let events = cutter.take(None).unwrap().unwrap();
+    let mut splitter = EventSplitter::default();
+    splitter.push(b"id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\n\n");
+    let events = splitter.take_complete(None).unwrap().unwrap();
     assert_eq!((events.count, events.last_id), (2, Some(2)));
 }
--- a/tests/properties/membership.rs
+++ b/tests/properties/membership.rs
@@ -11,7 +11,7 @@
 use ryevalve::{
     peers::{
         datagram::{Body, Digest, Liveness, MemberInfo, Packet},
-        gossip::ViewPace,
+        gossip::ViewThrottle,
         membership::{Dropped, Membership, Outgoing, PERIOD_US},
     },
     prelude::{Incarnation, Micros},
@@ -310,13 +310,13 @@
 #[test]
 fn changes_that_come_together_make_one_view() {
     let built = |changes: u64| {
-        let mut pace = ViewPace::default();
+        let mut throttle = ViewThrottle::default();
         let mut built = 0;
         for change in 0..changes {
-            pace.note_change();
-            built += u64::from(pace.take_due(change * 1_000_000 / changes));
+            throttle.note_change();
+            built += u64::from(throttle.take_due(change * 1_000_000 / changes));
         }
-        built + u64::from(pace.take_due(2_000_000))
+        built + u64::from(throttle.take_due(2_000_000))
     };
     assert_eq!(built(1), 1, "a single one counts at once");
     assert!(built(100) <= 26, "{}", built(100));
