--- a/src/peers/membership.rs
+++ b/src/peers/membership.rs
@@ -184,7 +184,7 @@
             .listed
             .iter()
             .filter(|addr| !known_addrs.contains(addr));
-        let unmet = undiscovered.copied().collect();
+        let unmet = unmet.copied().collect();
         View {
             me: self.me.incarnation,
             members,
@@ -484,7 +484,7 @@
             .known
             .iter()
             .filter(|(_, k)| !k.admitted && k.last_probe_us == 0);
-        let unadmitted: Vec<Incarnation> = undiscovered
+        let unadmitted: Vec<Incarnation> = unadmitted
             .map(|(i, _)| *i)
             .take(MAX_DISCOVERY_PINGS)
             .collect();
