--- a/src/peers/datagram.rs
+++ b/src/peers/datagram.rs
@@ -1,4 +1,4 @@
-//! What instances send each other by UDP: postcard with an authentication tag.
+//! The UDP datagrams of the membership protocol: postcard with an authentication tag.
 
 use std::net::SocketAddr;
 
@@ -13,71 +13,72 @@
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 const TAG_BYTES: usize = 16;
 
-/// What an instance says of itself.
+/// What an instance announces about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberInfo {
-    /// Its name in the settings.
+    /// The instance's name in the settings.
     pub name: Name,
-    /// This start of it.
+    /// Identifies this start of the process.
     pub incarnation: Incarnation,
-    /// Where it is reached, by UDP and TCP.
+    /// The address for datagrams (UDP) and calls (TCP).
     pub peer_addr: SocketAddr,
-    /// Its hall.
+    /// The hall in which the instance runs.
     pub hall: Name,
-    /// Its data centre.
+    /// The data centre in which the instance runs.
     pub data_centre: Name,
-    /// Raised by itself each time it has something new to say of itself.
+    /// The version of this announcement. Only the instance itself increases it: when its state changes, and to refute a
+    /// suspicion (the incarnation number of SWIM).
     pub beat: u32,
-    /// It takes no new work and is about to go.
+    /// The instance accepts no new work and is about to stop.
     pub leaving: bool,
 }
 
-/// What an instance believes of another.
+/// The state of a member as another instance sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Liveness {
-    /// Answers.
+    /// Responds to probes.
     Alive,
-    /// Missed a probe; may still answer.
+    /// Did not respond to a probe; may still refute the suspicion.
     Suspect,
-    /// Did not answer in time.
+    /// Did not refute the suspicion in time.
     Dead,
-    /// Said that it left, holding nothing.
+    /// Announced that it left and holds no requests.
     Left,
 }
 
-/// A belief about a member, as passed on.
+/// A member's state as passed on by gossip.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rumour {
     /// The member.
     pub info: MemberInfo,
-    /// The belief.
+    /// The member's state as the sender sees it.
     pub liveness: Liveness,
 }
 
-/// What a datagram is for.
+/// The purpose of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks for an [`Body::Ack`] with the same number.
+    /// Requests a [`Body::Ack`] with the same nonce.
     Ping(u64),
-    /// Answers a ping.
+    /// Responds to the ping with this nonce.
     Ack(u64),
-    /// Asks a third one to ping a member on the sender's behalf.
+    /// Requests an indirect probe: the recipient pings a member on the sender's behalf.
     PingFor {
-        /// Whom to ping.
+        /// The address to ping.
         target: SocketAddr,
-        /// The number to answer with.
+        /// The nonce for the ack to the sender.
         nonce: u64,
     },
-    /// Says goodbye; the sender holds nothing.
+    /// Announces that the sender leaves and holds no requests.
     Goodbye,
 }
 
-/// What each datagram says of its sender's state, so that others see what they miss.
+/// A summary of the sender's configuration state, by which recipients detect that their own is outdated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The configuration in force at the sender.
+    /// The version of the configuration that the sender has installed.
     pub config_version: u64,
-    /// A hash over the drain orders at the sender.
+    /// A hash of the drain orders that the sender knows.
     pub orders_hash: u64,
 }
 
@@ -86,13 +87,13 @@
 pub struct Packet {
     /// The sender.
     pub from: MemberInfo,
-    /// Counts the sender's datagrams, so that a replayed one is told apart.
+    /// The sender's datagram counter, by which replayed datagrams are detected.
     pub seq: u64,
-    /// What it is for.
+    /// The purpose of the datagram.
     pub body: Body,
-    /// The sender's state in short.
+    /// A summary of the sender's configuration state.
     pub digest: Digest,
-    /// Beliefs passed on.
+    /// States of members passed on by gossip.
     pub rumours: Vec<Rumour>,
 }
 
@@ -100,28 +101,29 @@
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DatagramError {
-    /// Too short to hold a tag.
-    #[snafu(display("the datagram is too short"))]
+    /// The datagram is too short for an authentication tag.
+    #[snafu(display("the datagram is too short for an authentication tag"))]
     Short,
-    /// Not made with the cluster's key.
-    #[snafu(display("the datagram's tag is wrong"))]
+    /// The authentication tag does not match the cluster's key.
+    #[snafu(display("the datagram's authentication tag is wrong"))]
     Forged,
-    /// Made with the key, but not readable.
-    #[snafu(display("the datagram cannot be read"))]
+    /// The tag is correct, but the content cannot be decoded.
+    #[snafu(display("the datagram cannot be decoded"))]
     Unreadable {
-        /// What the decoder said.
+        /// The decoder's error.
         source: postcard::Error,
     },
 }
 
-/// Makes and checks tags with the cluster's key.
+/// Creates and verifies authentication tags with the cluster's key.
 #[derive(Clone)]
 pub struct Authenticator {
     mac: Hmac<Sha256>,
 }
 
 impl Authenticator {
-    /// Creates one for a key; `purpose` keeps uses of one key apart.
+    /// Creates an authenticator for a key. The `purpose` separates uses of the same key: a tag for one purpose is wrong
+    /// for any other.
     pub fn new(key: &[u8], purpose: &str) -> Self {
         let mut mac = <Hmac<Sha256> as KeyInit>::new_from_slice(key)
             .unwrap_or_else(|_| unreachable!("HMAC takes keys of any length"));
@@ -129,7 +131,7 @@
         Self { mac }
     }
 
-    /// Appends the tag over `bytes` to it.
+    /// Appends an authentication tag to `bytes`.
     pub fn seal(&self, bytes: &mut Vec<u8>) {
         let tag = self
             .mac
@@ -140,7 +142,7 @@
         bytes.extend_from_slice(&tag[..TAG_BYTES]);
     }
 
-    /// Returns the bytes before a correct tag.
+    /// Verifies the tag and returns the bytes before it.
     ///
     /// # Errors
     /// The tag is missing or wrong.
@@ -153,10 +155,10 @@
     }
 }
 
-/// Writes a datagram; rumours that do not fit are left out.
+/// Encodes a datagram. Rumours beyond [`MAX_DATAGRAM_BYTES`] are dropped from `packet`.
 pub fn encode(authenticator: &Authenticator, packet: &mut Packet) -> Vec<u8> {
     loop {
-        // Plain data of this kind always has a postcard form.
+        // Encoding plain data into a vector does not fail.
         let mut bytes = postcard::to_stdvec(packet).unwrap_or_default();
         if bytes.len() + TAG_BYTES <= MAX_DATAGRAM_BYTES || packet.rumours.pop().is_none() {
             authenticator.seal(&mut bytes);
@@ -165,10 +167,10 @@
     }
 }
 
-/// Reads a datagram.
+/// Verifies and decodes a datagram.
 ///
 /// # Errors
-/// It is not from an instance that has the key, or cannot be read.
+/// The tag is missing or wrong, or the content cannot be decoded.
 pub fn decode(authenticator: &Authenticator, bytes: &[u8]) -> Result<Packet, DatagramError> {
     let body = authenticator.open(bytes)?;
     postcard::from_bytes(body).context(UnreadableSnafu)
--- a/src/peers/gossip.rs
+++ b/src/peers/gossip.rs
@@ -27,11 +27,12 @@
     prelude::Micros,
 };
 
-/// Shortest time between two views. A view is as large as the group, and while a group meets each datagram changes it.
+/// Shortest interval between two published views. A view is as large as the cluster, and while many instances discover
+/// each other every datagram changes it.
 const MIN_VIEW_INTERVAL_US: Micros = 40_000;
 
-/// Says when a view is to be worked out anew: at once after a time without changes, and once for all the changes that
-/// come shortly after each other.
+/// Limits how often the membership view is rebuilt: immediately for the first change after a quiet period, once for all
+/// changes that follow within the minimum interval.
 #[derive(Debug, Default)]
 pub struct ViewThrottle {
     published_us: Option<Micros>,
@@ -39,12 +40,12 @@
 }
 
 impl ViewThrottle {
-    /// Notes a change.
+    /// Records that the membership changed.
     pub fn note_change(&mut self) {
         self.is_pending = true;
     }
 
-    /// Returns whether a view is to be published now, and takes it for done.
+    /// Returns whether a view is to be published now, and if so records it as published.
     pub fn take_due(&mut self, now_us: Micros) -> bool {
         let published_us = self.published_us;
         let is_soon = |at_us: Micros| now_us.saturating_sub(at_us) < MIN_VIEW_INTERVAL_US;
@@ -57,16 +58,16 @@
     }
 }
 
-/// Counts of what the socket saw.
+/// Counters of the membership socket.
 #[derive(Debug, Default)]
 pub struct GossipCounts {
     /// Bytes sent.
     pub sent_bytes: AtomicU64,
     /// Bytes received.
     pub received_bytes: AtomicU64,
-    /// Datagrams dropped as forged, unreadable, replayed or own.
+    /// Datagrams dropped: wrong tag, undecodable, replayed, or sent by this instance itself.
     pub dropped: AtomicU64,
-    /// Times this process noticed that it had been paused.
+    /// Number of times this process detected that it had been paused.
     pub pauses: AtomicU64,
 }
 
@@ -75,19 +76,19 @@
     throttle: ViewThrottle,
 }
 
-/// The membership of this instance, running.
+/// Runs the membership protocol of this instance and publishes its view.
 pub struct Gossip {
     state: Mutex<State>,
     socket: UdpSocket,
     authenticator: Authenticator,
     clock: Clock,
     view: watch::Sender<Arc<View>>,
-    /// Counts of what the socket saw.
+    /// Counters of the membership socket.
     pub counts: GossipCounts,
 }
 
 impl Gossip {
-    /// Binds the socket; [`Gossip::run`] starts the exchange.
+    /// Binds the socket; [`Gossip::run`] starts the protocol.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -111,39 +112,39 @@
         })
     }
 
-    /// Returns the current view.
+    /// Returns the current membership view, after publishing a new one if that is due.
     pub fn view(&self) -> Arc<View> {
         self.publish_if_due(&mut self.lock());
         self.view.borrow().clone()
     }
 
-    /// Returns a receiver that sees each change of the view.
+    /// Returns a receiver of published views.
     pub fn watch(&self) -> watch::Receiver<Arc<View>> {
         self.view.subscribe()
     }
 
-    /// Sets what later datagrams say of this instance's state.
+    /// Sets the configuration state that later datagrams carry.
     pub fn set_digest(&self, digest: Digest) {
         self.with_membership(|m| m.set_digest(digest));
     }
 
-    /// Takes the platform's instance list.
+    /// Sets the addresses of the platform's instance list.
     pub fn set_listed(&self, listed: Vec<SocketAddr>) {
         self.with_membership(|m| m.set_listed(listed));
     }
 
-    /// Says that this instance takes no new work.
+    /// Announces that this instance accepts no new work.
     pub fn leave(&self) {
         self.with_membership(Membership::leave);
     }
 
-    /// Says goodbye, after which the others know that nothing is held here.
+    /// Announces to all present members that this instance leaves and holds no requests.
     pub async fn goodbye(&self) {
         let packets = self.lock().membership.goodbye();
         self.send(packets).await;
     }
 
-    /// Probes and answers until cancelled.
+    /// Sends probes and responds to datagrams until cancelled.
     pub async fn run(&self, stop: CancellationToken) {
         let mut period = interval(Duration::from_micros(PERIOD_US));
         period.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -166,7 +167,7 @@
         let paused = self.with_membership(|m| m.tick(self.clock.now_us(), &mut out));
         if paused {
             self.counts.pauses.fetch_add(1, Ordering::Relaxed);
-            log::warn!("this process was paused; views and leads are taken up anew");
+            log::warn!("this process was paused; resetting the membership view");
         }
         self.send(out).await;
     }
@@ -192,7 +193,7 @@
     async fn send(&self, packets: Vec<Outgoing>) {
         for mut outgoing in packets {
             let bytes = datagram::encode(&self.authenticator, &mut outgoing.packet);
-            // A datagram that cannot be sent is as one lost on the way.
+            // A datagram that cannot be sent counts as lost: the protocol tolerates loss.
             if let Ok(len) = self.socket.send_to(&bytes, outgoing.to).await {
                 self.counts
                     .sent_bytes
@@ -218,7 +219,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        // The state is left whole by every step, so a poisoned lock is usable.
+        // Every step leaves the state consistent, so it is usable after a panic in another thread.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/peers/membership.rs
+++ b/src/peers/membership.rs
@@ -1,9 +1,10 @@
-//! Who is there: probes, suspicion and rumours, without clock or socket.
+//! The membership protocol, SWIM-like: probes, suspicion and gossip. Free of I/O and clocks, so that tests can simulate it.
 //!
-//! Each period every instance probes a bounded number of others in turn. One that does not answer,
-//! directly or through others, is suspected, and dead after a while unless it refutes. A member is
-//! admitted only after it answered a number of ours, so a replayed datagram admits nobody. Beliefs
-//! are ordered by the member's own beat: a higher beat outweighs any belief about a lower one.
+//! In each period an instance probes a bounded number of members in turn. A member that responds neither directly nor
+//! through others is suspected, and declared dead after a timeout unless it refutes the suspicion. A member is admitted
+//! to the view only after it responded to a nonce of this instance, so a replayed datagram admits nobody. States of a
+//! member are ordered by its `beat`, which only the member itself increases: a higher beat overrides any state that was
+//! observed at a lower one.
 
 use std::{
     collections::{BTreeMap, HashSet, VecDeque},
@@ -21,45 +22,48 @@
     prelude::{Incarnation, Micros},
 };
 
-/// Time between probes.
+/// Interval between probes.
 pub const PERIOD_US: Micros = 200_000;
-/// A suspect that does not answer for this long is dead; longer in groups of more than fifteen.
+/// A suspect that does not respond for this long is declared dead. In clusters of more than fifteen the timeout is longer.
 pub const SUSPECT_TIMEOUT_US: Micros = 800_000;
-/// A gap between two ticks that says this process was paused.
+/// A gap between two ticks above which this process was paused.
 pub const PAUSE_US: Micros = 1_000_000;
-/// The dead are probed at this interval, so that a mended network is noticed.
+/// Dead members are probed at this interval, to detect that a network partition has healed.
 const DEAD_PROBE_INTERVAL_US: Micros = 3_000_000;
-/// The dead are forgotten after this time.
+/// Dead members are removed after this time.
 const DEAD_RETENTION_US: Micros = 600_000_000;
-/// Up to this many members each one probes two a period, above it one.
+/// In clusters of up to this many present members an instance probes two members a period, in larger ones one.
 const SMALL_CLUSTER: usize = 12;
+/// Members that are requested to probe a member that did not respond.
 const INDIRECT_PROBES: usize = 2;
-/// How many that were only heard of are met a period. After the loss of all 295 instances, at eight a
-/// period three to five seconds passed until they heard of each other, and for as long organisations
-/// below their limits were refused. With sixty, some 10 KB, 250 that know one seed meet in at most ten
-/// periods of virtual time where it took 57.
+/// Most members or addresses not yet admitted that are pinged a period, in addition to the regular probes. With eight, 295
+/// instances that restarted together took three to five seconds to discover each other, and meanwhile refused requests of
+/// organisations below their limits. With sixty, some 10 KB a period, 250 instances that know one seed discover each
+/// other within ten periods of simulated time instead of 57.
 const MAX_DISCOVERY_PINGS: usize = 60;
-/// How often a member that was met is told of. Whoever hears of it meets it, and tells of it as often: more than one
-/// telling reaches all.
+/// Least transmissions of a rumour about a newly admitted member. Each recipient admits the member as well and then
+/// passes it on as often, which is enough to reach all instances.
 const ADMISSION_TRANSMISSIONS: u32 = 12;
 const RUMOURS_PER_PACKET: usize = 12;
+/// Datagrams this many or more sequence numbers behind the newest of their sender are dropped as replays: a `u64` records
+/// which ones were seen.
 const REPLAY_WINDOW: u64 = 64;
 
 /// A datagram to send.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outgoing {
-    /// Where to.
+    /// The destination.
     pub to: SocketAddr,
-    /// What.
+    /// The content.
     pub packet: Packet,
 }
 
-/// Why an authentic datagram was not taken.
+/// Why an authentic datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dropped {
-    /// Its number was seen before or is too old.
+    /// Its sequence number was seen before or is too old.
     Replayed,
-    /// It is this instance's own.
+    /// This instance sent it itself.
     Own,
 }
 
@@ -71,17 +75,20 @@
     last_probe_us: Micros,
     digest: Digest,
     newest_seq: u64,
+    /// The sequence numbers up to `newest_seq` that were seen: bit `n` stands for `newest_seq - n`.
     seen_seqs: u64,
     transmissions_left: u32,
-    /// It answered a number of ours in this incarnation.
+    /// The member responded to a nonce of this instance in this incarnation.
     admitted: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Probe {
+    /// None if only the address is known.
     target: Option<Incarnation>,
     addr: SocketAddr,
     sent_us: Micros,
+    /// Other members have been requested to probe the target.
     is_indirect: bool,
 }
 
@@ -93,7 +100,7 @@
     seq: u64,
     known: BTreeMap<Incarnation, KnownMember>,
     probes: BTreeMap<u64, Probe>,
-    /// Pings made for others: our number to theirs.
+    /// Pings sent on behalf of others: the own nonce, the requester's nonce and address.
     indirect_pings: VecDeque<(u64, u64, SocketAddr)>,
     seeds: Vec<SocketAddr>,
     listed: Vec<SocketAddr>,
@@ -105,7 +112,7 @@
 }
 
 impl Membership {
-    /// Starts alone; `seed` makes its choices repeatable.
+    /// Creates the state of an instance that knows no other members. `seed` makes random choices reproducible.
     pub fn new(me: MemberInfo, seeds: Vec<SocketAddr>, seed: u64) -> Self {
         Self {
             me,
@@ -124,19 +131,19 @@
         }
     }
 
-    /// Sets what later datagrams say of this instance's state.
+    /// Sets the configuration state that later datagrams carry.
     pub fn set_digest(&mut self, digest: Digest) {
         self.digest = digest;
     }
 
-    /// Says that this instance takes no new work.
+    /// Announces that this instance accepts no new work.
     pub fn leave(&mut self) {
         self.me.leaving = true;
         self.me.beat += 1;
         self.changed = true;
     }
 
-    /// Takes the platform's instance list: addresses to meet, and proof that a dead one is gone.
+    /// Sets the platform's instance list: addresses to discover, and evidence that a dead member no longer exists.
     pub fn set_listed(&mut self, listed: Vec<SocketAddr>) {
         let addrs: HashSet<SocketAddr> = listed.iter().copied().collect();
         self.known.retain(|_, k| {
@@ -147,7 +154,7 @@
         self.changed = true;
     }
 
-    /// Returns the datagrams of a goodbye, after which others know that nothing is held here.
+    /// Returns the datagrams that announce to all present members that this instance leaves and holds no requests.
     pub fn goodbye(&mut self) -> Vec<Outgoing> {
         self.me.beat += 1;
         let present = self.known.values().filter(|k| k.liveness < Liveness::Dead);
@@ -161,7 +168,7 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Returns the current view.
+    /// Returns the current membership view.
     pub fn view(&self) -> View {
         let mut members: Vec<Member> = self
             .known
@@ -192,7 +199,8 @@
         }
     }
 
-    /// Does what a period brings; returns true first if this process was paused since the last.
+    /// Performs the work of a period: timeouts, probes and discovery. Returns whether this process was paused since the
+    /// last call.
     pub fn tick(&mut self, now_us: Micros, out: &mut Vec<Outgoing>) -> bool {
         let paused = self
             .last_tick_us
@@ -208,10 +216,10 @@
         paused
     }
 
-    /// Takes an authentic datagram.
+    /// Processes an authentic datagram.
     ///
     /// # Errors
-    /// It is a replay or this instance's own; nothing was changed.
+    /// It is a replay or was sent by this instance itself. Nothing was changed.
     pub fn receive(
         &mut self,
         now_us: Micros,
@@ -243,8 +251,8 @@
         Ok(())
     }
 
-    /// After a pause what others believe of this process is unknown, and so is what this one
-    /// believes of others: everybody gets a fresh start, and the own beat refutes suspicions.
+    /// Resets the state after a pause, since neither the own view nor the views of others about this instance are
+    /// up to date: suspects become alive, all timeouts restart, and a higher beat refutes suspicions of this instance.
     fn resume(&mut self, now_us: Micros) {
         self.me.beat += 1;
         self.probes.clear();
@@ -289,7 +297,7 @@
             return;
         }
         let Some(known) = self.known.get_mut(&incarnation) else {
-            // Of the dead nothing need be known; others are met before they count.
+            // Unknown members that are dead are ignored; others have to respond before they are admitted.
             if rumour.liveness < Liveness::Dead {
                 let known = KnownMember::new(rumour.info, now_us);
                 self.known.insert(incarnation, known);
@@ -326,7 +334,7 @@
             .position(|(own_nonce, ..)| *own_nonce == nonce)
             && let Some((_, their_nonce, to)) = self.indirect_pings.remove(at)
         {
-            // Passed on as a rumour: the one who asked admits nobody by it.
+            // The target's state is sent as a rumour, since the requester admits no member by an indirect probe.
             let mut packet = self.packet(to, Body::Ack(their_nonce));
             if let Some(known) = self.known.get(&from) {
                 packet.packet.rumours.insert(0, known.rumour());
@@ -354,8 +362,8 @@
         self.remove_replaced(from);
     }
 
-    /// A probe was answered by another than it was for: a helper that reached it, or a new start
-    /// at the same address.
+    /// Processes an ack from another member than the one probed: a helper that reached the target, or a new incarnation at
+    /// the same address, which means that the target is dead.
     fn receive_ack_from_other(&mut self, now_us: Micros, probe: Probe, from: Incarnation) {
         let Some(target) = probe.target else { return };
         let addr = self.known.get(&from).map(|k| k.info.peer_addr);
@@ -366,7 +374,7 @@
         }
     }
 
-    /// A member that answered at an address replaces any earlier start there.
+    /// Removes dead members and those that left whose address `by` has taken over.
     fn remove_replaced(&mut self, by: Incarnation) {
         let Some(addr) = self.known.get(&by).map(|k| k.info.peer_addr) else {
             return;
@@ -449,7 +457,7 @@
     }
 
     fn expire_members(&mut self, now_us: Micros) {
-        // A refutation takes longer to get round in a larger group.
+        // A refutation takes longer to spread in a larger cluster.
         let doublings = u64::from((self.known.len() + 1).ilog2());
         let timeout_us = SUSPECT_TIMEOUT_US * doublings.max(3) / 3;
         let expired: Vec<Incarnation> = self
@@ -479,7 +487,8 @@
         } else {
             1
         };
-        // Those heard of but never met go first, or a large group would take minutes to meet.
+        // Members known only from rumours are probed first; in turn with the rest, a large cluster would take minutes to
+        // discover all.
         let unadmitted = self
             .known
             .iter()
@@ -546,7 +555,7 @@
         let mut ping = self.packet(addr, Body::Ping(nonce));
         let suspect = target.and_then(|t| self.known.get(&t));
         if let Some(suspect) = suspect.filter(|k| k.liveness != Liveness::Alive) {
-            // It can refute only what it hears of.
+            // A member can refute a suspicion only if it receives it.
             ping.packet.rumours.insert(0, suspect.rumour());
         }
         out.push(ping);
@@ -574,8 +583,8 @@
         }
     }
 
-    /// Returns news to pass on, from a member on that differs by packet: when many start at once, all
-    /// would pass on the same few first.
+    /// Returns rumours that have transmissions left, starting at a random member: when many instances start at once, all of
+    /// them would otherwise pass on the same few first.
     fn take_rumours(&mut self) -> Vec<Rumour> {
         let first = Incarnation(self.rng.random());
         let has_transmissions = |known: &&mut KnownMember| known.transmissions_left > 0;
@@ -599,7 +608,7 @@
     fn packet(&mut self, to: SocketAddr, body: Body) -> Outgoing {
         self.seq += 1;
         let mut rumours = self.take_rumours();
-        // Besides news, pass on one member at random, so that all are known to all in time.
+        // Without pending rumours, pass on a random member, so that eventually all instances know each other.
         if rumours.is_empty() && !self.known.is_empty() {
             let pick = self.rng.random_range(0..self.known.len());
             let any = self.known.values().nth(pick);
@@ -643,7 +652,7 @@
         self.rumour()
     }
 
-    /// Returns whether the number was not seen before, and remembers it.
+    /// Returns whether the sequence number was not seen before, and records it.
     fn is_new(&mut self, seq: u64) -> bool {
         if seq > self.newest_seq {
             let shift = seq - self.newest_seq;
@@ -665,7 +674,7 @@
     }
 }
 
-/// Returns how often a belief is passed on: a few times the logarithm of the group.
+/// Returns how often a rumour is passed on: three times the logarithm of the cluster size.
 fn transmission_limit(members: usize) -> u32 {
     3 * (members + 2).ilog2()
 }
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,4 +1,4 @@
-//! How the instances know and call each other.
+//! Communication between instances: membership and gossip by UDP, calls by TCP.
 
 pub mod datagram;
 pub mod gossip;
--- a/src/peers/rpc.rs
+++ b/src/peers/rpc.rs
@@ -1,4 +1,4 @@
-//! Calls between instances: tarpc over TCP, postcard, with an authentication tag on each frame.
+//! Calls between instances: tarpc over TCP; each frame is postcard with an authentication tag.
 
 use std::{
     collections::HashMap,
@@ -36,78 +36,78 @@
 pub const MAX_FRAME_BYTES: usize = 8 << 20;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A copy of the configuration, as a step or whole.
+/// The reply to a request for a newer configuration: a delta or a full copy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ConfigCopy {
-    /// The one who asked has the newest known here.
+    /// The requester's version is not older than the one installed here.
     NothingNewer,
-    /// The step from the version that the one who asked has.
+    /// The delta from the requester's version.
     Step(Delta),
-    /// The whole.
+    /// A full copy.
     Whole {
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
-        /// Its objects.
+        /// The objects of the configuration.
         objects: Objects,
     },
 }
 
-/// What an instance answers to a question of an operator, as JSON rows.
+/// One instance's part of the result of an operator's query, as JSON rows.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct QueryPart {
     /// The rows, each a JSON object.
     pub rows: Vec<String>,
-    /// How many more there are than were sent.
+    /// The number of rows that were omitted.
     pub left_out: u64,
 }
 
-/// What instances ask of each other.
+/// The calls between instances.
 #[tarpc::service]
 pub trait Peer {
-    /// Gives a pool's leader what happened at an entry.
+    /// Sends an instance's updates about its requests to a pool's leader.
     async fn updates(batch: UpdateBatch) -> Result<(), UpdatesRefused>;
-    /// Gives an entry a leader's orders.
+    /// Sends a leader's orders to an instance that holds requests.
     async fn orders(batch: OrderBatch) -> Vec<OrderReply>;
-    /// Asks an instance to hold a level for a pool.
-    async fn hold_level(pool: Name, ask: LevelAsk) -> bool;
-    /// Asks for a configuration newer than the one at hand.
+    /// Requests an instance to hold a shedding level for a pool.
+    async fn hold_level(pool: Name, request: LevelAsk) -> bool;
+    /// Requests a configuration newer than the given version with the given hash.
     async fn config_after(version: u64, hash: Hash) -> ConfigCopy;
-    /// Exchanges drain orders: takes some, answers all.
+    /// Exchanges drain orders: the recipient merges those of the caller and replies with all that it knows.
     async fn exchange_drains(orders: Vec<DrainOrder>) -> Vec<DrainOrder>;
     /// Claims keys of a shard.
-    async fn claim(shard: u16, asks: Vec<ClaimAsk>) -> Vec<ClaimAnswer>;
-    /// Gives claims up whose request provably did not run.
-    async fn release(shard: u16, asks: Vec<ClaimAsk>);
-    /// Asks the instance that handed out a ticket for leave to use it.
+    async fn claim(shard: u16, requests: Vec<ClaimAsk>) -> Vec<ClaimAnswer>;
+    /// Releases claims whose request provably did not run.
+    async fn release(shard: u16, requests: Vec<ClaimAsk>);
+    /// Redeems a ticket at the instance that issued it.
     async fn use_ticket(ticket: Ticket, by: RequestId) -> TicketAnswer;
-    /// Answers an operator's question about this instance alone.
+    /// Evaluates an operator's query for this instance alone.
     async fn query(text: String) -> QueryPart;
-    /// Cancels a request held here; answers whether it was.
+    /// Cancels a request; returns whether the instance held it.
     async fn cancel(id: RequestId) -> bool;
-    /// Begins a planned stop.
+    /// Starts a planned stop.
     async fn stop();
 }
 
-/// Why a call brought no answer; it may have been carried out.
+/// Why a call failed; it may have been executed all the same.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// The peer could not be reached; it was not carried out.
+    /// The peer could not be reached; the call was not executed.
     #[snafu(display("cannot connect to {addr}"))]
     Connect {
-        /// The peer.
+        /// The peer's address.
         addr: SocketAddr,
-        /// What the system said.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// No answer came in time, or the connection broke.
-    #[snafu(display("no answer"))]
+    /// No response arrived in time, or the connection was lost; the call may have been executed.
+    #[snafu(display("no response from the peer"))]
     NoAnswer {
-        /// What tarpc said.
+        /// The error of tarpc.
         source: client::RpcError,
     },
 }
 
-/// Bytes that calls between instances took.
+/// Byte counters of the calls between instances.
 #[derive(Debug, Default)]
 pub struct RpcCounts {
     /// Bytes sent.
@@ -116,7 +116,7 @@
     pub received_bytes: AtomicU64,
 }
 
-/// The frame codec: postcard, then a tag.
+/// The frame codec: postcard followed by an authentication tag.
 #[derive(Clone)]
 pub struct SealedCodec {
     authenticator: Authenticator,
@@ -156,14 +156,14 @@
     }
 }
 
-/// Connections to the other instances, made when first needed.
+/// Client connections to the other instances, opened on first use.
 pub struct PeerClients {
     codec: SealedCodec,
     clients: Mutex<HashMap<SocketAddr, PeerClient>>,
 }
 
 impl PeerClients {
-    /// Creates an empty set.
+    /// Creates a set without connections.
     pub fn new(codec: SealedCodec) -> Self {
         Self {
             codec,
@@ -171,10 +171,10 @@
         }
     }
 
-    /// Calls a peer; a connection that fails is dropped, and the next call makes a new one.
+    /// Calls a peer. After a failed call the connection is dropped, and the next call opens a new one.
     ///
     /// # Errors
-    /// Says whether the call may have been carried out.
+    /// The variant distinguishes calls that were not executed from those that may have been; see [`CallError`].
     pub async fn call<T, F>(
         &self,
         addr: SocketAddr,
--- a/src/peers/update.rs
+++ b/src/peers/update.rs
@@ -1,5 +1,5 @@
-//! What gateways tell each other several times a second, by UDP: postcard with an authentication
-//! tag.
+//! The datagrams by which gateways exchange load, endpoint state and freshness several times a second, by UDP: postcard
+//! with an authentication tag.
 
 use serde::{Deserialize, Serialize};
 use snafu::ResultExt;
@@ -17,104 +17,103 @@
     prelude::Incarnation,
 };
 
-/// What an update is for, which says how its lists are taken.
+/// The purpose of an update, which determines how the recipient applies its lists.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Purpose {
-    /// In a small group: from an instance to every other.
+    /// In a small cluster: from an instance to every other.
     #[default]
     Direct,
-    /// In a large group: from an instance to an aggregator of its hall. Whoever gets one is an
-    /// aggregator, and tells its sender its summaries.
+    /// In a large cluster: a load report from an instance to an aggregator of its hall. The recipient of a report acts as
+    /// an aggregator and sends its summaries to the reporter.
     Report,
-    /// In a large group: from an aggregator.
+    /// In a large cluster: from an aggregator.
     Summary,
-    /// Asks how fresh what the other one knows of the store is. The answer is a summary without sums.
+    /// Requests the age of the recipient's data from the store. The reply is a summary without load sums.
     Question,
 }
 
-/// What an aggregator says of all instances of a hall together.
+/// An aggregator's summary of all instances of a hall.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HallSummary {
-    /// The hall, by its key.
+    /// The key of the hall.
     pub hall: u32,
-    /// The aggregator's start.
+    /// The aggregator's incarnation.
     pub by: Incarnation,
-    /// The aggregator's round; an older one is dropped.
+    /// The aggregator's round number; summaries of older rounds are dropped.
     pub seq: u64,
-    /// Instances of the hall that ran of late, heard or not.
+    /// Instances of the hall that ran recently, including those that the aggregator does not receive reports from.
     pub instances: u32,
-    /// Those of them that it hears, itself included.
+    /// Instances that the aggregator receives reports from, itself included.
     pub heard: u32,
-    /// Endpoints that `loads` are of: what is not listed has no requests of this hall.
+    /// The key range that `loads` covers: endpoints in it that are not listed have no requests from this hall.
     pub span: KeyRange,
-    /// Requests of all instances of the hall at endpoints; replaces what was told before.
+    /// In-flight requests of all instances of the hall by endpoint; replaces the previous summary.
     pub loads: Vec<(EndpointKey, InFlight)>,
-    /// What endpoints said to any of its instances, as in [`Update::reports`].
+    /// Load reports of endpoints to any instance of the hall, as in [`Update::reports`].
     pub reports: Vec<(EndpointKey, i8)>,
-    /// How fast it believes some of its endpoints to be.
+    /// The aggregator's speed estimates for some of its endpoints.
     pub speeds: Vec<(EndpointKey, SpeedSummary)>,
 }
 
-/// One datagram.
+/// One datagram of the exchange between gateways.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// The sender's start.
+    /// The sender's incarnation.
     pub from: Incarnation,
-    /// The sender's hall, by its key.
+    /// The key of the sender's hall.
     pub hall: u32,
-    /// Counts the sender's rounds; an older one is dropped.
+    /// The sender's round number; updates of older rounds are dropped.
     pub seq: u64,
-    /// What it is for.
+    /// The purpose of the update.
     pub purpose: Purpose,
-    /// The newest number that the sender has from whom it tells, or 0. Whoever sent that knows
-    /// that what is told here is no older than its sending.
+    /// The newest round number that the sender received from the recipient, or 0. The recipient infers that the content
+    /// of this update is no older than its own datagram of that round.
     pub echo: u64,
-    /// The same for each instance of the hall, in a summary that all of them get; by
-    /// [`address_key`].
+    /// The same for each instance of the hall, by [`address_key`], in a summary that is sent to all of them.
     pub echoes: Vec<(u16, u64)>,
-    /// The configuration in force.
+    /// The version of the configuration that the sender has installed.
     pub config_version: u64,
-    /// For how long it has not been known to be the newest, in milliseconds, rounded up; none if
-    /// for too long to be of use.
+    /// Staleness of the configuration: the time since it was last known to be the newest, in milliseconds, rounded up;
+    /// none if too long to be of use.
     pub config_age_ms: Option<u32>,
-    /// The store's revision that the endpoints are up to.
+    /// The store's revision that the sender's endpoints correspond to.
     pub endpoints_revision: Revision,
-    /// For how long they are not known to be so still, as for the configuration.
+    /// Staleness of the endpoints, as for the configuration.
     pub endpoints_age_ms: Option<u32>,
-    /// The data centres that are evacuated.
+    /// The evacuated data centres.
     pub evacuations: EvacuationSet,
-    /// For how long they are not known to be so still, as for the configuration.
+    /// Staleness of the evacuations, as for the configuration.
     pub evacuations_age_ms: Option<u32>,
-    /// All places up to this number that the sender asked for are in `loads`, or will not be used.
+    /// All reservations of the sender up to this number are counted in `loads`, or will not be used.
     pub settled: u64,
-    /// Requests of the sender alone at endpoints; replaces the list before.
+    /// In-flight requests of the sender alone by endpoint; replaces the previous list.
     pub loads: Vec<(EndpointKey, InFlight)>,
-    /// Requests that endpoints said they have beside those known of, since it was told last.
+    /// Requests that endpoints reported beyond those known to the sender, since its last update about them.
     pub reports: Vec<(EndpointKey, i8)>,
-    /// Chains of prompts that were read lately, and where.
+    /// Prefix chains of prompts that were processed recently, and the endpoint that did.
     pub read: Vec<(ChainKey, EndpointKey)>,
-    /// What was seen of the speed of some endpoints since it was told last.
+    /// Speed samples of some endpoints since the last update about them.
     pub seen: Vec<(EndpointKey, SpeedSamples)>,
-    /// Endpoints whose address another start has taken.
+    /// Endpoints that are gone since a newer one has started at the same address.
     pub dead: Vec<EndpointKey>,
-    /// Requests under which endpoints ended.
+    /// Requests suspected of crashing endpoints.
     pub suspects: Vec<SuspectUpdate>,
-    /// What endpoints said of themselves that all instances are to know.
+    /// Announcements of endpoints for all instances.
     pub standings: Vec<AnnouncementUpdate>,
-    /// Summaries of halls.
+    /// The hall summaries of an aggregator.
     pub halls: Vec<HallSummary>,
 }
 
 impl Update {
-    /// Returns the newest number of `address` that the sender has, or 0.
+    /// Returns the newest round number that the sender received from the instance with this [`address_key`], or 0.
     pub fn echo_of(&self, address: u16) -> u64 {
         let named = self.echoes.iter().find(|(key, _)| *key == address);
         named.map_or(self.echo, |(_, seq)| *seq)
     }
 }
 
-/// Names an instance's address in [`Update::echoes`], among those of its hall: its last two bytes. Of
-/// two that are alike, both would take the other's echo, and forget it as a round that they never sent.
+/// Identifies an instance's address in [`Update::echoes`] among those of its hall: the last two bytes. If two instances
+/// have the same key, each also receives the other's echo, and discards it as a round that it never sent.
 pub fn address_key(address: std::net::IpAddr) -> u16 {
     match address {
         std::net::IpAddr::V4(v4) => v4.to_bits() as u16,
@@ -122,18 +121,18 @@
     }
 }
 
-/// Writes a datagram.
+/// Encodes an update as a datagram.
 pub fn encode(authenticator: &Authenticator, update: &Update) -> Vec<u8> {
-    // Plain data of this kind always has a postcard form.
+    // Encoding plain data into a vector does not fail.
     let mut bytes = postcard::to_stdvec(update).unwrap_or_default();
     authenticator.seal(&mut bytes);
     bytes
 }
 
-/// Reads a datagram.
+/// Verifies and decodes a datagram.
 ///
 /// # Errors
-/// It is not from an instance that has the key, or cannot be read.
+/// The tag is missing or wrong, or the content cannot be decoded.
 pub fn decode(authenticator: &Authenticator, bytes: &[u8]) -> Result<Update, DatagramError> {
     let body = authenticator.open(bytes)?;
     postcard::from_bytes(body).context(UnreadableSnafu)
--- a/src/peers/view.rs
+++ b/src/peers/view.rs
@@ -1,4 +1,4 @@
-//! Who is there, as one instance sees it, and who does what.
+//! The membership view of one instance, and the choice of leaders by rendezvous hash.
 
 use std::{collections::HashSet, net::SocketAddr};
 
@@ -9,56 +9,55 @@
     prelude::Incarnation,
 };
 
-/// One member with what is believed of it.
+/// One member and its state as seen by the instance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// What it said of itself.
+    /// What the member announced about itself.
     pub info: MemberInfo,
-    /// Whether it answers.
+    /// Whether the member responds to probes.
     pub liveness: Liveness,
-    /// Its state in short, as last heard.
+    /// The member's configuration state as last received.
     pub digest: Digest,
 }
 
 impl Member {
-    /// Returns whether it may be given something to lead.
+    /// Returns whether the member may become a leader: it is believed to run and is not leaving.
     pub fn can_lead(&self) -> bool {
         self.is_present() && !self.info.leaving
     }
 
-    /// Returns whether it is believed to run.
+    /// Returns whether the member is believed to run.
     pub fn is_present(&self) -> bool {
         matches!(self.liveness, Liveness::Alive | Liveness::Suspect)
     }
 }
 
-/// The members known to one instance, itself included.
+/// The membership view of one instance: all members known to it, itself included.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct View {
-    /// The instance whose view it is.
+    /// The instance that has this view.
     pub me: Incarnation,
-    /// All that are known, by incarnation; the dead are kept for a while.
+    /// All known members, ordered by incarnation. Dead members remain for some time.
     pub members: Vec<Member>,
-    /// Listed by the platform but never met.
+    /// Addresses in the platform's instance list where no member has been admitted.
     pub unmet: Vec<SocketAddr>,
 }
 
 impl View {
-    /// Returns the member that leads what `subject` names: of those that can, the one with the
-    /// highest hash. A member that comes or goes moves only what it leads.
+    /// Returns the leader of `subject` by rendezvous hash: of the members that can lead, the one with the highest hash.
+    /// A member that joins or leaves changes only the subjects that it leads.
     pub fn leader(&self, subject: &str) -> Option<&Member> {
         self.leaders(subject, 1).pop()
     }
 
-    /// Returns the `count` members with the highest hashes for `subject`, the highest last.
+    /// Returns the `count` members that can lead with the highest hashes for `subject`, the highest last.
     pub fn leaders(&self, subject: &str, count: usize) -> Vec<&Member> {
         let mut leaders = self.rank_members(subject, count, Member::can_lead);
         leaders.reverse();
         leaders
     }
 
-    /// Returns the `count` members with the highest hashes for `subject` of those that `is_eligible` be
-    /// chosen, the highest first.
+    /// Returns the `count` eligible members with the highest rendezvous hashes for `subject`, the highest first.
     pub fn rank_members(
         &self,
         subject: &str,
@@ -71,24 +70,24 @@
         eligible
     }
 
-    /// Returns whether this instance leads what `subject` names.
+    /// Returns whether this instance is the leader of `subject`.
     pub fn leads(&self, subject: &str) -> bool {
         let leader = self.leader(subject);
         leader.is_some_and(|m| m.info.incarnation == self.me)
     }
 
-    /// Returns the members believed to run, itself included.
+    /// Returns the members believed to run, this instance included.
     pub fn present(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|m| m.is_present())
     }
 
-    /// Returns the others believed to run.
+    /// Returns the other members believed to run.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.present().filter(|m| m.info.incarnation != self.me)
     }
 
-    /// Returns how many instances there are, by address: those that left by their own word are none any more, those
-    /// that are silent may be cut off.
+    /// Returns the number of instances by distinct address. Instances that announced that they left don't count; those
+    /// that don't respond do, since they may only be partitioned from this one.
     pub fn instance_count(&self) -> usize {
         let members = self.members.iter();
         let members = members.filter(|m| m.liveness != Liveness::Left);
@@ -97,14 +96,14 @@
         addrs.len()
     }
 
-    /// Returns the member of that start.
+    /// Returns the member with this incarnation.
     pub fn member(&self, incarnation: Incarnation) -> Option<&Member> {
         let mut members = self.members.iter();
         members.find(|m| m.info.incarnation == incarnation)
     }
 
-    /// Returns all that may hold a request: those present, those whose death is not confirmed, and
-    /// a placeholder for each listed one that was never met.
+    /// Returns all instances that may hold a request: present members, dead ones whose death is not confirmed, and a
+    /// placeholder (incarnation 0) for each address in `unmet`.
     pub fn may_hold_requests(&self) -> Vec<Incarnation> {
         let known = self.members.iter().filter(|m| m.liveness != Liveness::Left);
         let known = known.map(|m| m.info.incarnation);
@@ -119,7 +118,7 @@
     for byte in subject.bytes().chain(incarnation.0.to_le_bytes()) {
         hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     }
-    // FNV mixes its last bytes little; finish as splitmix does.
+    // FNV-1a mixes the last bytes poorly, so the finaliser of SplitMix64 is applied.
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     (hash ^ (hash >> 31), incarnation)
