--- a/src/distribution.rs
+++ b/src/distribution.rs
@@ -1,8 +1,8 @@
-//! Brings the configuration and drain orders to every instance, and keeps them from going back.
+//! Distributes the configuration and drain orders to all instances, and prevents a return to older versions.
 //!
-//! The platform holds the accepted configuration as one object. A few instances watch it, chosen by
-//! rendezvous hash; the rest see a higher version in their peers' datagrams and fetch the step to it
-//! from there. Drain orders are kept by all instances; one of them writes them to the platform.
+//! The platform stores the accepted configuration as one object. A few instances, chosen by rendezvous hash, watch it; the
+//! others see a higher version in their peers' datagrams and fetch the delta to it from them. All instances hold the
+//! drain orders; one of them writes them to the platform.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -31,90 +31,90 @@
     store::{Object, Store, backoff},
 };
 
-/// The object that holds the configuration.
+/// The key of the platform's object for the configuration.
 pub const CONFIG_KEY: &str = "config";
-/// The object that holds drain orders.
+/// The key of the platform's object for drain orders.
 pub const DRAINS_KEY: &str = "drains";
-/// How many instances watch the platform.
+/// Number of instances that watch the platform.
 const WATCHERS: usize = 3;
 const WATCH_WAIT: Duration = Duration::from_secs(25);
 const WATCH_RETRY_MS: u64 = 1_000;
 const LIST_INTERVAL_MS: u64 = 5_000;
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Steps are made from up to this many versions back; older ones get the whole.
+/// Number of previous versions from which deltas can be computed; peers with an older version get a full copy.
 const MAX_PREVIOUS_VERSIONS: usize = 64;
-/// How many accepted changes the stored history names.
+/// Most entries of the stored history.
 pub const MAX_HISTORY_ENTRIES: usize = 100;
 
-/// One accepted change of the configuration.
+/// An accepted change of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// The version that it made.
+    /// The version that the change created.
     pub version: u64,
-    /// Who ordered it.
+    /// The operator who ordered the change.
     pub by: Name,
-    /// When, in seconds since 1970.
+    /// The time of the change, in seconds since 1970.
     pub at_s: u64,
-    /// The command's id, by which a lost answer is settled.
+    /// The command's id. After a lost response it shows whether the command was executed.
     pub command: String,
-    /// What it changed, in short.
+    /// A short description of the change.
     pub what: String,
 }
 
-/// The configuration as the platform holds it.
+/// The configuration as stored on the platform.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredConfig {
-    /// Counts accepted configurations, from 1.
+    /// The number of accepted configurations so far.
     pub version: u64,
-    /// The objects.
+    /// The objects of the configuration.
     pub objects: BTreeMap<String, Value>,
-    /// The last accepted changes, the newest last.
+    /// The most recent accepted changes, the newest last.
     pub history: Vec<HistoryEntry>,
 }
 
-/// A stored configuration that cannot be used.
+/// Why a stored configuration cannot be used.
 #[derive(Debug, Snafu)]
 pub enum StoredError {
-    /// It is not JSON of the right form.
+    /// The value is not valid JSON or has another structure.
     #[snafu(display("the stored configuration cannot be read"))]
     Unreadable {
-        /// What the reader said.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// Its objects cannot be used.
+    /// The objects are not a valid configuration.
     #[snafu(display("the stored configuration cannot be used"))]
     Unusable {
-        /// What is wrong.
+        /// The reason.
         source: VersionError,
     },
 }
 
 impl StoredConfig {
-    /// Reads the platform's value.
+    /// Parses the value stored on the platform.
     ///
     /// # Errors
-    /// It is not JSON of the right form.
+    /// The value is not valid JSON or has another structure.
     pub fn read(value: &[u8]) -> Result<Self, StoredError> {
         serde_json::from_slice(value).context(UnreadableSnafu)
     }
 
-    /// Writes the platform's value.
+    /// Serializes the value for the platform.
     pub fn write(&self) -> Bytes {
-        // Plain data with text keys always has a JSON form.
+        // Plain data with string keys always serializes to JSON.
         serde_json::to_vec(self).unwrap_or_default().into()
     }
 
-    /// Returns the configuration, read and ready for use.
+    /// Parses the objects into a configuration.
     ///
     /// # Errors
-    /// An object cannot be read.
+    /// The objects are not a valid configuration.
     pub fn versioned(&self) -> Result<Versioned, StoredError> {
         let objects = self.objects.iter();
         let objects = objects.map(|(k, v)| (k.clone(), v.to_string())).collect();
         Versioned::from_objects(self.version, objects).context(UnusableSnafu)
     }
 
-    /// Replaces the objects by those of a version.
+    /// Replaces the version and the objects.
     pub fn set(&mut self, versioned: &Versioned) {
         self.version = versioned.version;
         let parse = |text: &String| serde_json::from_str(text).unwrap_or_default();
@@ -123,11 +123,12 @@
     }
 }
 
-/// What this instance has in force.
+/// The configuration and the drain orders that this instance has installed.
 pub struct ConfigState {
     current: ArcSwap<Versioned>,
     drains: ArcSwap<Drains>,
-    /// Held while either is replaced, so that neither ever goes back.
+    /// Versions before the current one. Locked while the configuration or the drain orders are replaced, so that neither
+    /// returns to an older state.
     previous_versions: Mutex<VecDeque<Arc<Versioned>>>,
     changed: watch::Sender<u64>,
 }
@@ -144,22 +145,22 @@
 }
 
 impl ConfigState {
-    /// Returns the version in force.
+    /// Returns the installed configuration.
     pub fn current(&self) -> Arc<Versioned> {
         self.current.load_full()
     }
 
-    /// Returns the drain orders in force.
+    /// Returns the current drain orders.
     pub fn drains(&self) -> Arc<Drains> {
         self.drains.load_full()
     }
 
-    /// Returns a receiver that sees each change of either.
+    /// Returns a receiver that is notified when the configuration or the drain orders change.
     pub fn watch(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// Puts a version in force, unless it is not higher than the one that is.
+    /// Installs a configuration if its version is higher than the installed one; returns whether it was.
     pub fn install(&self, next: Versioned) -> bool {
         let mut older_versions = self
             .previous_versions
@@ -173,14 +174,14 @@
         if older_versions.len() > MAX_PREVIOUS_VERSIONS {
             older_versions.pop_front();
         }
-        log::info!("configuration {} is in force", next.version);
+        log::info!("installing configuration version {}", next.version);
         self.current.store(Arc::new(next));
         drop(older_versions);
         self.changed.send_modify(|n| *n += 1);
         true
     }
 
-    /// Takes drain orders; returns whether any was news.
+    /// Merges drain orders into the known ones; returns whether any of them was new.
     pub fn merge_drains(&self, orders: Vec<DrainOrder>) -> bool {
         let guard = self
             .previous_versions
@@ -198,7 +199,7 @@
         is_changed
     }
 
-    /// Returns what a peer at that version has to be sent.
+    /// Returns what a peer with this version and hash needs to reach the installed configuration.
     pub fn copy_after(&self, version: u64, hash: Hash) -> ConfigCopy {
         let older_versions = self
             .previous_versions
@@ -235,7 +236,8 @@
     }
 }
 
-/// Brings this instance up to the highest version it can learn; returns whether it may serve.
+/// Fetches the newest configuration and drain orders from the platform and all peers; returns whether this instance may
+/// serve.
 pub async fn catch_up<S: Store>(instance: &Arc<Instance<S>>) -> bool {
     let is_store_read = read_stored(instance).await;
     read_drains(instance).await;
@@ -249,13 +251,13 @@
     has_source && instance.config.current().version > 0
 }
 
-/// Follows the platform's object while this instance is one of its watchers.
+/// Watches the platform's configuration while this instance is one of the watchers.
 pub async fn watch_platform<S: Store>(instance: Arc<Instance<S>>) {
     let mut view = instance.gossip.watch();
     let mut platform_version = 0;
     loop {
         if !is_watcher(&view.borrow_and_update()) {
-            // The next change of the view may make it one.
+            // This instance may become a watcher when the view changes.
             let _ = view.changed().await;
             continue;
         }
@@ -282,7 +284,7 @@
     watchers.iter().any(|m| m.info.incarnation == view.me)
 }
 
-/// Fetches what peers are seen to have and this instance has not.
+/// Fetches newer configurations and unknown drain orders from peers whose digest shows them.
 pub async fn follow_peers<S: Store>(instance: Arc<Instance<S>>) {
     let mut view = instance.gossip.watch();
     let mut config = instance.config.watch();
@@ -322,7 +324,7 @@
     }
 }
 
-/// Keeps the platform's instance list at hand; it only says whom to meet and who is gone.
+/// Polls the platform's instance list. It serves only to discover instances and to remove dead ones.
 pub async fn follow_instance_list<S: Store>(instance: Arc<Instance<S>>) {
     loop {
         match instance.store.instances().await {
@@ -338,7 +340,7 @@
     }
 }
 
-/// Writes drain orders to the platform while this instance is the one to do it.
+/// Writes changed drain orders to the platform while this instance is responsible for that.
 pub async fn persist_drains<S: Store>(instance: Arc<Instance<S>>) {
     let mut config = instance.config.watch();
     let mut written_hash = instance.config.drains().hash();
@@ -348,7 +350,7 @@
         if due && write_drains(&instance).await {
             written_hash = drains.hash();
         }
-        // Looks again after a while too: the one who was to write may be gone.
+        // Checks again after a while even without a change: the instance that was responsible may be dead.
         let wait = Duration::from_millis(rand::rng().random_range(1_000..3_000));
         let _ = time::timeout(wait, config.changed()).await;
     }
@@ -373,7 +375,7 @@
 }
 
 fn parse_drains(object: &Object) -> Vec<DrainOrder> {
-    // Orders that cannot be read are of a later release; they stay with those who know them.
+    // Orders that cannot be parsed are from a later release; instances of that release hold them.
     serde_json::from_slice(&object.value).unwrap_or_default()
 }
 
@@ -392,14 +394,14 @@
     }
 }
 
-/// Puts what the platform holds in force, if it is newer and can be used.
+/// Installs the configuration stored on the platform if it is valid and newer.
 pub fn install_stored<S: Store>(instance: &Instance<S>, object: &Object) {
     let versioned = StoredConfig::read(&object.value).and_then(|s| s.versioned());
     match versioned {
         Ok(versioned) => {
             instance.config.install(versioned);
         }
-        Err(error) => log::error!("{error}; the one in force stays"),
+        Err(error) => log::error!("{error}; keeping the installed configuration"),
     }
 }
 
@@ -411,7 +413,7 @@
     if instance.config.apply_copy(copy).is_ok() {
         return true;
     }
-    // The step did not lead where it said: take the whole.
+    // The delta could not be applied, so a full copy is fetched.
     instance.metrics.config_steps_refused.inc();
     let whole = fetch_copy(instance, member, 0, Hash::default()).await;
     whole.is_some_and(|copy| instance.config.apply_copy(copy).is_ok())
@@ -449,13 +451,13 @@
     }
 }
 
-/// Waits for about `ms`, spread so that instances do not act together.
+/// Sleeps for `ms` with a jitter of 50 %, so that instances do not act at the same time.
 async fn sleep_jittered(ms: u64) {
     let spread = rand::rng().random_range(ms / 2..=ms + ms / 2);
     time::sleep(Duration::from_millis(spread)).await;
 }
 
-/// Returns a wait before another try at the platform, longer each time.
+/// Returns the delay before the next attempt to reach the platform; it grows with each attempt.
 pub fn retry_delay(attempt: u32) -> Duration {
     backoff(attempt)
 }
--- a/src/endpoint/connection.rs
+++ b/src/endpoint/connection.rs
@@ -1,8 +1,8 @@
-//! One connection to an endpoint, for one request.
+//! A connection to an endpoint for a single request.
 //!
-//! The connect and the sending are two steps: a connect that fails has provably sent nothing, and
-//! anything after it may have run. Connections are not shared among requests, since one that was
-//! idle may break at a moment that leaves open whether the request was read.
+//! Connecting and sending are separate steps: if connecting fails, provably nothing was sent; after that the request may
+//! have run. Connections are not reused, since an idle connection may break at a moment that leaves open whether the
+//! endpoint read the request.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -20,49 +20,49 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The endpoint could not be reached; provably no byte was sent.
+/// The connection could not be opened; provably no byte was sent.
 #[derive(Debug, Snafu)]
 pub enum ConnectError {
-    /// The connect failed.
+    /// The operating system reported an error.
     #[snafu(display("cannot connect to {addr}"))]
     Refused {
-        /// The endpoint.
+        /// The endpoint's address.
         addr: SocketAddr,
-        /// What the system said.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The connect took too long.
+    /// The connection was not established in time.
     #[snafu(display("connecting to {addr} took too long"))]
     TimedOut {
-        /// The endpoint.
+        /// The endpoint's address.
         addr: SocketAddr,
     },
     /// The connection was lost before anything was sent.
     #[snafu(display("the connection was lost before anything was sent"))]
     Lost {
-        /// What hyper said.
+        /// The error of hyper.
         source: hyper::Error,
     },
 }
 
-/// The request was sent, or part of it, and no answer came.
+/// The request was sent at least in part, and no response arrived; it may have run.
 #[derive(Debug, Snafu)]
 #[snafu(display("sent, but not answered"))]
 pub struct SendError {
     source: hyper::Error,
 }
 
-/// An open connection, nothing sent yet.
+/// An open connection on which nothing has been sent yet.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: AbortOnDropHandle<()>,
 }
 
-/// An answer's head, with the connection that its body comes through.
+/// A response whose body is still being received, with its connection.
 pub struct Answer {
-    /// The answer.
+    /// The response.
     pub response: Response<Incoming>,
-    /// Keeps the connection going for as long as the body is read.
+    /// The task that drives the connection; it has to be kept until the body has been read.
     pub driver: AbortOnDropHandle<()>,
 }
 
@@ -70,28 +70,29 @@
     /// Connects to an endpoint.
     ///
     /// # Errors
-    /// It could not be reached; no byte was sent.
+    /// The connection could not be opened; no byte was sent.
     pub async fn open(addr: SocketAddr) -> Result<Self, ConnectError> {
         let connect = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr));
         let Ok(connected) = connect.await else {
             return TimedOutSnafu { addr }.fail();
         };
         let stream = connected.context(RefusedSnafu { addr })?;
-        // Without this small answers wait for acknowledgements; with it failing they are late.
+        // Disables Nagle's algorithm, which delays small messages until an acknowledgement arrives. A failure only costs
+        // latency.
         let _ = stream.set_nodelay(true);
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.context(LostSnafu)?;
         let driver = AbortOnDropHandle::new(tokio::spawn(async move {
-            // Its errors reach whoever reads the answer.
+            // Errors also reach the reader of the response.
             let _ = connection.await;
         }));
         Ok(Self { sender, driver })
     }
 
-    /// Sends the request.
+    /// Sends the request and waits for the head of the response.
     ///
     /// # Errors
-    /// No answer came; the request may have run.
+    /// No response arrived; the request may have run.
     pub async fn send(mut self, request: Request<Full<Bytes>>) -> Result<Answer, SendError> {
         let response = self.sender.send_request(request).await.context(SendSnafu)?;
         Ok(Answer {
--- a/src/endpoint/connection_pool.rs
+++ b/src/endpoint/connection_pool.rs
@@ -1,7 +1,7 @@
-//! Connections to endpoints that are kept between requests.
+//! A pool of idle connections to endpoints.
 //!
-//! Only requests that may run again ride on a kept connection: one that breaks while a request is
-//! written leaves open whether it was read. A new connection that fails has provably sent nothing.
+//! Only repeatable requests are sent over reused connections: if one breaks while a request is written, it is unknown
+//! whether the endpoint read it. If a new connection cannot be opened, provably nothing was sent.
 
 use std::{
     collections::HashMap,
@@ -20,20 +20,21 @@
 
 use crate::prelude::Micros;
 
-/// A connection comes up within some milliseconds; an endpoint that is dark never answers.
+/// Connecting usually takes a few milliseconds; an unreachable endpoint never responds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// How long a connection rests at most when its endpoint does not say when it closes it.
+/// Longest time that a connection stays idle if the endpoint does not announce its idle timeout.
 const DEFAULT_IDLE_US: Micros = 3_000_000;
-/// An endpoint closes a resting connection when it said; ours is given up this long before.
+/// An idle connection is closed this long before the idle timeout that the endpoint announced, so that no request is sent
+/// while the endpoint closes it.
 const IDLE_MARGIN_US: Micros = 1_000_000;
-/// Resting connections to one endpoint; about as many as it runs requests.
+/// Most idle connections to one endpoint: about as many as it runs requests.
 const MAX_IDLE_PER_ENDPOINT: usize = 8;
 
 /// A connection to an endpoint; dropping it closes it.
 pub struct EndpointConnection {
-    /// Sends a request and gives its answer.
+    /// Sends a request and returns the response.
     pub sender: SendRequest<Full<Bytes>>,
-    /// It has carried a request before.
+    /// The connection has carried a request before.
     pub is_reused: bool,
     driver: AbortOnDropHandle<()>,
 }
@@ -43,14 +44,14 @@
     expires_us: Micros,
 }
 
-/// The resting connections, by address.
+/// The idle connections by address.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// Returns a resting connection, the one used last first.
+    /// Removes and returns an idle connection, the most recently used one first.
     pub fn take_idle(&self, now_us: Micros, addr: SocketAddr) -> Option<EndpointConnection> {
         let mut idle = self.lock();
         let to_addr = idle.get_mut(&addr)?;
@@ -62,7 +63,8 @@
         None
     }
 
-    /// Keeps a connection whose answer was read whole. `idle_timeout` is what the endpoint said.
+    /// Returns a connection to the pool after its response was read completely. `idle_timeout` is the one that the
+    /// endpoint announced. If the pool is full or the timeout too short, the connection is closed.
     pub fn return_idle(
         &self,
         now_us: Micros,
@@ -70,8 +72,8 @@
         mut connection: EndpointConnection,
         idle_timeout: Option<Duration>,
     ) {
-        let idle_us = idle_timeout.map_or(DEFAULT_IDLE_US, |after| {
-            (after.as_micros() as Micros).saturating_sub(IDLE_MARGIN_US)
+        let idle_us = idle_timeout.map_or(DEFAULT_IDLE_US, |timeout| {
+            (timeout.as_micros() as Micros).saturating_sub(IDLE_MARGIN_US)
         });
         connection.is_reused = true;
         let mut idle = self.lock();
@@ -84,12 +86,12 @@
         }
     }
 
-    /// Closes the connections that rest at an address.
+    /// Closes the idle connections to an address.
     pub fn close_idle(&self, addr: SocketAddr) {
         self.lock().remove(&addr);
     }
 
-    /// Closes connections that rested for their time or were closed by the endpoint.
+    /// Removes idle connections that have expired or were closed by the endpoint.
     pub fn remove_expired(&self, now_us: Micros) {
         self.lock().retain(|_, to_addr| {
             to_addr.retain(|r| r.expires_us > now_us && !r.connection.sender.is_closed());
@@ -97,31 +99,32 @@
         });
     }
 
-    /// Returns how many connections rest.
+    /// Returns the number of idle connections.
     pub fn idle_count(&self) -> usize {
         self.lock().values().map(Vec::len).sum()
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<SocketAddr, Vec<IdleConnection>>> {
-        // Every step leaves the map whole, so a poisoned lock is usable.
+        // Every step leaves the map consistent, so it is usable after a panic in another thread.
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl EndpointConnection {
-    /// Opens a connection; if it fails, no byte was sent.
+    /// Opens a connection.
     ///
     /// # Errors
-    /// The endpoint is not reached in time, or refuses.
+    /// The endpoint was not reached in time or refused the connection; no byte was sent.
     pub async fn open(addr: SocketAddr) -> io::Result<Self> {
         let connect = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
         let stream = connect.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))?;
-        // Small requests would wait for acknowledgements; with it failing they are slower.
+        // Disables Nagle's algorithm, which delays small messages until an acknowledgement arrives. A failure only costs
+        // latency.
         let _ = stream.set_nodelay(true);
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(io::Error::other)?;
         let driver = AbortOnDropHandle::new(tokio::spawn(async move {
-            // Its errors reach whoever reads the answer.
+            // Errors also reach the reader of the response.
             let _ = connection.await;
         }));
         Ok(Self {
@@ -131,7 +134,7 @@
         })
     }
 
-    /// Returns whether the connection's task still runs.
+    /// Returns whether the connection is still open.
     pub fn is_open(&self) -> bool {
         !self.driver.is_finished() && !self.sender.is_closed()
     }
--- a/src/endpoint/engine.rs
+++ b/src/endpoint/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine's stream: relayed event by event, resumed where it broke, checked for wholeness.
+//! The event stream of a model engine: read event by event, resumed after a broken connection, checked for completeness.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,34 +17,34 @@
     prelude::RequestId,
 };
 
-/// Data of the event after which nothing comes.
+/// The data of the last event of a stream.
 pub const DONE: &str = "[DONE]";
 const MAX_RESUMES: u32 = 3;
 const RESUME_PAUSE: Duration = Duration::from_millis(50);
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
-/// A stream that says nothing for this long is taken as broken.
+/// A stream without data for this long counts as broken.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Why a stream brought no whole answer.
+/// Why a stream did not yield a complete answer.
 #[derive(Debug, Snafu)]
 pub enum StreamError {
-    /// The engine answered with an error.
+    /// The engine responded with an error status.
     #[snafu(display("the engine answered {status}"))]
     Refused {
-        /// Its status.
+        /// The HTTP status.
         status: StatusCode,
-        /// The beginning of its text.
+        /// The start of the response body.
         text: String,
     },
     /// The stream broke and could not be resumed.
     #[snafu(display("the stream broke after {events} events"))]
     Broken {
-        /// Events seen.
+        /// Number of events received before.
         events: u64,
-        /// Whether the engine still answered, so that others may be sent there.
+        /// Whether the engine still responded, so that other requests may be sent to it.
         reachable: bool,
     },
-    /// The stream ended, but not as a whole answer does.
+    /// The stream ended normally, but the answer is incomplete.
     #[snafu(display("the stream ended without being whole: {reason}"))]
     Incomplete {
         /// What is missing.
@@ -52,14 +52,14 @@
     },
 }
 
-/// What the engine says of its work, in the last event.
+/// The token counts that the engine reports in the last event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens of the answer.
+    /// Number of answer tokens.
     pub completion_tokens: u32,
-    /// Tokens of the prompt that were in its cache.
+    /// Number of prompt tokens that were read from the engine's prefix cache.
     #[serde(default)]
     pub cached_tokens: u32,
 }
@@ -88,22 +88,22 @@
     content: Option<std::borrow::Cow<'a, str>>,
 }
 
-/// One event of the answer.
+/// One event of a streamed answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineEvent {
-    /// The event's data, as the engine wrote it.
+    /// The event's data as the engine sent it.
     pub data: String,
-    /// The text in it.
+    /// The text that the event adds to the answer.
     pub text: String,
-    /// Whether it carries a token.
+    /// Whether the event carries a token.
     pub is_token: bool,
 }
 
-/// A stream under way.
+/// A stream in progress.
 pub struct EngineStream {
     addr: SocketAddr,
     id: RequestId,
-    /// None until an answer's head came, or came again.
+    /// None if the request was sent but no response arrived.
     answer: Option<Answer>,
     splitter: Splitter,
     events: u64,
@@ -115,18 +115,17 @@
 }
 
 impl EngineStream {
-    /// Sends the request over an open connection; from here on it may have run.
+    /// Sends the request over an open connection. From here on it may have run.
     ///
     /// # Errors
-    /// An answer came that is no stream.
+    /// The engine responded with an error status.
     pub async fn start(
         connection: Connection,
         addr: SocketAddr,
         id: RequestId,
         request: Request<Full<Bytes>>,
     ) -> Result<Self, StreamError> {
-        // Without an answer the run may be under way all the same: it is looked for as a stream
-        // that broke.
+        // Without a response the engine may be running the request all the same, so it is resumed like a broken stream.
         let answer = connection.send(request).await.ok();
         if let Some(answer) = answer {
             let status = answer.response.status();
@@ -154,10 +153,10 @@
         }
     }
 
-    /// Returns the next piece, or none after a whole answer.
+    /// Returns the next event, or none after a complete answer.
     ///
     /// # Errors
-    /// The stream broke for good, or ended without being whole.
+    /// The stream broke and could not be resumed, or ended with an incomplete answer.
     pub async fn next(&mut self) -> Result<Option<EngineEvent>, StreamError> {
         loop {
             match self.next_event().await {
@@ -172,17 +171,17 @@
         }
     }
 
-    /// Returns what the engine said of its work.
+    /// Returns the engine's token counts, once received.
     pub fn usage(&self) -> Option<Usage> {
         self.usage
     }
 
-    /// Returns how the engine says the answer ended.
+    /// Returns the engine's reason for the end of the answer, once received.
     pub fn finish_reason(&self) -> Option<&str> {
         self.finish_reason.as_deref()
     }
 
-    /// Returns the tokens seen.
+    /// Returns the number of tokens received.
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
@@ -209,7 +208,7 @@
         }
     }
 
-    /// Takes an event in; none for one that was seen before a resume.
+    /// Applies a received event. Returns none for the last event and for events that were received before a resume.
     fn apply_event(&mut self, event: Event) -> Result<Option<EngineEvent>, StreamError> {
         if event.data == DONE {
             self.done = true;
@@ -258,8 +257,8 @@
         IncompleteSnafu { reason }.fail()
     }
 
-    /// Reads on where the stream broke; the engine goes on with the same run, so nothing is sent
-    /// again.
+    /// Reconnects to the stream after the last received event. The engine continues the same run, so the request is not
+    /// sent again.
     async fn resume(&mut self) -> Result<(), StreamError> {
         let events = self.events;
         let mut reachable = false;
@@ -287,7 +286,7 @@
     }
 }
 
-/// The connection brought no more.
+/// The connection broke or its data cannot be parsed.
 struct Broken;
 
 impl From<BadEvent> for Broken {
@@ -296,14 +295,14 @@
     }
 }
 
-/// Tells the engine that nobody waits for the answer any more.
+/// Cancels a request at the engine. Failures are ignored.
 pub async fn cancel(addr: SocketAddr, id: RequestId) {
     let attempt = async {
         let connection = Connection::open(addr).await.ok()?;
         let request = stream_request(Method::DELETE, id, None);
         connection.send(request).await.ok()
     };
-    // An engine that is not reached runs on for nothing; there is no more to be done.
+    // An engine that cannot be reached completes the request in vain; nothing more can be done about it.
     let _ = time::timeout(CANCEL_TIMEOUT, attempt).await;
 }
 
--- a/src/endpoint/events.rs
+++ b/src/endpoint/events.rs
@@ -1,26 +1,26 @@
-//! Cuts a stream of events at the ends of events, keeping their bytes as they came.
+//! Splits a stream at the ends of server-sent events and keeps their bytes unchanged.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event that is taken, in bytes.
+/// The longest supported event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One or more whole events.
+/// One or more complete events.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompleteEvents {
-    /// Their bytes.
+    /// The bytes of the events.
     pub bytes: Bytes,
-    /// The id of the last event that has one.
+    /// The id of the last event with an id.
     pub last_id: Option<u64>,
-    /// How many they are.
+    /// The number of events.
     pub count: u32,
 }
 
-/// An event longer than this module takes.
+/// An event is longer than supported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventTooLong;
 
-/// Takes bytes in any pieces and gives whole events.
+/// Splits bytes that arrive in arbitrary chunks into complete events.
 ///
 /// ```
 /// use ryevalve::endpoint::events::EventSplitter;
@@ -38,20 +38,20 @@
 }
 
 impl EventSplitter {
-    /// Adds bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns whether part of an event is left.
+    /// Returns whether the buffer holds an incomplete event.
     pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Returns the whole events that are there, without those whose ids do not come after `seen`.
+    /// Removes and returns the complete events, without those whose id is not above `last_seen`.
     ///
     /// # Errors
-    /// An event is too long; nothing more can be read.
+    /// An event is too long; the stream cannot be read any further.
     pub fn take_complete(
         &mut self,
         last_seen: Option<u64>,
@@ -69,7 +69,7 @@
                 continue;
             }
             if is_old {
-                // An old event among new ones: those before it go first.
+                // The next call skips this event; the new events before it are returned first.
                 end -= length;
                 break;
             }
@@ -89,7 +89,7 @@
     }
 }
 
-/// Returns the length of the first event with the blank line that ends it.
+/// Returns the length of the first event, including the blank line that ends it.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let newlines = bytes.iter().enumerate().filter(|(_, b)| **b == b'\n');
     for (at, _) in newlines {
--- a/src/endpoint/mod.rs
+++ b/src/endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! How endpoints are reached: model engines that stream tokens, and plain services.
+//! Connections to endpoints: model engines, which stream tokens, and plain services.
 
 pub mod connection;
 pub mod connection_pool;
--- a/src/endpoint/poll.rs
+++ b/src/endpoint/poll.rs
@@ -1,4 +1,4 @@
-//! Asks endpoints for their load and cache events, on behalf of the pool's leader.
+//! Polls endpoints for their load and cache events, for the pools that this instance leads.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -31,7 +31,7 @@
     age_ms: u64,
 }
 
-/// Polls the endpoints of every pool that is led here, until cancelled with its task.
+/// Polls the endpoints of every pool that this instance leads, until its task is cancelled.
 pub async fn run<S: Store>(instance: Arc<Instance<S>>) {
     let mut newest_seqs = std::collections::HashMap::new();
     loop {
@@ -67,7 +67,8 @@
     }
 }
 
-/// Polls one endpoint; returns the number of the newest cache event seen.
+/// Polls one endpoint: its load, and its cache events after `after_seq` if that is given. Returns the sequence number of
+/// the newest cache event received.
 async fn poll<S: Store>(
     instance: &Instance<S>,
     pool: &Name,
--- a/src/endpoint/sse.rs
+++ b/src/endpoint/sse.rs
@@ -1,24 +1,24 @@
-//! Splits a byte stream into server-sent events.
+//! Parses a byte stream into server-sent events.
 
 use bytes::{Buf, BytesMut};
 
-/// The longest event that is taken, in bytes.
+/// The longest supported event, in bytes.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One event.
+/// A server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// Its id, by which a stream is resumed.
+    /// The event's id, by which a stream is resumed.
     pub id: Option<u64>,
-    /// Its data lines, joined.
+    /// The data lines, joined by newlines.
     pub data: String,
 }
 
-/// An event that is longer than [`MAX_EVENT_BYTES`] or not text.
+/// An event is longer than [`MAX_EVENT_BYTES`] or not valid UTF-8.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BadEvent;
 
-/// Takes bytes in any pieces and gives whole events.
+/// Parses bytes that arrive in arbitrary chunks into events.
 ///
 /// ```
 /// use ryevalve::endpoint::sse::Splitter;
@@ -36,15 +36,15 @@
 }
 
 impl Splitter {
-    /// Adds bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole event, or none until more bytes come.
+    /// Returns the next complete event, or none until more bytes arrive.
     ///
     /// # Errors
-    /// The event is too long or not text; nothing more can be read.
+    /// The event is too long or not valid UTF-8; the stream cannot be read any further.
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Result<Option<Event>, BadEvent> {
         loop {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Finds the blank line that ends an event: the event's length, and where the next begins.
+    /// Finds the blank line that ends an event; returns the event's length and the start of the next event.
     fn find_end(&mut self) -> Option<(usize, usize)> {
         let start = self.searched.saturating_sub(3);
         let bytes = &self.buffer[start..];
@@ -80,7 +80,7 @@
     }
 }
 
-/// Reads an event's lines; one without data is none.
+/// Parses an event's lines; returns none if the event has no data.
 fn parse(text: &str) -> Option<Event> {
     let mut event = Event::default();
     let mut has_data = false;
--- a/src/peers/rpc.rs
+++ b/src/peers/rpc.rs
@@ -64,9 +64,9 @@
 /// The calls between instances.
 #[tarpc::service]
 pub trait Peer {
-    /// Sends an instance's updates about its requests to a pool's leader.
+    /// Sends the updates of an entry, an instance that holds requests, to the pool's leader.
     async fn updates(batch: UpdateBatch) -> Result<(), UpdatesRefused>;
-    /// Sends a leader's orders to an instance that holds requests.
+    /// Sends a leader's orders to an entry.
     async fn orders(batch: OrderBatch) -> Vec<OrderReply>;
     /// Requests an instance to hold a shedding level for a pool.
     async fn hold_level(pool: Name, request: LevelAsk) -> bool;
