--- a/benches/exchange.rs
+++ b/benches/exchange.rs
@@ -1,8 +1,7 @@
-//! What the exchange between instances costs an instance, against the size of the group.
+//! Benchmarks of an instance's work for the exchange between gateways, by cluster size.
 //!
-//! Six halls, 40 organisations, endpoints a little more than half as many as instances. A report and a
-//! summary are what an instance sends and gets; the sums and the choice of aggregators are worked out
-//! by an aggregator each 100 ms.
+//! The setting: six halls, 40 organisations, and somewhat more than half as many endpoints as instances. An instance sends
+//! reports and receives summaries; an aggregator computes the sums and the choice of aggregators every 100 ms.
 
 use std::{hint::black_box, net::IpAddr, sync::Arc};
 
@@ -20,8 +19,8 @@
 
 const SIZES: [usize; 4] = [6, 78, 295, 1_000];
 const HALLS: usize = 6;
-/// Endpoints at which one instance has requests.
-const BUSY: usize = 8;
+/// Number of endpoints at which one instance has requests.
+const ENDPOINTS_IN_USE: usize = 8;
 
 fn loads(from: usize, count: usize) -> Vec<(EndpointKey, InFlight)> {
     let load = |n: usize| InFlight {
@@ -39,7 +38,7 @@
     Update {
         from: Incarnation(number as u64 + 1),
         seq: 1_000,
-        loads: loads(number, BUSY),
+        loads: loads(number, ENDPOINTS_IN_USE),
         ..Update::default()
     }
 }
--- a/src/peers/rpc.rs
+++ b/src/peers/rpc.rs
@@ -100,7 +100,7 @@
         source: io::Error,
     },
     /// No response arrived in time, or the connection was lost; the call may have been executed.
-    #[snafu(display("no response from the peer"))]
+    #[snafu(display("no answer"))]
     NoAnswer {
         /// The error of tarpc.
         source: client::RpcError,
--- a/tests/gateway/events.rs
+++ b/tests/gateway/events.rs
@@ -1,4 +1,4 @@
-//! Streams are cut at the ends of events, whatever pieces they come in.
+//! Tests of the splitting of streams at the ends of events, for arbitrary chunks.
 
 use proptest::prelude::*;
 use ryevalve::endpoint::events::EventSplitter;
@@ -10,12 +10,14 @@
 
 proptest! {
     #[test]
-    fn no_byte_is_lost_doubled_or_moved(cuts in prop::collection::vec(1_usize..40, 1..60)) {
+    fn bytes_are_neither_lost_duplicated_nor_reordered(
+        chunk_sizes in prop::collection::vec(1_usize..40, 1..60),
+    ) {
         let bytes = stream(1..30);
         let mut splitter = EventSplitter::default();
         let (mut at, mut out, mut last) = (0, Vec::new(), None);
-        for cut in cuts.into_iter().cycle().take(2_000) {
-            let end = (at + cut).min(bytes.len());
+        for chunk_size in chunk_sizes.into_iter().cycle().take(2_000) {
+            let end = (at + chunk_size).min(bytes.len());
             splitter.push(&bytes[at..end]);
             at = end;
             while let Some(events) = splitter.take_complete(last).unwrap() {
@@ -30,17 +32,20 @@
     }
 
     #[test]
-    fn another_run_goes_on_after_the_last_event(broke_after in 1_u64..20, begins_at in 1_u64..20) {
-        let begins_at = begins_at.min(broke_after + 1);
+    fn resumed_stream_continues_after_the_last_complete_event(
+        last_before_break in 1_u64..20,
+        resumed_from in 1_u64..20,
+    ) {
+        let resumed_from = resumed_from.min(last_before_break + 1);
         let mut first = EventSplitter::default();
-        first.push(&stream(1..broke_after + 1));
-        // The break comes in the middle of an event.
+        first.push(&stream(1..last_before_break + 1));
+        // The stream breaks in the middle of an event.
         first.push(b"id: 99\ndata: bro");
         let mut out = first.take_complete(None).unwrap().unwrap();
         prop_assert!(first.has_partial_event());
         let mut bytes = out.bytes.to_vec();
         let mut second = EventSplitter::default();
-        second.push(&stream(begins_at..25));
+        second.push(&stream(resumed_from..25));
         let last = out.last_id;
         if let Some(events) = second.take_complete(last).unwrap() {
             bytes.extend_from_slice(&events.bytes);
@@ -52,14 +57,14 @@
 }
 
 #[test]
-fn an_endless_event_is_refused() {
+fn too_long_event_is_an_error() {
     let mut splitter = EventSplitter::default();
     splitter.push(&vec![b'a'; (1 << 20) + 1]);
     assert!(splitter.take_complete(None).is_err());
 }
 
 #[test]
-fn events_end_with_either_line_ending() {
+fn events_may_end_with_either_line_ending() {
     let mut splitter = EventSplitter::default();
     splitter.push(b"id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\n\n");
     let events = splitter.take_complete(None).unwrap().unwrap();
--- a/tests/properties/membership.rs
+++ b/tests/properties/membership.rs
@@ -1,4 +1,4 @@
-//! Membership over a network that drops, delays, duplicates and reorders; and what is forged.
+//! Tests of the membership protocol over a simulated network that drops, delays, duplicates and reorders datagrams.
 
 use std::{
     collections::HashMap,
@@ -41,26 +41,26 @@
     Membership::new(info, vec![addr(0)], n as u64 + start)
 }
 
-/// Some instances and the datagrams between them, in virtual time.
-struct Net {
+/// Simulates some instances and the datagrams between them, in virtual time.
+struct SimulatedNetwork {
     members: Vec<Option<Membership>>,
     paused: Vec<bool>,
-    flying: Vec<(Micros, Outgoing)>,
+    in_flight: Vec<(Micros, Outgoing)>,
     rng: ChaCha8Rng,
     now_us: Micros,
-    lose: f64,
+    loss_rate: f64,
     bytes: u64,
 }
 
-impl Net {
-    fn new(count: usize, lose: f64) -> Self {
+impl SimulatedNetwork {
+    fn new(count: usize, loss_rate: f64) -> Self {
         Self {
             members: (0..count).map(|n| Some(member(n, 0))).collect(),
             paused: vec![false; count],
-            flying: Vec::new(),
+            in_flight: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(5),
             now_us: 0,
-            lose,
+            loss_rate,
             bytes: 0,
         }
     }
@@ -68,17 +68,18 @@
     fn send(&mut self, out: Vec<Outgoing>) {
         for packet in out {
             self.bytes += postcard::to_stdvec(&packet.packet).map_or(0, |b| b.len() as u64);
-            if self.rng.random_bool(self.lose) {
+            if self.rng.random_bool(self.loss_rate) {
                 continue;
             }
-            let copies = if self.rng.random_bool(self.lose / 2.0) {
+            let copies = if self.rng.random_bool(self.loss_rate / 2.0) {
                 2
             } else {
                 1
             };
             for _ in 0..copies {
                 let delay_us = self.rng.random_range(200..20_000);
-                self.flying.push((self.now_us + delay_us, packet.clone()));
+                self.in_flight
+                    .push((self.now_us + delay_us, packet.clone()));
             }
         }
     }
@@ -87,10 +88,10 @@
         const STEP_US: Micros = 20_000;
         for step in 0..periods as u64 * PERIOD_US / STEP_US {
             self.now_us += STEP_US;
-            let (due, later) = std::mem::take(&mut self.flying)
+            let (due, not_due) = std::mem::take(&mut self.in_flight)
                 .into_iter()
                 .partition(|(at_us, _)| *at_us <= self.now_us);
-            self.flying = later;
+            self.in_flight = not_due;
             for (_, outgoing) in due {
                 self.deliver(outgoing);
             }
@@ -131,16 +132,16 @@
 }
 
 #[test]
-fn all_meet_and_stay_met_though_datagrams_are_lost_doubled_and_reordered() {
-    let mut net = Net::new(7, 0.1);
+fn all_members_are_discovered_despite_lost_duplicated_and_reordered_datagrams() {
+    let mut net = SimulatedNetwork::new(7, 0.1);
     net.run(60);
     let views: Vec<usize> = (0..7).map(|n| net.alive(n)).collect();
     assert_eq!(views, [7; 7]);
 }
 
 #[test]
-fn the_dead_are_found_and_a_restart_takes_their_place() {
-    let mut net = Net::new(7, 0.02);
+fn dead_member_is_detected_and_replaced_by_its_restart() {
+    let mut net = SimulatedNetwork::new(7, 0.02);
     net.run(30);
     net.members[3] = None;
     net.run(15);
@@ -157,8 +158,8 @@
 }
 
 #[test]
-fn a_paused_one_notices_and_comes_back() {
-    let mut net = Net::new(5, 0.0);
+fn paused_member_detects_the_pause_and_rejoins() {
+    let mut net = SimulatedNetwork::new(5, 0.0);
     net.run(20);
     net.paused[2] = true;
     net.run(15);
@@ -178,41 +179,41 @@
 }
 
 #[test]
-fn a_replayed_datagram_changes_nothing_and_admits_nobody() {
+fn replayed_datagram_changes_nothing_and_admits_nobody() {
     let (mut a, mut b) = (member(0, 0), member(1, 0));
     let mut out = Vec::new();
     b.tick(1_000_000, &mut out);
-    let hello = out.remove(0).packet;
-    let mut answers = Vec::new();
-    a.receive(2, hello.clone(), &mut answers).unwrap();
+    let ping = out.remove(0).packet;
+    let mut responses = Vec::new();
+    a.receive(2, ping.clone(), &mut responses).unwrap();
     let view = a.view();
     assert_eq!(
         view.members.len(),
         1,
-        "admitted without having answered a number of ours"
+        "admitted without having responded to a nonce"
     );
-    assert_eq!(a.receive(3, hello, &mut answers), Err(Dropped::Replayed));
+    assert_eq!(a.receive(3, ping, &mut responses), Err(Dropped::Replayed));
     assert_eq!(a.view(), view);
 }
 
 #[test]
-fn a_group_of_a_hundred_stays_within_ten_kilobytes_a_second_each() {
-    let mut net = Net::new(100, 0.01);
+fn hundred_members_send_less_than_ten_kilobytes_a_second_each() {
+    let mut net = SimulatedNetwork::new(100, 0.01);
     net.run(100);
-    // Lost datagrams make suspects now and then, who refute; nobody is taken for dead.
+    // Lost datagrams occasionally make a member suspect; it refutes that, so none is declared dead.
     let present = |n: usize| net.members[n].as_ref().unwrap().view().present().count();
     let least = (0..100).map(present).min();
     assert_eq!(least, Some(100));
     let before = net.bytes;
     net.run(25);
-    let each = (net.bytes - before) / 100 / 5;
-    assert!(each < 10_000, "{each} bytes a second");
+    let bytes_per_s = (net.bytes - before) / 100 / 5;
+    assert!(bytes_per_s < 10_000, "{bytes_per_s} bytes a second");
 }
 
-/// Returns after how many periods each of `count` that start at once knows nine in ten of the others,
-/// in the mean.
-fn periods_until_met(count: usize) -> usize {
-    let mut net = Net::new(count, 0.01);
+/// Returns the number of periods after which each of `count` members that start together knows nine in ten of the others
+/// on average.
+fn periods_until_discovered(count: usize) -> usize {
+    let mut net = SimulatedNetwork::new(count, 0.01);
     for period in 1..100 {
         net.run(1);
         let known = net.members.iter().flatten();
@@ -225,32 +226,36 @@
 }
 
 #[test]
-fn hundreds_that_start_at_once_meet_within_two_seconds() {
-    let periods = periods_until_met(250);
+fn hundreds_that_start_together_discover_each_other_within_two_seconds() {
+    let periods = periods_until_discovered(250);
     assert!(periods <= 10, "{periods} periods of 200 ms");
 }
 
-/// Returns the bytes of a meeting for each pair of instances.
-fn bytes_of_a_meeting(count: usize) -> u64 {
-    let mut net = Net::new(count, 0.01);
+/// Returns the bytes sent in the first 40 periods of `count` members that start together, per ordered pair of members.
+/// By then nearly all know each other.
+fn discovery_bytes_per_pair(count: usize) -> u64 {
+    let mut net = SimulatedNetwork::new(count, 0.01);
     net.run(40);
     let alive: usize = (0..count).map(|n| net.alive(n)).sum();
-    assert!(alive * 100 >= count * count * 99, "nearly all have met");
+    assert!(
+        alive * 100 >= count * count * 99,
+        "nearly all know each other"
+    );
     net.bytes / (count * count) as u64
 }
 
-/// Guards against a meeting in which each instance tells of each other one again and again: what a pair costs is to
-/// fall as the group grows, since probes and rumours are fewer for each.
+/// Guards against repeated rumours about the same members while a cluster starts: the traffic per pair has to fall as the
+/// cluster grows, since each pair exchanges fewer probes and rumours.
 #[test]
-fn a_meeting_costs_each_pair_no_more_than_their_own_datagrams() {
-    let (few, many) = (bytes_of_a_meeting(60), bytes_of_a_meeting(240));
+fn discovery_traffic_per_pair_falls_as_the_cluster_grows() {
+    let (few, many) = (discovery_bytes_per_pair(60), discovery_bytes_per_pair(240));
     println!("{few} bytes a pair of 60, {many} of 240");
     assert!(many < 450, "{many} bytes a pair of 240");
     assert!(many < few, "{many} bytes a pair of 240, {few} of 60");
 }
 
-/// A member of a group of `count` that has met all, and has the addresses of all on its list.
-fn met_all(count: usize) -> Membership {
+/// Returns a member of a cluster of `count` that has admitted all others and has their addresses on its list.
+fn member_that_knows_all(count: usize) -> Membership {
     let mut member = member(0, 0);
     let mut now_us = 0;
     let infos: Vec<MemberInfo> = (1..count).map(info).collect();
@@ -279,46 +284,57 @@
             let _ = member.receive(now_us, packet, &mut Vec::new());
         }
     }
-    assert_eq!(member.view().members.len(), count, "it has met all");
+    assert_eq!(member.view().members.len(), count, "not all were admitted");
     member
 }
 
-/// Returns the shortest time of some tries to work a view out.
-fn view_time(member: &Membership) -> Duration {
-    let tries = (0..20).map(|_| {
+/// Returns the shortest time of 20 runs to build a view.
+fn shortest_view_time(member: &Membership) -> Duration {
+    let durations = (0..20).map(|_| {
         let started = Instant::now();
         let view = member.view();
-        let took = started.elapsed();
+        let elapsed = started.elapsed();
         assert!(view.unmet.is_empty());
-        took
+        elapsed
     });
-    tries.min().unwrap_or_default()
+    durations.min().unwrap_or_default()
 }
 
-/// Guards against a view whose work grows with the square of the group: eight times as many, not sixty-four.
+/// Guards against quadratic time for a view: eight times as many members take about eight times as long, not sixty-four.
 #[test]
-fn the_work_of_a_view_grows_as_the_group_does() {
-    let (small, large) = (view_time(&met_all(250)), view_time(&met_all(2_000)));
-    let times = large.as_secs_f64() / small.as_secs_f64();
+fn view_takes_linear_time() {
+    let (small, large) = (
+        shortest_view_time(&member_that_knows_all(250)),
+        shortest_view_time(&member_that_knows_all(2_000)),
+    );
+    let factor = large.as_secs_f64() / small.as_secs_f64();
     assert!(
-        times < 24.0,
-        "{times:.0} times the work for eight times as many"
+        factor < 24.0,
+        "{factor:.0} times as long for eight times as many members"
     );
 }
 
-/// Guards against a view for each datagram while a group meets.
+/// Guards against publishing a view for each datagram while many instances discover each other.
 #[test]
-fn changes_that_come_together_make_one_view() {
-    let built = |changes: u64| {
+fn changes_in_quick_succession_share_a_view() {
+    let views_published = |changes: u64| {
         let mut throttle = ViewThrottle::default();
-        let mut built = 0;
+        let mut views_published = 0;
         for change in 0..changes {
             throttle.note_change();
-            built += u64::from(throttle.take_due(change * 1_000_000 / changes));
+            views_published += u64::from(throttle.take_due(change * 1_000_000 / changes));
         }
-        built + u64::from(throttle.take_due(2_000_000))
+        views_published + u64::from(throttle.take_due(2_000_000))
     };
-    assert_eq!(built(1), 1, "a single one counts at once");
-    assert!(built(100) <= 26, "{}", built(100));
-    assert_eq!(built(100), built(1_600), "whatever their number");
+    assert_eq!(
+        views_published(1),
+        1,
+        "a single change is published immediately"
+    );
+    assert!(views_published(100) <= 26, "{}", views_published(100));
+    assert_eq!(
+        views_published(100),
+        views_published(1_600),
+        "independent of the number of changes"
+    );
 }
