--- a/src/distribution.rs
+++ b/src/distribution.rs
@@ -64,7 +64,7 @@
 /// The configuration as stored on the platform.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredConfig {
-    /// The number of accepted configurations so far.
+    /// Counts accepted configurations, starting at 1.
     pub version: u64,
     /// The objects of the configuration.
     pub objects: BTreeMap<String, Value>,
--- a/src/endpoint/connection_pool.rs
+++ b/src/endpoint/connection_pool.rs
@@ -72,8 +72,8 @@
         mut connection: EndpointConnection,
         idle_timeout: Option<Duration>,
     ) {
-        let idle_us = idle_timeout.map_or(DEFAULT_IDLE_US, |timeout| {
-            (timeout.as_micros() as Micros).saturating_sub(IDLE_MARGIN_US)
+        let idle_us = idle_timeout.map_or(DEFAULT_IDLE_US, |announced| {
+            (announced.as_micros() as Micros).saturating_sub(IDLE_MARGIN_US)
         });
         connection.is_reused = true;
         let mut idle = self.lock();
--- a/src/endpoint/engine.rs
+++ b/src/endpoint/engine.rs
@@ -38,7 +38,7 @@
     },
     /// The stream broke and could not be resumed.
     #[snafu(display("the stream broke after {events} events"))]
-    Broken {
+    Interrupted {
         /// Number of events received before.
         events: u64,
         /// Whether the engine still responded, so that other requests may be sent to it.
@@ -282,7 +282,7 @@
                 _ => {}
             }
         }
-        BrokenSnafu { events, reachable }.fail()
+        InterruptedSnafu { events, reachable }.fail()
     }
 }
 
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -559,7 +559,7 @@
         log::debug!("{}: {error}", self.held.id);
         let unreachable = matches!(
             error,
-            StreamError::Broken {
+            StreamError::Interrupted {
                 reachable: false,
                 ..
             }
--- a/src/peers/membership.rs
+++ b/src/peers/membership.rs
@@ -36,13 +36,13 @@
 const SMALL_CLUSTER: usize = 12;
 /// Members that are requested to probe a member that did not respond.
 const INDIRECT_PROBES: usize = 2;
-/// Most members or addresses not yet admitted that are pinged a period, in addition to the regular probes. With eight, 295
-/// instances that restarted together took three to five seconds to discover each other, and meanwhile refused requests of
-/// organisations below their limits. With sixty, some 10 KB a period, 250 instances that know one seed discover each
-/// other within ten periods of simulated time instead of 57.
+/// Most members known only from rumours that are pinged a period, and most undiscovered addresses that are pinged every two
+/// periods. With eight, 295 instances that restarted together took three to five seconds to discover each other, and
+/// meanwhile refused requests of organisations below their limits. With sixty, some 10 KB, 250 instances that know one
+/// seed discover each other within ten periods of virtual time instead of 57.
 const MAX_DISCOVERY_PINGS: usize = 60;
 /// Least transmissions of a rumour about a newly admitted member. Each recipient admits the member as well and then
-/// passes it on as often, which is enough to reach all instances.
+/// passes the rumour on as often, so that more than one transmission each is enough to reach all instances.
 const ADMISSION_TRANSMISSIONS: u32 = 12;
 const RUMOURS_PER_PACKET: usize = 12;
 /// Datagrams this many or more sequence numbers behind the newest of their sender are dropped as replays: a `u64` records
@@ -589,7 +589,7 @@
         let first = Incarnation(self.rng.random());
         let has_transmissions = |known: &&mut KnownMember| known.transmissions_left > 0;
         let after = self.known.range_mut(first..);
-        let mut rumours: Vec<Rumour> = after
+        let mut selected: Vec<Rumour> = after
             .map(|(_, known)| known)
             .filter(has_transmissions)
             .take(RUMOURS_PER_PACKET)
@@ -599,10 +599,10 @@
         let rest = before
             .map(|(_, known)| known)
             .filter(has_transmissions)
-            .take(RUMOURS_PER_PACKET - rumours.len())
+            .take(RUMOURS_PER_PACKET - selected.len())
             .map(KnownMember::next_rumour);
-        rumours.extend(rest);
-        rumours
+        selected.extend(rest);
+        selected
     }
 
     fn packet(&mut self, to: SocketAddr, body: Body) -> Outgoing {
--- a/tests/properties/membership.rs
+++ b/tests/properties/membership.rs
@@ -293,9 +293,9 @@
     let durations = (0..20).map(|_| {
         let started = Instant::now();
         let view = member.view();
-        let elapsed = started.elapsed();
+        let duration = started.elapsed();
         assert!(view.unmet.is_empty());
-        elapsed
+        duration
     });
     durations.min().unwrap_or_default()
 }
