--- a/src/endpoint/engine.rs
+++ b/src/endpoint/engine.rs
@@ -103,7 +103,7 @@
 pub struct EngineStream {
     addr: SocketAddr,
     id: RequestId,
-    /// None if the request was sent but no response arrived.
+    /// None until the head of a response has arrived.
     answer: Option<Answer>,
     splitter: Splitter,
     events: u64,
