--- a/src/endpoint/engine.rs
+++ b/src/endpoint/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine's stream: relayed event by event, resumed where it broke, checked for wholeness.
+//! The event stream of a model engine: read event by event, resumed after a broken connection, checked for completeness.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,49 +17,49 @@
     prelude::RequestId,
 };
 
-/// Data of the event after which nothing comes.
+/// The data of the last event of a stream.
 pub const DONE: &str = "[DONE]";
 const MAX_RESUMES: u32 = 3;
 const RESUME_PAUSE: Duration = Duration::from_millis(50);
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
-/// A stream that says nothing for this long is taken as broken.
-const SILENCE: Duration = Duration::from_secs(60);
+/// A stream without data for this long counts as broken.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Why a stream brought no whole answer.
+/// Why a stream did not yield a complete answer.
 #[derive(Debug, Snafu)]
 pub enum StreamError {
-    /// The engine answered with an error.
+    /// The engine responded with an error status.
     #[snafu(display("the engine answered {status}"))]
     Refused {
-        /// Its status.
+        /// The HTTP status.
         status: StatusCode,
-        /// The beginning of its text.
+        /// The start of the response body.
         text: String,
     },
     /// The stream broke and could not be resumed.
     #[snafu(display("the stream broke after {events} events"))]
-    Cut {
-        /// Events seen.
+    Interrupted {
+        /// Number of events received before.
         events: u64,
-        /// Whether the engine still answered, so that others may be sent there.
+        /// Whether the engine still responded, so that other requests may be sent to it.
         reachable: bool,
     },
-    /// The stream ended, but not as a whole answer does.
+    /// The stream ended normally, but the answer is incomplete.
     #[snafu(display("the stream ended without being whole: {reason}"))]
-    NotWhole {
+    Incomplete {
         /// What is missing.
         reason: &'static str,
     },
 }
 
-/// What the engine says of its work, in the last event.
+/// The token counts that the engine reports in the last event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens of the answer.
+    /// Number of answer tokens.
     pub completion_tokens: u32,
-    /// Tokens of the prompt that were in its cache.
+    /// Number of prompt tokens that were read from the engine's prefix cache.
     #[serde(default)]
     pub cached_tokens: u32,
 }
@@ -88,22 +88,22 @@
     content: Option<std::borrow::Cow<'a, str>>,
 }
 
-/// One event of the answer.
+/// One event of a streamed answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Piece {
-    /// The event's data, as the engine wrote it.
+pub struct EngineEvent {
+    /// The event's data as the engine sent it.
     pub data: String,
-    /// The text in it.
+    /// The text that the event adds to the answer.
     pub text: String,
-    /// Whether it carries a token.
+    /// Whether the event carries a token.
     pub is_token: bool,
 }
 
-/// A stream under way.
+/// A stream in progress.
 pub struct EngineStream {
     addr: SocketAddr,
     id: RequestId,
-    /// None until an answer's head came, or came again.
+    /// None until the head of a response has arrived.
     answer: Option<Answer>,
     splitter: Splitter,
     events: u64,
@@ -115,23 +115,22 @@
 }
 
 impl EngineStream {
-    /// Sends the request over an open connection; from here on it may have run.
+    /// Sends the request over an open connection. From here on it may have run.
     ///
     /// # Errors
-    /// An answer came that is no stream.
+    /// The engine responded with an error status.
     pub async fn start(
         connection: Connection,
         addr: SocketAddr,
         id: RequestId,
         request: Request<Full<Bytes>>,
     ) -> Result<Self, StreamError> {
-        // Without an answer the run may be under way all the same: it is looked for as a stream
-        // that broke.
+        // Without a response the engine may be running the request all the same, so it is resumed like a broken stream.
         let answer = connection.send(request).await.ok();
         if let Some(answer) = answer {
             let status = answer.response.status();
             if status != StatusCode::OK {
-                let text = beginning(answer).await;
+                let text = read_error_text(answer).await;
                 return RefusedSnafu { status, text }.fail();
             }
             return Ok(Self::new(addr, id, Some(answer)));
@@ -154,35 +153,35 @@
         }
     }
 
-    /// Returns the next piece, or none after a whole answer.
+    /// Returns the next event, or none after a complete answer.
     ///
     /// # Errors
-    /// The stream broke for good, or ended without being whole.
-    pub async fn next(&mut self) -> Result<Option<Piece>, StreamError> {
+    /// The stream broke and could not be resumed, or ended with an incomplete answer.
+    pub async fn next(&mut self) -> Result<Option<EngineEvent>, StreamError> {
         loop {
             match self.next_event().await {
                 Ok(Some(event)) => {
-                    if let Some(piece) = self.take(event)? {
-                        return Ok(Some(piece));
+                    if let Some(engine_event) = self.apply_event(event)? {
+                        return Ok(Some(engine_event));
                     }
                 }
-                Ok(None) if self.done => return self.check_whole().map(|()| None),
+                Ok(None) if self.done => return self.check_complete().map(|()| None),
                 Ok(None) | Err(Broken) => self.resume().await?,
             }
         }
     }
 
-    /// Returns what the engine said of its work.
+    /// Returns the engine's token counts, once received.
     pub fn usage(&self) -> Option<Usage> {
         self.usage
     }
 
-    /// Returns how the engine says the answer ended.
+    /// Returns the engine's reason for the end of the answer, once received.
     pub fn finish_reason(&self) -> Option<&str> {
         self.finish_reason.as_deref()
     }
 
-    /// Returns the tokens seen.
+    /// Returns the number of tokens received.
     pub fn tokens(&self) -> u32 {
         self.tokens
     }
@@ -196,7 +195,7 @@
                 return Ok(None);
             }
             let answer = self.answer.as_mut().ok_or(Broken)?;
-            let frame = time::timeout(SILENCE, answer.response.body_mut().frame()).await;
+            let frame = time::timeout(IDLE_TIMEOUT, answer.response.body_mut().frame()).await;
             match frame.map_err(|_| Broken)? {
                 Some(Ok(frame)) => {
                     if let Some(bytes) = frame.data_ref() {
@@ -209,8 +208,8 @@
         }
     }
 
-    /// Takes an event in; none for one that was seen before a resume.
-    fn take(&mut self, event: Event) -> Result<Option<Piece>, StreamError> {
+    /// Applies a received event. Returns none for the last event and for events that were received before a resume.
+    fn apply_event(&mut self, event: Event) -> Result<Option<EngineEvent>, StreamError> {
         if event.data == DONE {
             self.done = true;
             return Ok(None);
@@ -219,13 +218,13 @@
             Some(id) if id <= self.events => return Ok(None),
             Some(id) if id > self.events + 1 => {
                 let reason = "an event is missing";
-                return NotWholeSnafu { reason }.fail();
+                return IncompleteSnafu { reason }.fail();
             }
             _ => self.events += 1,
         }
         let Ok(chunk) = serde_json::from_str::<Chunk<'_>>(&event.data) else {
             let reason = "an event cannot be read";
-            return NotWholeSnafu { reason }.fail();
+            return IncompleteSnafu { reason }.fail();
         };
         if chunk.usage.is_some() {
             self.usage = chunk.usage;
@@ -242,24 +241,24 @@
         }
         let is_token = !text.is_empty();
         self.tokens += u32::from(is_token);
-        Ok(Some(Piece {
+        Ok(Some(EngineEvent {
             text,
             is_token,
             data: event.data,
         }))
     }
 
-    fn check_whole(&self) -> Result<(), StreamError> {
+    fn check_complete(&self) -> Result<(), StreamError> {
         let reason = match (&self.finish_reason, self.usage) {
             (None, _) => "it has no finish reason",
             (_, Some(usage)) if usage.completion_tokens != self.tokens => "tokens are missing",
             _ => return Ok(()),
         };
-        NotWholeSnafu { reason }.fail()
+        IncompleteSnafu { reason }.fail()
     }
 
-    /// Reads on where the stream broke; the engine goes on with the same run, so nothing is sent
-    /// again.
+    /// Reconnects to the stream after the last received event. The engine continues the same run, so the request is not
+    /// sent again.
     async fn resume(&mut self) -> Result<(), StreamError> {
         let events = self.events;
         let mut reachable = false;
@@ -283,11 +282,11 @@
                 _ => {}
             }
         }
-        CutSnafu { events, reachable }.fail()
+        InterruptedSnafu { events, reachable }.fail()
     }
 }
 
-/// The connection brought no more.
+/// The connection broke or its data cannot be parsed.
 struct Broken;
 
 impl From<BadEvent> for Broken {
@@ -296,14 +295,14 @@
     }
 }
 
-/// Tells the engine that nobody waits for the answer any more.
+/// Cancels a request at the engine. Failures are ignored.
 pub async fn cancel(addr: SocketAddr, id: RequestId) {
     let attempt = async {
         let connection = Connection::open(addr).await.ok()?;
         let request = stream_request(Method::DELETE, id, None);
         connection.send(request).await.ok()
     };
-    // An engine that is not reached runs on for nothing; there is no more to be done.
+    // An engine that cannot be reached completes the request in vain; nothing more can be done about it.
     let _ = time::timeout(CANCEL_TIMEOUT, attempt).await;
 }
 
@@ -322,10 +321,10 @@
     builder.body(Full::default()).unwrap_or_default()
 }
 
-async fn beginning(mut answer: Answer) -> String {
-    const SHOWN: usize = 300;
+async fn read_error_text(mut answer: Answer) -> String {
+    const MAX_BYTES: usize = 300;
     let first = time::timeout(CANCEL_TIMEOUT, answer.response.body_mut().frame()).await;
     let bytes = first.ok().flatten().and_then(Result::ok);
     let bytes = bytes.and_then(|f| f.into_data().ok()).unwrap_or_default();
-    String::from_utf8_lossy(&bytes[..bytes.len().min(SHOWN)]).into_owned()
+    String::from_utf8_lossy(&bytes[..bytes.len().min(MAX_BYTES)]).into_owned()
 }
--- a/src/endpoint/events.rs
+++ b/src/endpoint/events.rs
@@ -1,58 +1,61 @@
-//! Cuts a stream of events at the ends of events, keeping their bytes as they came.
+//! Splits a stream at the ends of server-sent events and keeps their bytes unchanged.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event that is taken, in bytes.
+/// The longest supported event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One or more whole events.
+/// One or more complete events.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WholeEvents {
-    /// Their bytes.
+pub struct CompleteEvents {
+    /// The bytes of the events.
     pub bytes: Bytes,
-    /// The id of the last event that has one.
+    /// The id of the last event with an id.
     pub last_id: Option<u64>,
-    /// How many they are.
+    /// The number of events.
     pub count: u32,
 }
 
-/// An event longer than this module takes.
+/// An event is longer than supported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventTooLong;
 
-/// Takes bytes in any pieces and gives whole events.
+/// Splits bytes that arrive in arbitrary chunks into complete events.
 ///
 /// ```
-/// use ryevalve::endpoint::events::EventCutter;
-/// let mut cutter = EventCutter::default();
-/// cutter.push(b"id: 3\ndata: a");
-/// assert_eq!(cutter.take(None), Ok(None));
-/// cutter.push(b"b\n\nid: 4\n");
-/// let events = cutter.take(None).unwrap().unwrap();
+/// use ryevalve::endpoint::events::EventSplitter;
+/// let mut splitter = EventSplitter::default();
+/// splitter.push(b"id: 3\ndata: a");
+/// assert_eq!(splitter.take_complete(None), Ok(None));
+/// splitter.push(b"b\n\nid: 4\n");
+/// let events = splitter.take_complete(None).unwrap().unwrap();
 /// assert_eq!((&events.bytes[..], events.last_id), (&b"id: 3\ndata: ab\n\n"[..], Some(3)));
-/// assert!(cutter.has_rest());
+/// assert!(splitter.has_partial_event());
 /// ```
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     buffer: BytesMut,
 }
 
-impl EventCutter {
-    /// Adds bytes.
+impl EventSplitter {
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns whether part of an event is left.
-    pub fn has_rest(&self) -> bool {
+    /// Returns whether the buffer holds an incomplete event.
+    pub fn has_partial_event(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Returns the whole events that are there, without those whose ids do not come after `seen`.
+    /// Removes and returns the complete events, without those whose id is not above `last_seen`.
     ///
     /// # Errors
-    /// An event is too long; nothing more can be read.
-    pub fn take(&mut self, seen: Option<u64>) -> Result<Option<WholeEvents>, EventTooLong> {
+    /// An event is too long; the stream cannot be read any further.
+    pub fn take_complete(
+        &mut self,
+        last_seen: Option<u64>,
+    ) -> Result<Option<CompleteEvents>, EventTooLong> {
         let mut end = 0;
         let mut skipped = 0;
         let mut last_id = None;
@@ -60,13 +63,13 @@
         while let Some(length) = event_length(&self.buffer[end..]) {
             let id = event_id(&self.buffer[end..end + length]);
             end += length;
-            let is_old = id.is_some_and(|id| seen.max(last_id).is_some_and(|s| id <= s));
+            let is_old = id.is_some_and(|id| last_seen.max(last_id).is_some_and(|s| id <= s));
             if is_old && count == 0 {
                 skipped = end;
                 continue;
             }
             if is_old {
-                // An old event among new ones: those before it go first.
+                // The next call skips this event; the new events before it are returned first.
                 end -= length;
                 break;
             }
@@ -78,7 +81,7 @@
         }
         let mut bytes = self.buffer.split_to(end);
         let _ = bytes.split_to(skipped);
-        Ok((count > 0).then(|| WholeEvents {
+        Ok((count > 0).then(|| CompleteEvents {
             bytes: bytes.freeze(),
             last_id,
             count,
@@ -86,7 +89,7 @@
     }
 }
 
-/// Returns the length of the first event with the blank line that ends it.
+/// Returns the length of the first event, including the blank line that ends it.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let newlines = bytes.iter().enumerate().filter(|(_, b)| **b == b'\n');
     for (at, _) in newlines {
