--- a/src/cli.rs
+++ b/src/cli.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     client::{self, ClientError},
-    config::check::{self, nearest},
+    config::check::{self, suggestion},
     explain, instance, limit_history,
     logs::{self, LogTarget},
     operator::{
@@ -245,7 +245,7 @@
                 "serve", "edge", "check", "command", "dump", "explain", "limits", "summary",
                 "trace", "replay", "help", "version",
             ];
-            let hint = nearest(other, known);
+            let hint = suggestion(other, known);
             Err(CliError::usage(format!(
                 "unknown subcommand `{other}`; {hint}"
             )))
@@ -288,7 +288,7 @@
                 Arg::Long(name) => {
                     let name = name.to_owned();
                     if !known.contains(&name.as_str()) {
-                        let hint = nearest(&name, known.iter().copied());
+                        let hint = suggestion(&name, known.iter().copied());
                         let message = format!("unknown flag --{name}; {hint}");
                         return Err(CliError::usage(message));
                     }
@@ -662,12 +662,12 @@
         ));
     };
     let workload: Workload = name.parse().map_err(|()| {
-        let hint = nearest(name, WORKLOADS.map(|(known, _)| known));
+        let hint = suggestion(name, WORKLOADS.map(|(known, _)| known));
         CliError::usage(format!("--workload: `{name}` is not usable; {hint}"))
     })?;
     let fault = args.get("fault").unwrap_or("none");
     let fault: Fault = fault.parse().map_err(|()| {
-        let hint = nearest(fault, FAULTS.map(|(known, _)| known));
+        let hint = suggestion(fault, FAULTS.map(|(known, _)| known));
         CliError::usage(format!("--fault: `{fault}` is not usable; {hint}"))
     })?;
     let seed = number(&args, "seed", 1, u64::MAX)?;
@@ -739,7 +739,7 @@
     };
     let parsed = names.into_iter().map(|name| {
         name.parse().map_err(|()| {
-            let hint = nearest(name, POLICIES);
+            let hint = suggestion(name, POLICIES);
             CliError::usage(format!("--policy: `{name}` is not usable; {hint}"))
         })
     });
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -186,7 +186,7 @@
         for key in table.keys() {
             if !SECTIONS.contains(&&**key.get_ref()) {
                 let problem = format!("unknown section `{}`", key.get_ref());
-                self.fault(key.span(), problem, nearest(key.get_ref(), SECTIONS));
+                self.fault(key.span(), problem, suggestion(key.get_ref(), SECTIONS));
             }
         }
     }
@@ -469,7 +469,7 @@
     ) {
         if !known.contains(&**name) {
             let problem = format!("{who} names the unknown {section} `{name}`");
-            let fix = nearest(name, known.iter().copied());
+            let fix = suggestion(name, known.iter().copied());
             self.fault(place.clone(), problem, fix);
         }
     }
@@ -484,7 +484,7 @@
 }
 
 /// Says which of the known names is meant, or lists some.
-pub fn nearest<'k>(name: &str, known: impl IntoIterator<Item = &'k str>) -> String {
+pub fn suggestion<'k>(name: &str, known: impl IntoIterator<Item = &'k str>) -> String {
     let mut known: Vec<&str> = known.into_iter().collect();
     known.sort_by_key(|k| distance(name, k));
     match known.first() {
--- a/src/entry/parse.rs
+++ b/src/entry/parse.rs
@@ -14,7 +14,7 @@
 use crate::{
     config::{
         Config,
-        check::nearest,
+        check::suggestion,
         model::{Organisation, PoolKind, Service, Tier},
     },
     entry::refusal::Refusal,
@@ -266,7 +266,7 @@
                     let pool = self.config.pool(&s.pool);
                     pool.is_some_and(|p| p.kind == kind)
                 });
-                let hint = nearest(name, known.map(|s| &*s.name));
+                let hint = suggestion(name, known.map(|s| &*s.name));
                 let message = format!("no such service: `{name}`; {hint}");
                 Err(Refusal::bad(
                     StatusCode::NOT_FOUND,
@@ -361,7 +361,7 @@
         return lowest.ok_or_else(|| unknown_tier("the organisation may use no tier".to_owned()));
     };
     let Some(tier) = config.tier(name) else {
-        let hint = nearest(name, config.tiers.iter().map(|t| &*t.name));
+        let hint = suggestion(name, config.tiers.iter().map(|t| &*t.name));
         return Err(unknown_tier(format!("no such tier: `{name}`; {hint}")));
     };
     if !allowed(&tier) {
--- a/src/operator/language.rs
+++ b/src/operator/language.rs
@@ -13,7 +13,7 @@
 };
 
 use crate::{
-    config::check::{SECTIONS, nearest},
+    config::check::{SECTIONS, suggestion},
     prelude::RequestId,
 };
 
@@ -321,10 +321,10 @@
     match expected {
         A_COMMAND => format!(
             "{expected}; {}",
-            nearest(word, VERBS.into_iter().chain(sources()))
+            suggestion(word, VERBS.into_iter().chain(sources()))
         ),
-        A_FIELD => format!("{expected}; {}", nearest(word, FIELDS)),
-        A_SOURCE => format!("{expected}; {}", nearest(word, sources())),
+        A_FIELD => format!("{expected}; {}", suggestion(word, FIELDS)),
+        A_SOURCE => format!("{expected}; {}", suggestion(word, sources())),
         other => other.to_owned(),
     }
 }
--- a/src/operator/orders.rs
+++ b/src/operator/orders.rs
@@ -14,7 +14,7 @@
     clock::unix_s,
     config::{
         Config,
-        check::{self, nearest},
+        check::{self, suggestion},
         model::{Endpoint, Event},
         version::Versioned,
     },
@@ -116,7 +116,7 @@
         }
     };
     if !known.contains(&name.as_str()) {
-        let hint = nearest(name, known);
+        let hint = suggestion(name, known);
         return refused(format!("there is no {place}; {hint}"));
     }
     let order =
@@ -162,7 +162,7 @@
         let known = view.present().map(|m| &*m.info.name);
         refused(format!(
             "there is no instance `{name}`; {}",
-            nearest(name, known)
+            suggestion(name, known)
         ))
     })
 }
@@ -275,7 +275,7 @@
                 let known = objects.keys().filter_map(|k| k.strip_prefix(&prefix));
                 return Err(format!(
                     "there is no {kind} `{name}`; {}",
-                    nearest(name, known)
+                    suggestion(name, known)
                 ));
             }
             let edited = Versioned::from_objects(base.version, objects);
@@ -293,7 +293,7 @@
             let known: Vec<String> = config.events.iter().map(|e| e.name.to_string()).collect();
             let found = config.events.iter_mut().find(|e| &*e.name == name);
             let Some(event) = found else {
-                let hint = nearest(name, known.iter().map(String::as_str));
+                let hint = suggestion(name, known.iter().map(String::as_str));
                 return Err(format!("there is no event `{name}`; {hint}"));
             };
             edit_event(event);
@@ -482,7 +482,7 @@
         let known = current.config.endpoints.iter().map(|e| &*e.name);
         return refused(format!(
             "there is no endpoint `{name}`; {}",
-            nearest(name, known)
+            suggestion(name, known)
         ));
     };
     let loads = !matches!(order, EndpointOrder::Role(_));
--- a/src/operator/report.rs
+++ b/src/operator/report.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     clock::unix_s,
-    config::check::nearest,
+    config::check::suggestion,
     instance::Instance,
     operator::{
         execute::{Gathered, gather, rows_of},
@@ -39,7 +39,7 @@
     let current = instance.config.current();
     let events = &current.config.events;
     if !events.iter().any(|e| &*e.name == name) {
-        let hint = nearest(name, events.iter().map(|e| &*e.name));
+        let hint = suggestion(name, events.iter().map(|e| &*e.name));
         return Reply::new(
             Status::Refused,
             format!("there is no event `{name}`; {hint}"),
--- a/src/platform/edge.rs
+++ b/src/platform/edge.rs
@@ -26,11 +26,11 @@
     limits::{permits::ColdTolerance, quota::Tolerance, retries::RetryBounds},
     peers::{datagram::MemberInfo, gossip::Gossip, membership::Membership, rpc::SealedCodec},
     platform::{
-        follow,
         headers::PlatformProtocol,
         objects::ObjectClient,
         settings::{Bounds, PlatformSettings, SettingsError},
         store::PlatformStore,
+        store_watch,
     },
     prelude::{Incarnation, Micros},
 };
@@ -132,14 +132,17 @@
         }
     }
     let store = settings.store.address;
-    tokio::spawn(follow::configuration(
+    tokio::spawn(store_watch::configuration(
+        gateway.clone(),
+        ObjectClient::new(store),
+    ));
+    tokio::spawn(store_watch::endpoints(
         gateway.clone(),
         ObjectClient::new(store),
     ));
-    tokio::spawn(follow::endpoints(gateway.clone(), ObjectClient::new(store)));
     if settings.bounds.evacuate_ms.is_some() {
         let client = ObjectClient::new(store);
-        tokio::spawn(follow::evacuations(gateway.clone(), client));
+        tokio::spawn(store_watch::evacuations(gateway.clone(), client));
     }
     let list = PlatformStore::new(store);
     tokio::spawn(block_list::run(
--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -196,7 +196,7 @@
 impl<T> Changes<T> {
     /// Returns for each event the last revision at which it may have been done. Word that an object is gone
     /// bears no revision, and one of the same name may have been made since.
-    pub fn done_by(&self) -> Vec<u64> {
+    pub fn latest_revisions(&self) -> Vec<u64> {
         let mut latest = self.revision;
         let backwards = self.events.iter().rev().map(|event| {
             let done_by = latest;
--- a/src/platform/follow.rs
+++ b/src/platform/store_watch.rs
@@ -507,7 +507,7 @@
     }
 
     fn changed(&mut self, changes: Changes<EndpointSpec>, asked_us: Micros) {
-        let done_by = changes.done_by();
+        let done_by = changes.latest_revisions();
         for (event, done_by) in changes.events.into_iter().zip(done_by) {
             match event {
                 Event::Changed(object) => self.seen(object),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -227,7 +227,7 @@
         for name in flags.keys() {
             if !FLAGS.iter().any(|f| f.name == name) {
                 let known = FLAGS.iter().map(|f| f.name);
-                let hint = crate::config::check::nearest(name, known);
+                let hint = crate::config::check::suggestion(name, known);
                 let name = name.clone();
                 return Err(SettingsError::Unknown { name, hint });
             }
--- a/tests/edge/group.rs
+++ b/tests/edge/group.rs
@@ -23,7 +23,9 @@
     },
     limits::{permits::ColdTolerance, quota::Tolerance, retries::RetryBounds},
     peers::{datagram::MemberInfo, gossip::Gossip, membership::Membership, rpc::SealedCodec},
-    platform::{follow, headers::PlatformProtocol, objects::ObjectClient, store::PlatformStore},
+    platform::{
+        headers::PlatformProtocol, objects::ObjectClient, store::PlatformStore, store_watch,
+    },
     prelude::{Incarnation, Micros, Name},
 };
 use tokio::{
@@ -187,11 +189,13 @@
     pub fn follow(&mut self, addr: SocketAddr) {
         let gateway = self.gateway.clone();
         let client = ObjectClient::new(addr);
-        self.tasks
-            .push(tokio::spawn(follow::endpoints(gateway.clone(), client)));
+        self.tasks.push(tokio::spawn(store_watch::endpoints(
+            gateway.clone(),
+            client,
+        )));
         let client = ObjectClient::new(addr);
         self.tasks
-            .push(tokio::spawn(follow::configuration(gateway, client)));
+            .push(tokio::spawn(store_watch::configuration(gateway, client)));
     }
 
     /// Follows the store's evacuations, which are to be in force within `bound`.
@@ -204,7 +208,7 @@
         });
         let client = ObjectClient::new(addr);
         self.tasks
-            .push(tokio::spawn(follow::evacuations(gateway, client)));
+            .push(tokio::spawn(store_watch::evacuations(gateway, client)));
     }
 
     /// Ends all that it does, as a kill would.
--- a/tests/gateway/restarts.rs
+++ b/tests/gateway/restarts.rs
@@ -140,7 +140,7 @@
         ],
         revision: 15,
     };
-    assert_eq!(changes.done_by(), vec![11, 11, 15, 15]);
+    assert_eq!(changes.latest_revisions(), vec![11, 11, 15, 15]);
 }
 
 #[derive(Clone, Copy, Debug)]
