--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration: its objects, its TOML form, its checks and its versions.
+//! The product's configuration: data model, TOML format, validation and versions.
 
 pub mod check;
 pub mod model;
--- a/src/config/model.rs
+++ b/src/config/model.rs
@@ -1,13 +1,13 @@
-//! The configuration's objects, as plain data. docs/CONFIGURATION.md describes each field.
+//! Data model of the configuration. docs/CONFIGURATION.md describes each field.
 
 use serde::{Deserialize, Serialize};
 
 use crate::prelude::Name;
 
-/// Everything that operators declare.
+/// The complete configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// How the two measures weigh, and other settings of the policy.
+    /// Weights of the two objectives and other settings of the scheduling policy.
     pub policy: Policy,
     /// Halls.
     pub halls: Vec<Hall>,
@@ -27,7 +27,7 @@
     pub events: Vec<Event>,
 }
 
-/// The settings of the policy that operators choose.
+/// Settings of the scheduling policy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
@@ -35,11 +35,11 @@
     pub goodput_weight: f64,
     /// Weight of wasted prefill, from 0 to 1.
     pub wasted_prefill_weight: f64,
-    /// For how long the key of a not repeatable request is remembered, in seconds.
+    /// How long the idempotency key of a request that must not be repeated is kept, in seconds.
     pub remember_keys_s: u64,
-    /// Size of a prefix block, in tokens.
+    /// Size of a block of the prefix cache, in tokens.
     pub block_tokens: u32,
-    /// How many loads of weights the weight store takes a minute.
+    /// How many loads of model weights the weight store can serve a minute.
     pub weight_loads_per_minute: u32,
 }
 
@@ -55,182 +55,182 @@
     }
 }
 
-/// A place where endpoints and instances stand.
+/// An availability zone within a data centre, where endpoints and instances run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Hall {
-    /// Its name.
+    /// Unique name.
     pub name: Name,
-    /// The data centre it belongs to.
+    /// Data centre of the hall.
     pub data_centre: Name,
 }
 
-/// A tier of requests.
+/// A priority class of requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
-    /// Its name.
+    /// Unique name.
     pub name: Name,
-    /// Its order; 0 is the highest, and the ranks have no gap.
+    /// Priority of the tier: 0 is the highest. Ranks are consecutive.
     pub rank: u8,
-    /// Deadline of a request that names none, in milliseconds.
+    /// Deadline of a request that states none, in milliseconds.
     pub default_deadline_ms: u64,
-    /// The longest deadline a request may name, in milliseconds.
+    /// The longest deadline that a request may state, in milliseconds.
     pub max_deadline_ms: u64,
 }
 
-/// A customer.
+/// A customer, whose callers share API keys and quotas.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Organisation {
-    /// Its name.
+    /// Unique name.
     pub name: Name,
-    /// SHA-256 of each of its keys, in hexadecimal.
+    /// SHA-256 of each API key of the organisation, in hexadecimal.
     pub key_sha256: Vec<String>,
-    /// The tiers it may use; none listed means all.
+    /// Tiers that the organisation may use; an empty list permits all.
     #[serde(default)]
     pub tiers: Vec<Name>,
-    /// Its share against the others.
+    /// Weight of the organisation's share relative to others.
     #[serde(default = "one")]
     pub weight: f64,
-    /// The most requests it may have running in a pool; more wait.
+    /// Maximum number of its running requests in a pool; further requests wait.
     #[serde(default)]
     pub max_running: Option<u32>,
 }
 
-/// A person or program that may ask or order.
+/// A person or program that may send queries or commands.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
-    /// Their name, kept with each command.
+    /// Name of the operator, recorded with each command.
     pub name: Name,
-    /// SHA-256 of their key, in hexadecimal.
+    /// SHA-256 of the operator's key, in hexadecimal.
     pub key_sha256: String,
-    /// What the key is good for.
+    /// What the key permits.
     pub may: Permission,
 }
 
-/// What an operator's key is good for.
+/// What an operator's key permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Permission {
-    /// Asking only.
+    /// Queries only.
     Read,
-    /// Asking and ordering.
+    /// Queries and commands.
     Order,
 }
 
-/// What the endpoints of a pool speak.
+/// The kind of endpoints in a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PoolKind {
-    /// Model engines that stream tokens.
+    /// Model engines, which stream tokens.
     Model,
-    /// Plain services.
+    /// Plain HTTP services.
     Plain,
 }
 
-/// How a pool is divided among leaders.
+/// How the leadership of a pool is divided.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Split {
-    /// One leader for all.
+    /// One leader for the whole pool.
     #[default]
     None,
-    /// One leader in each data centre that has endpoints of it.
+    /// One leader in each data centre that has endpoints of the pool.
     DataCentre,
 }
 
-/// A set of endpoints that can stand in for each other.
+/// A set of interchangeable endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// Its name.
+    /// Unique name.
     pub name: Name,
-    /// What its endpoints speak.
+    /// Kind of the pool's endpoints.
     pub kind: PoolKind,
-    /// How it is divided among leaders.
+    /// How its leadership is divided.
     #[serde(default)]
     pub split: Split,
-    /// Above this many waiting requests the lowest tier is shed.
+    /// Maximum number of waiting requests; above it, requests of the lowest tier are shed.
     #[serde(default = "default_max_waiting")]
     pub max_waiting: u32,
-    /// Length of an answer, in tokens, assumed before any was seen; better low than high.
+    /// Assumed length of an answer before any has been measured, in tokens; too low is better than too high.
     #[serde(default = "default_output_tokens")]
     pub prior_output_tokens: u32,
 }
 
-/// What callers name.
+/// A service that callers request by name.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its name: the `model` of a completion, or the path of a plain service.
+    /// Name of the service: the `model` of a completion, or the path of a plain service.
     pub name: Name,
     /// The pool that serves it.
     pub pool: Name,
-    /// Whether its requests may be run again by their caller.
+    /// Whether callers may repeat requests of the service.
     #[serde(default = "yes")]
     pub repeatable: bool,
-    /// Paths below a repeatable plain service whose requests may never be repeated.
+    /// Paths of a repeatable plain service whose requests must not be repeated.
     #[serde(default)]
     pub not_repeatable_paths: Vec<String>,
 }
 
-/// One engine or server.
+/// A model engine or a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Endpoint {
-    /// Its name.
+    /// Unique name.
     pub name: Name,
-    /// The pool it belongs to.
+    /// Pool of the endpoint.
     pub pool: Name,
-    /// Its address, as IP and port.
+    /// IP address and port.
     pub addr: String,
-    /// The hall it stands in.
+    /// Hall of the endpoint.
     pub hall: Name,
-    /// The runner it belongs to, if several engines share one.
+    /// Runner of the engine, if several engines share one.
     #[serde(default)]
     pub runner: Option<Name>,
-    /// How many requests it runs at a time.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
-    /// Declared prompt speed, in tokens a second.
+    /// Declared prefill speed, in tokens a second.
     #[serde(default = "default_prefill")]
     pub prefill_tokens_per_s: f64,
-    /// Declared time of one decode step, in microseconds.
+    /// Declared duration of a decode step, in microseconds.
     #[serde(default = "default_step")]
     pub decode_step_us: f64,
     /// Size of its prefix cache, in tokens.
     #[serde(default)]
     pub cache_tokens: u32,
-    /// Whether it refuses orders with an outdated fence.
+    /// Whether the endpoint refuses orders with an outdated fencing token.
     #[serde(default)]
     pub checks_fences: bool,
-    /// Takes no new work.
+    /// Whether the endpoint accepts no new requests.
     #[serde(default)]
     pub draining: bool,
 }
 
-/// A time at which load gathers.
+/// A planned period of high load.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
-    /// Its name.
+    /// Unique name.
     pub name: Name,
-    /// The pool that it loads.
+    /// Pool that gets the load.
     pub pool: Name,
-    /// The lowest tier that it is about.
+    /// Lowest tier for which capacity is reserved.
     pub tier: Name,
-    /// Its start, in seconds since 1970.
+    /// Start, in seconds since the Unix epoch.
     pub starts_at_s: u64,
-    /// How long it lasts, in seconds.
+    /// Duration, in seconds.
     pub duration_s: u64,
-    /// How long before the start room is kept, in seconds.
+    /// How long before the start capacity is reserved, in seconds.
     #[serde(default = "default_keep")]
     pub keep_room_s: u64,
-    /// Share of each endpoint's slots that is kept from lower tiers, from 0 to 1.
+    /// Share of each endpoint's slots that lower tiers may not use, from 0 to 0.9.
     #[serde(default = "default_share")]
     pub keep_share: f64,
-    /// How many requests are expected.
+    /// Expected number of requests.
     #[serde(default)]
     pub expected_requests: u32,
 }
@@ -268,22 +268,22 @@
 }
 
 impl Config {
-    /// Returns the tier of that name.
+    /// Returns the tier `name`.
     pub fn tier(&self, name: &str) -> Option<&Tier> {
         self.tiers.iter().find(|t| &*t.name == name)
     }
 
-    /// Returns the pool of that name.
+    /// Returns the pool `name`.
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         self.pools.iter().find(|p| &*p.name == name)
     }
 
-    /// Returns the service of that name.
+    /// Returns the service `name`.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|s| &*s.name == name)
     }
 
-    /// Returns the endpoint of that name.
+    /// Returns the endpoint `name`.
     pub fn endpoint(&self, name: &str) -> Option<&Endpoint> {
         self.endpoints.iter().find(|e| &*e.name == name)
     }
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration, decoded into the gateway's.
+//! Decodes the operators' configuration object into a [`GatewayConfig`].
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,10 +12,10 @@
     prelude::{Name, Rank},
 };
 
-/// The object that holds the configuration, as kind and name.
+/// Kind and name of the object that holds the configuration.
 pub const OBJECT: (&str, &str) = ("config", "main");
 
-/// A whole configuration as operators write it.
+/// The complete configuration as operators write it.
 #[derive(Debug, Deserialize)]
 pub struct ConfigSpec {
     version: ConfigVersion,
@@ -34,7 +34,7 @@
     name: Name,
     hostname: Name,
     path_prefix: Name,
-    r#type: KindSpec,
+    r#type: RouteKindSpec,
     timeout_ms: f64,
     #[serde(default)]
     target_latency_ms: Option<f64>,
@@ -44,17 +44,17 @@
     priority: Rank,
     #[serde(default = "one")]
     max_attempts: u32,
-    /// Callers of the route need no key.
+    /// Whether callers may use the route without an API key.
     #[serde(default)]
     public: bool,
     #[serde(default)]
     stream_resume: bool,
-    /// The one service, where the route is not split.
+    /// The only service of the route if its traffic is not split.
     #[serde(default)]
     backend: Option<Name>,
     #[serde(default)]
     traffic_split: Vec<SplitSpec>,
-    /// The regions in which its requests may be served.
+    /// Regions in which requests of the route may run; absent or empty: anywhere.
     #[serde(default)]
     allowed_regions: Option<Vec<Name>>,
 }
@@ -65,7 +65,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
-enum KindSpec {
+enum RouteKindSpec {
     Idempotent,
     NonIdempotent,
     Streaming,
@@ -87,10 +87,10 @@
     max_connections: Option<u32>,
     #[serde(default)]
     engine: Option<EngineSpec>,
-    /// How long an endpoint is cold after its start.
+    /// Length of an endpoint's warm-up after its start, in seconds.
     #[serde(default)]
     warmup_s: f64,
-    /// Requests a second that a cold endpoint takes; 0 is no bound.
+    /// Rate limit of an endpoint while it warms up, in requests a second; 0 means no limit.
     #[serde(default)]
     warmup_per_s: f64,
 }
@@ -100,7 +100,7 @@
 struct EngineSpec {
     capacity: u32,
     kv_capacity: u32,
-    /// Tokens in one event of a stream.
+    /// Tokens per event of a stream.
     #[serde(default = "one")]
     stride: u32,
 }
@@ -124,21 +124,21 @@
     priority: Option<Rank>,
     #[serde(default)]
     unit: Option<String>,
-    /// What a request counts that names no tokens.
+    /// Tokens charged to the quota for a request that states no token counts.
     #[serde(default)]
     uncached_tokens: f64,
     #[serde(default)]
     rate_per_s: f64,
     #[serde(default)]
     burst: f64,
-    /// The regions in which its requests may be served.
+    /// Regions in which requests of the organisation may run; absent or empty: anywhere.
     #[serde(default)]
     allowed_regions: Option<Vec<Name>>,
 }
 
-/// What the platform calls a limit that counts tokens; any other counts requests.
+/// Value of `unit` for a quota that counts tokens; any other value counts requests.
 const TOKEN_UNIT: &str = "token_count";
-/// Weights may be fractions; they are kept as whole numbers of this many a unit.
+/// Traffic weights may be fractions; they are multiplied by this factor and stored as integers.
 const WEIGHT_SCALE: f64 = 100.0;
 
 impl From<ConfigSpec> for GatewayConfig {
@@ -164,9 +164,9 @@
 
 fn route(spec: RouteSpec) -> Route {
     let kind = match spec.r#type {
-        KindSpec::Idempotent => RouteKind::Whole { repeatable: true },
-        KindSpec::NonIdempotent => RouteKind::Whole { repeatable: false },
-        KindSpec::Streaming => RouteKind::Stream {
+        RouteKindSpec::Idempotent => RouteKind::Whole { repeatable: true },
+        RouteKindSpec::NonIdempotent => RouteKind::Whole { repeatable: false },
+        RouteKindSpec::Streaming => RouteKind::Stream {
             resumable: spec.stream_resume,
         },
     };
@@ -195,12 +195,12 @@
         max_attempts: spec.max_attempts.max(1),
         public: spec.public,
         targets,
-        homes: named(spec.allowed_regions),
+        homes: non_empty(spec.allowed_regions),
     }
 }
 
-/// Returns regions, unless the list is empty: that names none.
-fn named(regions: Option<Vec<Name>>) -> Option<Vec<Name>> {
+/// Returns the regions, or none for an empty list, which means no restriction.
+fn non_empty(regions: Option<Vec<Name>>) -> Option<Vec<Name>> {
     regions.filter(|regions| !regions.is_empty())
 }
 
@@ -239,7 +239,7 @@
             rate_per_s: spec.rate_per_s,
             burst: spec.burst,
         }),
-        homes: named(spec.allowed_regions),
+        homes: non_empty(spec.allowed_regions),
     }
 }
 
--- a/src/platform/edge.rs
+++ b/src/platform/edge.rs
@@ -1,4 +1,4 @@
-//! Runs one instance on the platform.
+//! Runs one gateway instance on the platform: starts its tasks, reloads its settings and stops it.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -35,63 +35,66 @@
     prelude::{Incarnation, Micros},
 };
 
-/// Where the counters are served, beside the address for readiness; named in the deploy file.
+/// Port of the metrics, at the IP address of the readiness probe; the deployment file names it too.
 pub const METRICS_PORT: u16 = 9_464;
-/// The variable that holds the key by which instances know each other.
+/// Environment variable that holds the key with which instances authenticate each other.
 pub const CLUSTER_KEY_VARIABLE: &str = "RYEVALVE_CLUSTER_KEY";
 const MIN_KEY_LEN: usize = 16;
-/// Descriptors kept for endpoints, peers, the store and files.
-const OWN_DESCRIPTORS: usize = 900;
+/// File descriptors reserved for endpoints, peers, the store and files; callers get the others.
+const RESERVED_DESCRIPTORS: usize = 900;
 const BYTES_PER_MBIT: f64 = 125_000.0;
-/// How often silent peers, lapsed endpoints and resting connections are looked at.
-const SWEEP: Duration = Duration::from_millis(250);
-/// How often the state of limits in use is written to the log.
-const LIMIT_STATES: Duration = Duration::from_secs(1);
-/// How often the requests that wait are looked at, and whether the machine was suspended.
-const RECONSIDER: Duration = Duration::from_millis(20);
-/// How often the settings file is read, since it may change without a signal.
-const REREAD: Duration = Duration::from_secs(5);
+/// Interval at which expired state is removed: idle connections, suspects, permits, lapsed endpoints and the loads of
+/// silent peers.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval at which the state of the limits in use is logged.
+const LIMIT_LOG_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which waiting requests are reconsidered and a suspension of the machine is detected.
+const RECONSIDER_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the settings file is reread, since it may change without a signal.
+const REREAD_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Why an instance did not start.
+/// Why an instance could not start.
 #[derive(Debug, Snafu)]
 pub enum EdgeError {
-    /// The settings cannot be used.
+    /// The settings are missing or invalid.
     #[snafu(display("{source}"), context(false))]
     Settings {
-        /// What is wrong with them.
+        /// The error in the settings.
         source: SettingsError,
     },
     /// An address cannot be bound.
     #[snafu(display("cannot listen for {what} on {addr}: {source}"))]
     Bind {
-        /// Who was to be listened for.
+        /// The purpose of the socket.
         what: &'static str,
         /// The address.
         addr: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// What instances tell each other cannot be authenticated.
-    #[snafu(display("{CLUSTER_KEY_VARIABLE} is missing or short; expected 16 characters or more"))]
+    /// Without a cluster key, messages between instances cannot be authenticated.
+    #[snafu(display(
+        "{CLUSTER_KEY_VARIABLE} is missing or too short; expected 16 characters or more"
+    ))]
     ClusterKey,
-    /// Signals cannot be received.
-    #[snafu(display("signals cannot be received: {source}"))]
+    /// Signal handlers cannot be installed.
+    #[snafu(display("cannot install signal handlers: {source}"))]
     Signals {
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// Runs an instance until it is told to stop; returns whether all requests came to their end.
+/// Runs an instance until SIGTERM; returns whether all requests finished before the stop.
 ///
 /// # Errors
-/// It could not start.
+/// The instance could not start.
 pub async fn run() -> Result<bool, EdgeError> {
     let settings = PlatformSettings::load()?;
     let mut terminate = signal(SignalKind::terminate()).context(SignalsSnafu)?;
     let mut hangup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
     let callers = bind("callers", settings.listen.callers).await?;
-    let ready = bind("readiness", settings.listen.ready).await?;
+    let readiness = bind("readiness", settings.listen.ready).await?;
     let metrics_addr = SocketAddr::new(settings.listen.ready.ip(), METRICS_PORT);
     let metrics = bind("metrics", metrics_addr).await?;
     let bounds = gateway_bounds(&settings.bounds);
@@ -111,20 +114,20 @@
         "started"
     );
     let stop = ListenerStop::default();
-    let most = settings
+    let max_connections = settings
         .machine
         .max_descriptors
-        .saturating_sub(OWN_DESCRIPTORS);
+        .saturating_sub(RESERVED_DESCRIPTORS);
     let serving = tokio::spawn(caller_listener::serve(
         gateway.clone(),
         callers,
-        most.max(1),
+        max_connections.max(1),
         stop.clone(),
     ));
-    tokio::spawn(probes::serve(gateway.clone(), ready));
+    tokio::spawn(probes::serve(gateway.clone(), readiness));
     tokio::spawn(probes::serve(gateway.clone(), metrics));
     let is_seed = settings.seeds.contains(&settings.listen.control);
-    // A seed reads from the store at once: the others ask it.
+    // A seed reads the store immediately, because the other instances fetch from it.
     if !is_seed && !settings.seeds.is_empty() {
         gateway.fetch_at_start();
         if settings.is_first_start {
@@ -144,10 +147,10 @@
         let client = ObjectClient::new(store);
         tokio::spawn(store_watch::evacuations(gateway.clone(), client));
     }
-    let list = PlatformStore::new(store);
+    let block_list_store = PlatformStore::new(store);
     tokio::spawn(block_list::run(
         gateway.clone(),
-        list,
+        block_list_store,
         settings.is_first_start,
     ));
     tokio::spawn(instance_count::keep(
@@ -155,26 +158,26 @@
         PlatformStore::new(store),
         settings.is_first_start,
     ));
-    meet_peers(&gateway, &settings).await?;
+    join_peers(&gateway, &settings).await?;
     tokio::spawn(sweep(gateway.clone()));
     tokio::spawn(log_limits(gateway.clone()));
     tokio::spawn(reconsider(gateway.clone()));
-    let mut reread = time::interval(REREAD);
+    let mut reread = time::interval(REREAD_INTERVAL);
     reread.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut known = settings;
+    let mut current = settings;
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hangup.recv() => reload(&gateway, &mut known, true),
-            _ = reread.tick() => reload(&gateway, &mut known, false),
+            _ = hangup.recv() => reload(&gateway, &mut current, true),
+            _ = reread.tick() => reload(&gateway, &mut current, false),
         }
     }
-    let grace = Duration::from_secs_f64(known.bounds.grace_s);
+    let grace = Duration::from_secs_f64(current.bounds.grace_s);
     Ok(stop::stop(&gateway, stop, serving, grace).await)
 }
 
-/// Joins the other instances: membership and the exchange by UDP, copies by TCP.
-async fn meet_peers(
+/// Joins the cluster: starts membership, the exchange and reservations over UDP, and the transfer of copies over TCP.
+async fn join_peers(
     gateway: &Arc<Gateway<PlatformProtocol>>,
     settings: &PlatformSettings,
 ) -> Result<(), EdgeError> {
@@ -203,7 +206,7 @@
         .await
         .context(BindSnafu { what, addr })?;
     let addr = SocketAddr::new(control.ip(), settings.peer_ports.0 + 1);
-    let places = UdpSocket::bind(addr)
+    let reservations = UdpSocket::bind(addr)
         .await
         .context(BindSnafu { what, addr })?;
     let codec = SealedCodec::new(key.as_bytes(), Arc::default());
@@ -228,10 +231,10 @@
         tokio::spawn(exchange.clone().fetch_at_start());
     }
     tokio::spawn(exchange.run());
-    let giving = gateway.clone();
+    let issuer = gateway.clone();
     tokio::spawn(async move {
         if let Err(error) =
-            reservation_server::run(giving, places, key.as_bytes(), incarnation).await
+            reservation_server::run(issuer, reservations, key.as_bytes(), incarnation).await
         {
             let reason = error.to_string();
             log::error!(target: "ryevalve::process", reason; "places_not_given");
@@ -277,17 +280,18 @@
     }
 }
 
-/// Takes what has changed in the settings; addresses stay as they are.
-fn reload(gateway: &Gateway<PlatformProtocol>, known: &mut PlatformSettings, asked: bool) {
+/// Rereads the settings and applies changed bounds; changed addresses are ignored. `is_requested`: by SIGHUP, so
+/// that the outcome is logged even if nothing has changed.
+fn reload(gateway: &Gateway<PlatformProtocol>, current: &mut PlatformSettings, is_requested: bool) {
     match PlatformSettings::load() {
-        Ok(settings) if settings == *known => {
-            if asked {
+        Ok(settings) if settings == *current => {
+            if is_requested {
                 log::info!(target: "ryevalve::process", changed = false; "settings_reloaded");
             }
         }
         Ok(settings) => {
             gateway.set_bounds(gateway_bounds(&settings.bounds));
-            *known = settings;
+            *current = settings;
             log::info!(target: "ryevalve::process", changed = true; "settings_reloaded");
         }
         Err(error) => {
@@ -298,35 +302,35 @@
 }
 
 async fn sweep(gateway: Arc<Gateway<PlatformProtocol>>) {
-    let mut period = time::interval(SWEEP);
-    period.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut interval = time::interval(SWEEP_INTERVAL);
+    interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        period.tick().await;
+        interval.tick().await;
         let now_us = gateway.clock.now_us();
         gateway.connections.sweep(now_us);
         gateway.suspects().expire(now_us);
         gateway.permits.expire(now_us);
-        let (gone, _) = gateway.balancer().tick(now_us);
-        for id in gone {
+        let (lapsed, _) = gateway.balancer().tick(now_us);
+        for id in lapsed {
             gateway.log_endpoint(&id, Change::Gone, "lapse");
         }
     }
 }
 
 async fn log_limits(gateway: Arc<Gateway<PlatformProtocol>>) {
-    let mut period = time::interval(LIMIT_STATES);
-    period.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut interval = time::interval(LIMIT_LOG_INTERVAL);
+    interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        period.tick().await;
+        interval.tick().await;
         limit_log::log_states(&gateway);
     }
 }
 
 async fn reconsider(gateway: Arc<Gateway<PlatformProtocol>>) {
-    let mut period = time::interval(RECONSIDER);
-    period.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut interval = time::interval(RECONSIDER_INTERVAL);
+    interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        period.tick().await;
+        interval.tick().await;
         gateway.clock.look_for_suspension().await;
         gateway.reconsider();
     }
--- a/src/platform/endpoints.rs
+++ b/src/platform/endpoints.rs
@@ -1,7 +1,8 @@
-//! The entries that endpoints keep of themselves in the store.
+//! The entries that endpoints register in the store.
 //!
-//! Others may write entries of this kind too. One that lacks a field, has one of another type, or a
-//! state that is not known here cannot be decoded: it names no endpoint, and the others hold.
+//! Other writers may put objects of this kind into the store too. An entry with a missing field, a
+//! field of another type or an unknown state cannot be decoded and is skipped; it does not affect
+//! the other entries.
 
 use std::{net::SocketAddr, num::NonZeroU32};
 
@@ -9,27 +10,27 @@
 
 use crate::{balance::discovery::EndpointEntry, prelude::Name};
 
-/// The kind of the entries.
+/// Kind of the entries in the store.
 pub const KIND: &str = "servers";
 
-/// An entry; its object's name is the endpoint's id.
+/// The content of an entry; the name of the object is the id of the endpoint.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EndpointSpec {
     backend: Name,
     address: SocketAddr,
     zone: Name,
-    /// Of the endpoint's software; only its type is looked at.
+    /// Version of the endpoint's software; required in an entry, but not used.
     #[serde(rename = "version")]
     _version: Name,
     capacity: NonZeroU32,
     state: State,
     warmup_left_ms: f64,
-    /// Counts the endpoint's words; only its type is looked at.
+    /// Number of the endpoint's update of its entry; required in an entry, but not used.
     #[serde(rename = "sequence")]
     _sequence: u64,
-    /// When this start of the endpoint began, in Unix milliseconds. Endpoints that never start again
-    /// under their id do not say it.
+    /// When this run of the endpoint started, in Unix milliseconds. Endpoints that never restart under
+    /// the same id leave it out.
     #[serde(default)]
     born: u64,
 }
@@ -38,12 +39,12 @@
 #[serde(rename_all = "lowercase")]
 enum State {
     Ready,
-    /// It is about to leave and takes no new work.
+    /// The endpoint is about to leave and accepts no new requests.
     Draining,
 }
 
 impl EndpointSpec {
-    /// Returns the entry of the endpoint `id`.
+    /// Converts the content into the entry of the endpoint `id`.
     pub fn into_entry(self, id: &str) -> EndpointEntry {
         EndpointEntry {
             id: id.into(),
--- a/src/platform/evacuations.rs
+++ b/src/platform/evacuations.rs
@@ -1,9 +1,9 @@
-//! Operators' requests that a data centre's endpoints get nothing more.
+//! Evacuations: operators create an object to stop all requests to the endpoints of a data centre.
 
 use serde::de::IgnoredAny;
 
-/// The kind of the objects; the name of each is that of its data centre.
+/// Kind of the objects in the store; the name of an object is the name of its data centre.
 pub const KIND: &str = "evacuations";
 
-/// What stands in an object: nothing that matters here.
+/// The content of an object, which is ignored: its existence is the evacuation.
 pub type EvacuationSpec = IgnoredAny;
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -1,4 +1,4 @@
-//! What callers and endpoints say in headers, decoded once.
+//! The headers of callers and endpoints: decodes them once and writes those of forwarded requests.
 
 use std::time::{Duration, SystemTime};
 
@@ -18,34 +18,34 @@
 };
 
 const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
-/// Milliseconds that the sender will wait.
+/// Time that the sender waits for the answer, in milliseconds.
 const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
-/// The parts of the prompt, as `ID:TOKENS` with the id in hex, separated by commas.
+/// The parts of the prompt, as comma-separated `ID:TOKENS` with the id in hexadecimal.
 const PROMPT_PARTS: HeaderName = HeaderName::from_static("prefix-hash");
-/// The event after which a stream goes on.
+/// The event after which a stream is resumed.
 const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// Proof that an answer is an endpoint's own.
+/// Proof that an answer comes from the endpoint itself.
 const SIGNATURE: HeaderName = HeaderName::from_static("instance-signature");
-/// The organisation, set by the gateway alone.
+/// The organisation of the caller; only the gateway may set it.
 const ORGANISATION: HeaderName = HeaderName::from_static("tenant");
-/// The start of an endpoint that the request is meant for, set by the gateway alone.
+/// The endpoint that the request is meant for; only the gateway may set it.
 const EXPECTED_ENDPOINT: HeaderName = HeaderName::from_static("expect-instance");
-/// Requests running, requests waiting and slots, separated by commas.
+/// The load of an endpoint: running requests, waiting requests and slots, separated by commas.
 const LOAD: HeaderName = HeaderName::from_static("instance-load");
-/// Requests a second that the endpoint takes from all instances together, for as long as it says so.
+/// Rate limit of the endpoint over all instances together, in requests a second; it holds while answers carry it.
 const LIMIT: HeaderName = HeaderName::from_static("server-limit");
-/// Says that the endpoint leaves.
+/// Announces that the endpoint is shutting down.
 const LEAVING: HeaderName = HeaderName::from_static("server-leaving");
-/// Says that the endpoint did not run the request.
+/// States that the endpoint did not run the request.
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
-/// Tokens of the prompt, and the most of the answer.
+/// Tokens of the prompt and maximum tokens of the answer.
 const TOKENS: HeaderName = HeaderName::from_static("token-usage");
-/// The caller's guess of the answer's tokens.
+/// The caller's estimate of the answer's tokens.
 const LENGTH_HINT: HeaderName = HeaderName::from_static("length-hint");
 const AUTHORIZATION_SCHEME: &str = "Token ";
 
-/// Headers that only the gateway may set towards an endpoint: from a caller they would reach into
-/// what is another's.
+/// Headers towards an endpoint that only the gateway may set. Those of a caller are removed: they would give it
+/// access to resources of other callers.
 const GATEWAY_ONLY: [HeaderName; 10] = [
     ORGANISATION,
     EXPECTED_ENDPOINT,
@@ -59,8 +59,8 @@
     HeaderName::from_static("kv-backup"),
 ];
 
-/// Headers of answers that are read here or by the HTTP library, or passed on as they are for the caller to read.
-/// Of any other it is not known what an endpoint says by it.
+/// Headers of answers that are handled here or by the HTTP library, or passed through to the caller.
+/// Any other header may be a signal of the endpoint that this version does not know, and is reported.
 const KNOWN_OF_ANSWERS: [HeaderName; 25] = [
     REQUEST_ID,
     SIGNATURE,
@@ -89,7 +89,7 @@
     header::WWW_AUTHENTICATE,
 ];
 
-/// The platform's headers.
+/// The headers of the platform.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlatformProtocol;
 
@@ -129,13 +129,13 @@
             request_id: headers.get(REQUEST_ID).cloned(),
             is_signed: headers.contains_key(SIGNATURE),
             not_executed: headers.contains_key(NOT_EXECUTED),
-            load: text(headers, LOAD).and_then(load),
+            load: text(headers, LOAD).and_then(load_report),
             words: EndpointWords {
-                leaves: leaves(headers),
-                rest: rest(status, headers),
-                limit: limit(headers),
+                leaves: is_leaving(headers),
+                rest: back_off(status, headers),
+                limit: rate_limit(headers),
             },
-            unread: unread(headers),
+            unread: unknown_headers(headers),
         }
     }
 
@@ -151,8 +151,8 @@
 }
 
 fn set(headers: &mut HeaderMap, name: HeaderName, value: &str) {
-    // Ids and names come from the store's JSON; one that is no header value is left out, and the
-    // endpoint refuses the request unrun.
+    // Ids and names come from the store's JSON. One that is no valid header value is left out, and the
+    // endpoint refuses the request without running it.
     if let Ok(value) = HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
@@ -169,7 +169,7 @@
 fn prompt_parts(text: &str) -> Vec<PromptPart> {
     let parts = text.split(',').map_while(|part| {
         let (id, tokens) = part.trim().split_once(':')?;
-        // Ids longer than a number are told apart by their end.
+        // Of ids longer than 64 bits only the last 16 digits are used.
         let tail = &id[id.len().saturating_sub(16)..];
         Some(PromptPart {
             id: u64::from_str_radix(tail, 16).ok()?,
@@ -179,36 +179,37 @@
     parts.collect()
 }
 
-/// Returns the headers of an answer that nothing here knows.
-fn unread(headers: &HeaderMap) -> Vec<HeaderName> {
-    let is_unread = |name: &&HeaderName| !KNOWN_OF_ANSWERS.contains(name);
-    headers.keys().filter(is_unread).cloned().collect()
+/// Returns the names of unknown headers of an answer.
+fn unknown_headers(headers: &HeaderMap) -> Vec<HeaderName> {
+    let is_unknown = |name: &&HeaderName| !KNOWN_OF_ANSWERS.contains(name);
+    headers.keys().filter(is_unknown).cloned().collect()
 }
 
-/// Returns whether an answer says that its endpoint leaves: `1` does, other words do not.
-fn leaves(headers: &HeaderMap) -> bool {
+/// Returns whether the endpoint announces its shutdown, which only the value `1` does.
+fn is_leaving(headers: &HeaderMap) -> bool {
     let values = headers.get_all(LEAVING).iter();
-    let mut words = values.filter_map(|value| value.to_str().ok());
-    words.any(|word| word.trim() == "1")
+    let mut texts = values.filter_map(|value| value.to_str().ok());
+    texts.any(|text| text.trim() == "1")
 }
 
-/// Returns the rest that an answer asks for; the longest of several. Only with 503 does the time to come back say
-/// something of the endpoint: with another status it is the caller's alone.
-fn rest(status: StatusCode, headers: &HeaderMap) -> BackOffHeader {
+/// Returns the back-off period that an answer requests; the longest of several. Retry-After concerns the endpoint
+/// only with status 503: with any other status it is meant for the caller alone.
+fn back_off(status: StatusCode, headers: &HeaderMap) -> BackOffHeader {
     let mut longest = BackOffHeader::None;
     if status != StatusCode::SERVICE_UNAVAILABLE {
         return longest;
     }
-    let answered = text(headers, DATE).and_then(|date| httpdate::parse_http_date(date).ok());
+    let answered_at = text(headers, DATE).and_then(|date| httpdate::parse_http_date(date).ok());
     for value in headers.get_all(RETRY_AFTER) {
-        let word = value.to_str().ok().map(str::trim);
-        let rest_us = word.and_then(|word| seconds(word).or_else(|| until_date(word, answered)));
-        longest = match (rest_us, longest) {
-            (Some(rest_us), BackOffHeader::Period(longer_us)) => {
-                BackOffHeader::Period(rest_us.max(longer_us))
+        let period = value.to_str().ok().map(str::trim);
+        let period_us =
+            period.and_then(|period| seconds(period).or_else(|| until_date(period, answered_at)));
+        longest = match (period_us, longest) {
+            (Some(period_us), BackOffHeader::Period(longest_us)) => {
+                BackOffHeader::Period(period_us.max(longest_us))
             }
-            (Some(rest_us), _) => BackOffHeader::Period(rest_us),
-            (None, asked @ BackOffHeader::Period(_)) => asked,
+            (Some(period_us), _) => BackOffHeader::Period(period_us),
+            (None, known @ BackOffHeader::Period(_)) => known,
             (None, _) => {
                 BackOffHeader::Unreadable(String::from_utf8_lossy(value.as_bytes()).into_owned())
             }
@@ -217,29 +218,30 @@
     longest
 }
 
-/// Returns seconds with or without a fraction, in microseconds.
-fn seconds(word: &str) -> Option<Micros> {
+/// Parses seconds with an optional fraction; returns microseconds.
+fn seconds(period: &str) -> Option<Micros> {
     let is_digit_or_point = |byte: u8| byte.is_ascii_digit() || byte == b'.';
-    if !word.bytes().all(is_digit_or_point) {
-        // What else a float may be: signs, exponents, infinity.
+    if !period.bytes().all(is_digit_or_point) {
+        // `parse` would also accept signs, exponents and infinity.
         return None;
     }
-    let seconds: f64 = word.parse().ok()?;
-    // A cast keeps to the bounds of the type.
+    let seconds: f64 = period.parse().ok()?;
+    // The cast saturates.
     Some((seconds * 1e6) as Micros)
 }
 
-/// Returns the time until a date as HTTP has them, from when the answer was made if it says so: clocks differ.
-fn until_date(word: &str, answered: Option<SystemTime>) -> Option<Micros> {
-    let until = httpdate::parse_http_date(word).ok()?;
-    let from = answered.unwrap_or_else(SystemTime::now);
-    // A date that has passed asks for no rest.
-    let rest = until.duration_since(from).unwrap_or(Duration::ZERO);
-    Some(rest.as_micros() as Micros)
+/// Returns the time until an HTTP date, in microseconds, counted from the Date header of the answer if there is one
+/// because clocks differ.
+fn until_date(date: &str, answered_at: Option<SystemTime>) -> Option<Micros> {
+    let until = httpdate::parse_http_date(date).ok()?;
+    let from = answered_at.unwrap_or_else(SystemTime::now);
+    // A date in the past requests no back-off.
+    let left = until.duration_since(from).unwrap_or(Duration::ZERO);
+    Some(left.as_micros() as Micros)
 }
 
-/// Returns the limit that an answer names; the lowest of several.
-fn limit(headers: &HeaderMap) -> LimitHeader {
+/// Returns the rate limit that an answer states; the lowest of several.
+fn rate_limit(headers: &HeaderMap) -> LimitHeader {
     let mut lowest = LimitHeader::Absent;
     for value in headers.get_all(LIMIT) {
         let rate = value
@@ -251,14 +253,14 @@
             return LimitHeader::Unreadable(String::from_utf8_lossy(value.as_bytes()).into_owned());
         };
         lowest = match lowest {
-            LimitHeader::Rate(lower) => LimitHeader::Rate(lower.min(rate)),
+            LimitHeader::Rate(lowest_rate) => LimitHeader::Rate(lowest_rate.min(rate)),
             _ => LimitHeader::Rate(rate),
         };
     }
     lowest
 }
 
-fn load(text: &str) -> Option<EndpointLoadReport> {
+fn load_report(text: &str) -> Option<EndpointLoadReport> {
     let mut numbers = text.split(',').map(|n| n.trim().parse().ok());
     Some(EndpointLoadReport {
         running: numbers.next()??,
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,5 +1,7 @@
-//! The users' platform: everything that translates between its words and the product's, and
-//! nothing else. No other module knows a name from its wire.
+//! Adapter to the users' platform: its settings file, its object store and its headers.
+//!
+//! The platform's names for files, objects, fields and headers appear only here; the rest of the
+//! crate uses its own types.
 
 pub mod configuration;
 pub mod edge;
--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -1,14 +1,14 @@
-//! The platform's store of objects over HTTP: lists by pages, single objects, watches, and
+//! Client of the platform's object store over HTTP: paged lists, single objects, watches and
 //! conditional writes.
 //!
 //! | call | answer |
 //! | --- | --- |
 //! | `GET /objects/KIND?sinceRevision=NAME` | a page of the kind's objects after NAME |
 //! | `GET /objects/KIND/NAME` | one object, or 404 |
-//! | `GET /objects/KIND?watch=REVISION&waitMs=MS` | what changed since, as soon as there is something |
-//! | `POST /objects/KIND` | makes an object; 409 if it is there |
+//! | `GET /objects/KIND?watch=REVISION&waitMs=MS` | the changes since, as soon as there are any |
+//! | `POST /objects/KIND` | creates an object; 409 if it exists |
 //! | `PUT /objects/KIND/NAME` | replaces an object; 409 if it is at another revision |
-//! | `DELETE /objects/KIND/NAME?revision=REVISION` | removes an object |
+//! | `DELETE /objects/KIND/NAME?revision=REVISION` | deletes an object |
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -26,54 +26,54 @@
 use tokio::{net::TcpStream, time};
 use tokio_util::task::AbortOnDropHandle;
 
-/// A new connection comes up within this time or not at all; a call takes some milliseconds.
+/// A connection that takes longer will not be established; a call takes some milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// A slow store answers within this time.
+/// Timeout of a call; even a slow store answers within it.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Pages are about a megabyte at most; a configuration may be as large.
-const MAX_ANSWER_BYTES: usize = 8 << 20;
+/// Maximum size of an answer. Pages and configurations are about a megabyte at most.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Why a call brought nothing.
+/// Why a call failed.
 #[derive(Debug, Snafu)]
 pub enum CallError {
-    /// No connection came up: nothing was done.
+    /// The connection could not be established: nothing was done.
     #[snafu(display("the store cannot be reached: {source}"))]
     Unreachable {
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The connection broke, or no answer came in time: a write may be done, now or later.
+    /// The connection broke, or the call timed out: a write may have taken effect, or still may.
     #[snafu(display("the store did not answer: {reason}"))]
     NoAnswer {
-        /// What was seen.
+        /// The error of the connection, or the timeout.
         reason: String,
     },
-    /// Nothing was done; the store is busy or turns this instance away.
+    /// The store refused the call, for instance because it is busy: nothing was done.
     #[snafu(display("the store refused the call: {status}"))]
     Refused {
-        /// Its status.
+        /// The HTTP status.
         status: StatusCode,
     },
-    /// The history that a watch asked for is forgotten; list again.
-    #[snafu(display("the store forgot the history that was asked for"))]
+    /// The store no longer has the history since the revision of the watch: list the kind again.
+    #[snafu(display("the store no longer has the requested history"))]
     HistoryGone,
-    /// The object is at another revision, or was not there, or was there already.
-    #[snafu(display("the object is not as the condition says"))]
+    /// The object is at another revision, does not exist, or exists already.
+    #[snafu(display("the object does not match the condition of the write"))]
     Conflict,
-    /// The answer is not what the protocol says.
-    #[snafu(display("the store's answer cannot be read: {source}"))]
+    /// The answer cannot be decoded.
+    #[snafu(display("the store's answer cannot be decoded: {source}"))]
     Unreadable {
-        /// What the decoder said.
+        /// The error of the decoder.
         source: serde_json::Error,
     },
 }
 
-/// What the store keeps beside an object's content.
+/// Metadata of an object.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Metadata {
-    /// The object's name in its kind.
+    /// Name of the object, unique in its kind.
     pub name: String,
-    /// The store's revision at its last change; names it in conditional writes.
+    /// Revision of the store at the last change of the object; the condition of a write. 0 in a request: any revision.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub revision: u64,
 }
@@ -82,12 +82,12 @@
     *revision == 0
 }
 
-/// An object with a content of type `T`.
+/// An object whose content has type `T`.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Object<T> {
-    /// Its name and revision.
+    /// Name and revision.
     pub metadata: Metadata,
-    /// Its content; absent in word of an object that is gone.
+    /// Content; absent in the event of a deletion.
     #[serde(default = "none")]
     pub spec: Option<T>,
 }
@@ -96,33 +96,33 @@
     None
 }
 
-/// An object that is not what its kind's objects are: another writer's.
+/// An object that does not have the form of its kind, for instance that of another writer.
 #[derive(Debug)]
-pub struct Unreadable {
-    /// Its name, if that can be read.
+pub struct UnreadableObject {
+    /// Name of the object, if it can be decoded.
     pub name: Option<String>,
-    /// What the decoder said.
+    /// The error of the decoder.
     pub reason: String,
 }
 
-/// The objects of a kind.
+/// A list of all objects of a kind.
 #[derive(Debug)]
 pub struct Listing<T> {
-    /// The objects that could be read.
+    /// The objects that could be decoded.
     pub items: Vec<Object<T>>,
-    /// The others.
-    pub unreadable: Vec<Unreadable>,
-    /// The store's revision that a watch goes on from: that of the first page. What changed while the others were
-    /// read may be on a page that had been read by then.
+    /// The objects that could not be decoded.
+    pub unreadable: Vec<UnreadableObject>,
+    /// The revision from which a watch continues: that of the first page, because objects on pages that were already
+    /// read may have changed while the others were read.
     pub revision: u64,
 }
 
-/// The pages of a list that were read so far: a call that brings nothing costs one page, not all. Where 300 processes
-/// list 3,000 endpoints at once the store refuses some calls of each.
+/// The pages of a list that were read so far, so that a failed call costs one page instead of all: if 300 processes
+/// list 3,000 endpoints at the same time, the store refuses some calls of each.
 #[derive(Debug)]
 pub struct PartialListing<T> {
     listing: Listing<T>,
-    /// The name after which the next page begins; none before the first.
+    /// Name after which the next page starts; none before the first page.
     after: Option<String>,
 }
 
@@ -141,7 +141,7 @@
 }
 
 impl<T> PartialListing<T> {
-    /// Returns whether no page was read.
+    /// Returns whether no page has been read yet.
     pub fn is_empty(&self) -> bool {
         self.after.is_none()
     }
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Takes a page; returns whether it was the last.
-    fn take(&mut self, page: &Page) -> bool {
+    /// Adds a page; returns whether it was the last.
+    fn add(&mut self, page: &Page) -> bool {
         if self.after.is_none() {
             self.listing.revision = page.revision;
         }
@@ -175,27 +175,27 @@
 
 #[derive(Debug, Deserialize)]
 struct Page {
-    /// Each by itself: one that cannot be read harms no other.
+    /// Decoded one by one, so that an invalid item does not affect the others.
     items: Vec<Box<RawValue>>,
     #[serde(rename = "hasMore", default)]
     has_more: bool,
-    /// The store's revision, not a time.
+    /// The store's revision, not a time, in spite of its name on the wire.
     #[serde(rename = "timestamp")]
     revision: u64,
 }
 
-/// What changed in a kind.
+/// The changes in a kind since a revision.
 #[derive(Debug)]
 pub struct Changes<T> {
-    /// The changes, in their order.
+    /// The changes, in order.
     pub events: Vec<Event<T>>,
-    /// The store's revision that the next watch goes on from.
+    /// The revision from which the next watch continues.
     pub revision: u64,
 }
 
 impl<T> Changes<T> {
-    /// Returns for each event the last revision at which it may have been done. Word that an object is gone
-    /// bears no revision, and one of the same name may have been made since.
+    /// Returns the latest possible revision of each event. The event of a deletion carries no revision, and an object of
+    /// the same name may have been created since.
     pub fn latest_revisions(&self) -> Vec<u64> {
         let mut latest = self.revision;
         let backwards = self.events.iter().rev().map(|event| {
@@ -211,21 +211,21 @@
     }
 }
 
-/// One change.
+/// A change of one object.
 #[derive(Debug)]
 pub enum Event<T> {
-    /// An object was made or replaced; this is what it is now.
+    /// An object was created or replaced; contains its new state.
     Changed(Object<T>),
-    /// The object of this name is gone.
+    /// The object of this name was deleted.
     Deleted(String),
-    /// An object is now one that cannot be read.
-    Unreadable(Unreadable),
+    /// An object was created or replaced, and cannot be decoded.
+    Unreadable(UnreadableObject),
 }
 
 #[derive(Debug, Deserialize)]
-struct WatchAnswer {
+struct WatchResponse {
     events: Vec<RawEvent>,
-    /// The store's revision, not a time.
+    /// The store's revision, not a time, in spite of its name on the wire.
     #[serde(rename = "timestamp")]
     revision: u64,
 }
@@ -244,9 +244,9 @@
         }
         match name_of(&self.object) {
             Some(name) => Event::Deleted(name),
-            None => Event::Unreadable(Unreadable {
+            None => Event::Unreadable(UnreadableObject {
                 name: None,
-                reason: "it went, and has no name".into(),
+                reason: "a deleted object has no name".into(),
             }),
         }
     }
@@ -254,29 +254,29 @@
 
 fn name_of(object: &RawValue) -> Option<String> {
     #[derive(Deserialize)]
-    struct Named {
+    struct NamedObject {
         metadata: Metadata,
     }
-    // Whatever else is wrong with the object is said where the object is read.
-    let named: Named = serde_json::from_str(object.get()).ok()?;
-    Some(named.metadata.name)
+    // Other errors in the object are reported where the whole object is decoded.
+    let with_name: NamedObject = serde_json::from_str(object.get()).ok()?;
+    Some(with_name.metadata.name)
 }
 
-/// Reads one object of a list or a watch.
-fn read_object<T: DeserializeOwned>(object: &RawValue) -> Result<Object<T>, Unreadable> {
-    serde_json::from_str(object.get()).map_err(|error| Unreadable {
+/// Decodes one object of a list or a watch.
+fn read_object<T: DeserializeOwned>(object: &RawValue) -> Result<Object<T>, UnreadableObject> {
+    serde_json::from_str(object.get()).map_err(|error| UnreadableObject {
         name: name_of(object),
         reason: error.to_string(),
     })
 }
 
-/// A client of the store with one kept connection; a call at a time.
+/// A client of the store with one persistent connection, which makes one call at a time.
 pub struct ObjectClient {
     addr: SocketAddr,
-    kept: Option<Kept>,
+    connection: Option<Connection>,
 }
 
-struct Kept {
+struct Connection {
     sender: SendRequest<Full<Bytes>>,
     _driver: AbortOnDropHandle<()>,
 }
@@ -284,28 +284,32 @@
 impl ObjectClient {
     /// Creates a client of the store at `addr`.
     pub fn new(addr: SocketAddr) -> Self {
-        Self { addr, kept: None }
+        Self {
+            addr,
+            connection: None,
+        }
     }
 
-    /// Returns where the store listens.
+    /// Returns the address of the store.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Lists a kind, page after page.
+    /// Lists a kind, page by page.
     ///
     /// # Errors
-    /// The store did not answer one of the pages.
+    /// The call for one of the pages failed.
     pub async fn list<T: DeserializeOwned>(&mut self, kind: &str) -> Result<Listing<T>, CallError> {
-        self.list_on(kind, &mut PartialListing::default()).await
+        self.complete_list(kind, &mut PartialListing::default())
+            .await
     }
 
-    /// Goes on with a list from the pages that were read, which are kept if the call brings nothing; after a whole
-    /// list none are.
+    /// Completes a list from the pages that were already read. They are kept if a call fails, and cleared once the list
+    /// is complete.
     ///
     /// # Errors
-    /// The store did not answer one of the pages.
-    pub async fn list_on<T: DeserializeOwned>(
+    /// The call for one of the pages failed.
+    pub async fn complete_list<T: DeserializeOwned>(
         &mut self,
         kind: &str,
         partial: &mut PartialListing<T>,
@@ -320,21 +324,21 @@
     /// Reads the next page of a list; returns the list if that was the last one.
     ///
     /// # Errors
-    /// The store did not answer.
+    /// The call failed.
     pub async fn list_page<T: DeserializeOwned>(
         &mut self,
         kind: &str,
         partial: &mut PartialListing<T>,
     ) -> Result<Option<Listing<T>>, CallError> {
         let page: Page = self.read(&partial.path(kind), CALL_TIMEOUT).await?;
-        let is_last = partial.take(&page);
+        let is_last = partial.add(&page);
         Ok(is_last.then(|| std::mem::take(partial).listing))
     }
 
-    /// Reads an object.
+    /// Reads an object; none if it does not exist.
     ///
     /// # Errors
-    /// The store did not answer.
+    /// The call failed.
     pub async fn get<T: DeserializeOwned>(
         &mut self,
         kind: &str,
@@ -348,10 +352,10 @@
         }
     }
 
-    /// Waits until a kind has changed since `revision`, for at most `wait`; no events if it has not.
+    /// Waits until a kind has changed since `revision`, for at most `wait`; returns no events if it has not.
     ///
     /// # Errors
-    /// The store did not answer, or has forgotten what changed since.
+    /// The call failed, or the store no longer has the history since `revision`.
     pub async fn watch<T: DeserializeOwned>(
         &mut self,
         kind: &str,
@@ -360,17 +364,17 @@
     ) -> Result<Changes<T>, CallError> {
         let wait_ms = wait.as_millis();
         let path = format!("/objects/{kind}?watch={revision}&waitMs={wait_ms}");
-        let answer: WatchAnswer = self.read(&path, wait + CALL_TIMEOUT).await?;
+        let answer: WatchResponse = self.read(&path, wait + CALL_TIMEOUT).await?;
         Ok(Changes {
             events: answer.events.iter().map(RawEvent::read).collect(),
             revision: answer.revision,
         })
     }
 
-    /// Makes an object.
+    /// Creates an object; returns its revision.
     ///
     /// # Errors
-    /// It is there, or the store did not answer; see [`CallError`] for whether it may be done.
+    /// The object exists, or the call failed; [`CallError`] says whether the write may have taken effect.
     pub async fn create<T: Serialize>(
         &mut self,
         kind: &str,
@@ -380,10 +384,10 @@
         self.write(Method::POST, &path, object).await
     }
 
-    /// Replaces an object if it is at the revision in its metadata; 0 is any.
+    /// Replaces an object if it is at the revision in its metadata, where 0 means any; returns the new revision.
     ///
     /// # Errors
-    /// It is at another revision, or the store did not answer; see [`CallError`].
+    /// The object is at another revision, or the call failed; see [`CallError`].
     pub async fn replace<T: Serialize>(
         &mut self,
         kind: &str,
@@ -393,15 +397,15 @@
         self.write(Method::PUT, &path, object).await
     }
 
-    /// Removes an object.
+    /// Deletes an object; one that does not exist is no error.
     ///
     /// # Errors
-    /// The store did not answer; see [`CallError`].
+    /// The call failed; see [`CallError`].
     pub async fn remove(&mut self, kind: &str, name: &str) -> Result<(), CallError> {
         let path = format!("/objects/{kind}/{name}");
-        let request = build(Method::DELETE, &path, Bytes::new());
+        let request = build_request(Method::DELETE, &path, Bytes::new());
         let (status, _) = self.call(request, CALL_TIMEOUT).await?;
-        match check(status) {
+        match check_status(status) {
             Err(CallError::Refused { status }) if status == StatusCode::NOT_FOUND => Ok(()),
             checked => checked,
         }
@@ -412,10 +416,10 @@
         path: &str,
         timeout: Duration,
     ) -> Result<T, CallError> {
-        let request = build(Method::GET, path, Bytes::new());
+        let request = build_request(Method::GET, path, Bytes::new());
         let (status, body) = self.call(request, timeout).await?;
-        check(status)?;
-        // Bytes that are no text may stand in one object only: the others are read all the same.
+        check_status(status)?;
+        // Invalid UTF-8 in one object must not make the others unreadable.
         serde_json::from_str(&String::from_utf8_lossy(&body)).context(UnreadableSnafu)
     }
 
@@ -426,72 +430,72 @@
         object: &Object<T>,
     ) -> Result<u64, CallError> {
         let body = serde_json::to_vec(object).context(UnreadableSnafu)?;
-        let request = build(method, path, body.into());
+        let request = build_request(method, path, body.into());
         let (status, body) = self.call(request, CALL_TIMEOUT).await?;
-        check(status)?;
+        check_status(status)?;
         let written: Object<serde_json::Value> =
             serde_json::from_slice(&body).context(UnreadableSnafu)?;
         Ok(written.metadata.revision)
     }
 
-    /// Closes the connection that rests: its other end may have given it up.
+    /// Closes the idle connection, which the other end may have closed already.
     pub fn close(&mut self) {
-        self.kept = None;
+        self.connection = None;
     }
 
-    /// Makes one call. A connection that lost an answer is not used again.
+    /// Makes one call. A connection on which an answer failed to arrive is not reused.
     async fn call(
         &mut self,
         request: Request<Full<Bytes>>,
         timeout: Duration,
     ) -> Result<(StatusCode, Bytes), CallError> {
-        let mut kept = match self.kept.take().filter(|k| k.sender.is_ready()) {
-            Some(kept) => kept,
+        let mut connection = match self.connection.take().filter(|c| c.sender.is_ready()) {
+            Some(connection) => connection,
             None => self.connect().await?,
         };
-        let answer = time::timeout(timeout, exchange(&mut kept.sender, request)).await;
+        let answer = time::timeout(timeout, exchange(&mut connection.sender, request)).await;
         match answer {
             Ok(Ok(answer)) => {
-                self.kept = Some(kept);
+                self.connection = Some(connection);
                 Ok(answer)
             }
             Ok(Err(reason)) => NoAnswerSnafu { reason }.fail(),
             Err(_) => NoAnswerSnafu {
-                reason: format!("nothing came within {} ms", timeout.as_millis()),
+                reason: format!("no answer within {} ms", timeout.as_millis()),
             }
             .fail(),
         }
     }
 
-    async fn connect(&self) -> Result<Kept, CallError> {
+    async fn connect(&self) -> Result<Connection, CallError> {
         let connect = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.addr)).await;
         let stream = connect
             .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
             .context(UnreachableSnafu)?;
-        // Small calls would wait for acknowledgements; with it failing they are slower.
+        // Avoids that small calls wait for acknowledgements. If it fails, calls are only slower.
         let _ = stream.set_nodelay(true);
         let handshake = http1::handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = handshake.map_err(|e| CallError::NoAnswer {
+        let (sender, http_connection) = handshake.map_err(|e| CallError::NoAnswer {
             reason: e.to_string(),
         })?;
         let driver = AbortOnDropHandle::new(tokio::spawn(async move {
-            // Its errors reach whoever waits for the answer.
-            let _ = connection.await;
+            // Its errors are also returned to the pending call.
+            let _ = http_connection.await;
         }));
-        Ok(Kept {
+        Ok(Connection {
             sender,
             _driver: driver,
         })
     }
 }
 
-fn build(method: Method, path: &str, body: Bytes) -> Request<Full<Bytes>> {
+fn build_request(method: Method, path: &str, body: Bytes) -> Request<Full<Bytes>> {
     let builder = Request::builder()
         .method(method)
         .uri(path)
         .header(HOST, "store")
         .header(CONTENT_TYPE, "application/json");
-    // Paths are made of kinds and names that the store itself has given.
+    // Paths consist of kinds and names that came from the store, so they are valid.
     builder.body(Full::new(body)).unwrap_or_default()
 }
 
@@ -502,12 +506,12 @@
     let response = sender.send_request(request).await;
     let response = response.map_err(|e| e.to_string())?;
     let status = response.status();
-    let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES);
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES);
     let body = body.collect().await.map_err(|e| e.to_string())?;
     Ok((status, body.to_bytes()))
 }
 
-fn check(status: StatusCode) -> Result<(), CallError> {
+fn check_status(status: StatusCode) -> Result<(), CallError> {
     match status {
         status if status.is_success() => Ok(()),
         StatusCode::GONE => HistoryGoneSnafu.fail(),
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,17 +1,17 @@
-//! The settings file that the platform lays beside each process.
+//! The settings file that the platform provides for each process.
 
 use std::{collections::BTreeMap, fs, io, net::SocketAddr, path::PathBuf};
 
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu};
 
-/// The variable that holds the path of the settings file.
+/// Environment variable that holds the path of the settings file.
 pub const PATH_VARIABLE: &str = "RYEVALVE_CONFIG";
 
 /// Why the settings cannot be used.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// The variable is not set.
+    /// The environment variable is not set.
     #[snafu(display("{PATH_VARIABLE} is not set; expected the path of a settings file"))]
     NoPath,
     /// The file cannot be read.
@@ -19,58 +19,58 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file is not what was expected.
-    #[snafu(display("{} is not usable: {source}", path.display()))]
-    Unusable {
+    /// The file is not valid TOML, or a field is missing or of the wrong type.
+    #[snafu(display("{} is not a valid settings file: {source}", path.display()))]
+    Malformed {
         /// The file.
         path: PathBuf,
-        /// What the decoder said, with the field and its place.
+        /// The error of the decoder, with the field and its line.
         #[snafu(source(from(toml::de::Error, Box::new)))]
         source: Box<toml::de::Error>,
     },
-    /// Values that contradict what is possible.
-    #[snafu(display("{} is not usable: {faults}", path.display()))]
-    Impossible {
+    /// Values are out of range.
+    #[snafu(display("{} has invalid values: {faults}", path.display()))]
+    OutOfRange {
         /// The file.
         path: PathBuf,
-        /// Each fault with the field, its value and what was expected.
+        /// Each fault with the field, its value and the expected range.
         faults: String,
     },
 }
 
-/// What is used of the settings file; fields that are not known are passed over.
+/// The settings that are used; unknown fields of the file are ignored.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct PlatformSettings {
-    /// The instance's name.
+    /// Name of the instance.
     #[serde(rename = "nodeName")]
     pub name: String,
-    /// Its hall; the platform says zone.
+    /// Hall of the instance, which the platform calls zone.
     #[serde(rename = "zone")]
     pub hall: String,
-    /// Its data centre; the platform says region.
+    /// Data centre of the instance, which the platform calls region.
     #[serde(rename = "region")]
     pub data_centre: String,
-    /// The first and last port that is free for what instances tell each other.
+    /// First and last port of the range that is free for messages between instances.
     #[serde(rename = "internalPorts")]
     pub peer_ports: (u16, u16),
-    /// Control addresses of up to three instances, which may be gone.
+    /// Control addresses of up to three instances, which may no longer exist.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// The region of each data centre; the platform says zone.
+    /// Region by zone of the platform: the data centre of each hall.
     #[serde(rename = "zones", default)]
     pub regions: BTreeMap<String, String>,
-    /// The whole system starts for the first time.
+    /// Whether the deployment starts for the first time.
     #[serde(rename = "bootstrap", default)]
     pub is_first_start: bool,
     /// The addresses to listen on.
     pub listen: Listen,
-    /// What the process may use.
+    /// Resources that the process may use.
     #[serde(rename = "limits")]
     pub machine: MachineLimits,
-    /// Figures that the platform's rules are stated in.
+    /// Parameters of the platform's rules.
     pub bounds: Bounds,
     /// The platform's store.
     #[serde(rename = "platform")]
@@ -80,72 +80,72 @@
 /// Addresses to listen on.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct Listen {
-    /// For callers.
+    /// For requests of callers.
     #[serde(rename = "frontend")]
     pub callers: SocketAddr,
-    /// For the question whether callers are to be sent here.
+    /// For readiness probes.
     pub ready: SocketAddr,
-    /// For other instances.
+    /// For messages of other instances.
     pub control: SocketAddr,
 }
 
-/// What one process may use.
+/// Resources that one process may use.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub struct MachineLimits {
-    /// Memory, in megabytes.
+    /// Maximum memory, in megabytes.
     #[serde(rename = "memoryMb")]
     pub memory_mb: u64,
-    /// File descriptors.
+    /// Maximum number of open file descriptors.
     #[serde(rename = "maxFds")]
     pub max_descriptors: usize,
-    /// What its link carries, in megabits a second.
+    /// Bandwidth of the network link, in megabits a second.
     #[serde(rename = "linkMbps", default = "usual_link_mbps")]
     pub link_mbps: f64,
 }
 
-/// The slowest link of the deployments described: assumed where none is given.
+/// The slowest link of all described deployments, which is assumed if none is given.
 fn usual_link_mbps() -> f64 {
     10.0
 }
 
-/// Figures that the platform's rules are stated in.
+/// Parameters of the platform's rules.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Bounds {
-    /// Time from a planned stop's signal to the kill, in seconds.
+    /// Time from the signal of a planned stop to the kill, in seconds.
     pub grace_s: f64,
-    /// How long after its word that it leaves an endpoint may be sent requests, in milliseconds.
+    /// How long after it announced its shutdown an endpoint may still be sent requests, in milliseconds.
     pub drain_ms: u64,
-    /// How long after a configuration an instance may act by the one before, in milliseconds.
+    /// How long after a change of the configuration an instance may act on the previous one, in milliseconds.
     pub config_apply_ms: u64,
-    /// How long a key may be used after it was taken away, in milliseconds.
+    /// How long an API key may be used after its revocation, in milliseconds.
     pub revoke_ms: u64,
-    /// A key that was taken away may not be used longer than that, whatever it costs; else callers are
-    /// served by the last configuration known while a newer one cannot be learned.
+    /// Whether `revoke_ms` holds even while the configuration cannot be refreshed, so that callers are refused.
+    /// Otherwise callers are served by the last known configuration while no newer one can be obtained.
     pub strict_revocation: bool,
-    /// Retries a request of a service.
+    /// Permitted retries per request of a service.
     pub retry_budget_ratio: f64,
-    /// Retries on top of that in a window, over all instances.
+    /// Permitted retries per window on top of the ratio, over all instances.
     pub budget_slack: f64,
-    /// The window for retries, in seconds.
+    /// Window of the retry budget, in seconds.
     pub budget_window_s: f64,
-    /// The window for organisations' limits, in seconds.
+    /// Window of the limits of organisations, in seconds.
     pub quota_window_s: f64,
-    /// How far above its limit an organisation may come, as a share of it.
+    /// How far an organisation may exceed its limit, as a share of the limit.
     pub quota_overage: f64,
-    /// The same in units.
+    /// How far an organisation may exceed its limit on top of that, in units of the limit.
     pub quota_slack: f64,
-    /// How long after an evacuation a data centre's endpoints may be sent requests, in milliseconds; none where there
-    /// are no evacuations.
+    /// How long after an evacuation the endpoints of the data centre may still be sent requests, in milliseconds; none
+    /// if the platform has no evacuations.
     pub evacuate_ms: Option<u64>,
-    /// Times the rate of a cold endpoint that it may be asked in a second.
+    /// Permitted requests a second to an endpoint that warms up, as a multiple of its warm-up rate.
     pub warmup_overage: f64,
-    /// Requests on top of that.
+    /// Permitted requests on top of that.
     pub warmup_slack: f64,
 }
 
 impl Default for Bounds {
-    /// The strictest figures seen so far, for a platform that names none.
+    /// The strictest values of all known platforms, for a platform that states none.
     fn default() -> Self {
         Self {
             grace_s: 8.0,
@@ -166,42 +166,42 @@
     }
 }
 
-/// How the platform's store is reached.
+/// How to reach the platform's store.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub struct StoreSettings {
-    /// Where it listens.
+    /// Address of the store.
     pub address: SocketAddr,
 }
 
 impl PlatformSettings {
-    /// Reads the file that the environment names.
+    /// Reads the file whose path is in the environment variable [`PATH_VARIABLE`].
     ///
     /// # Errors
-    /// There is none, or it is not usable.
+    /// The variable is not set, or the file cannot be read or is invalid.
     pub fn load() -> Result<Self, SettingsError> {
         let path = std::env::var_os(PATH_VARIABLE).map(PathBuf::from);
         let Some(path) = path else {
             return NoPathSnafu.fail();
         };
         let text = fs::read_to_string(&path).context(UnreadableSnafu { path: &path })?;
-        let settings: Self = toml::from_str(&text).context(UnusableSnafu { path: &path })?;
+        let settings: Self = toml::from_str(&text).context(MalformedSnafu { path: &path })?;
         let faults = settings.faults();
         if faults.is_empty() {
             Ok(settings)
         } else {
             let faults = faults.join("; ");
-            ImpossibleSnafu { path, faults }.fail()
+            OutOfRangeSnafu { path, faults }.fail()
         }
     }
 
-    /// Returns each value that cannot be used, with its field and what was expected.
+    /// Returns a message for each value that is out of range, with its field and the expected range.
     pub fn faults(&self) -> Vec<String> {
         let bounds = &self.bounds;
         let checks = [
             (
                 0 < self.peer_ports.0 && self.peer_ports.0 < self.peer_ports.1,
                 format!(
-                    "internalPorts = {:?}: expected two ports, the lower first",
+                    "internalPorts = {:?}: expected two different ports, the lower one first",
                     self.peer_ports
                 ),
             ),
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The product's store, kept in objects of a kind of its own.
+//! Implements the product's [`Store`] with objects of a kind of its own in the platform's store.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,24 +12,24 @@
     store::{self, ListedInstance, ReadError, Store, WriteError, backoff},
 };
 
-/// The kind of the product's own objects.
+/// Kind of the product's own objects.
 pub const KIND: &str = "ryevalve";
-/// The kind of the instances' entries.
+/// Kind of the entries of instances.
 pub const INSTANCE_KIND: &str = "ryevalve-instances";
-const READ_TRIES: u32 = 3;
+const MAX_READ_ATTEMPTS: u32 = 3;
 
-/// A value in an object's content, which is JSON.
+/// A stored value as content of an object, which has to be JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Content {
-    /// A value that is JSON itself.
+    /// A value that is valid JSON.
     Json(serde_json::Value),
-    /// Any other, in base64.
+    /// Any other value, in base64.
     Base64(String),
 }
 
 impl Content {
-    /// Wraps a value.
+    /// Wraps a value: JSON is embedded, anything else encoded.
     pub fn of(value: &[u8]) -> Self {
         match serde_json::from_slice(value) {
             Ok(json) => Self::Json(json),
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Returns the value; none if it is no base64.
+    /// Returns the value; none if its base64 is invalid.
     pub fn value(&self) -> Option<Bytes> {
         match self {
             Self::Json(json) => Some(json.to_string().into()),
@@ -46,15 +46,15 @@
     }
 }
 
-/// The product's store on the platform; each call has its own connection, so a stuck one holds up
-/// no other.
+/// The product's store on the platform. Each call has its own connection, so that a blocked call does not
+/// delay others.
 #[derive(Clone, Debug)]
 pub struct PlatformStore {
     addr: SocketAddr,
 }
 
 impl PlatformStore {
-    /// Creates a store at `addr`.
+    /// Creates a client of the store at `addr`.
     pub fn new(addr: SocketAddr) -> Self {
         Self { addr }
     }
@@ -67,7 +67,7 @@
 impl Store for PlatformStore {
     async fn read(&self, key: &str) -> Result<Option<store::Object>, ReadError> {
         let mut reason = String::new();
-        for attempt in 0..READ_TRIES {
+        for attempt in 0..MAX_READ_ATTEMPTS {
             if attempt > 0 {
                 time::sleep(backoff(attempt)).await;
             }
@@ -101,15 +101,15 @@
         after: u64,
         wait: Duration,
     ) -> Result<Option<store::Object>, ReadError> {
-        let until = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         let mut client = self.client();
         let mut from = after;
-        // The kind has other objects, which end a watch as well.
+        // Changes of other objects of the kind end a watch too.
         loop {
-            let left = until.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             let changes = match client.watch::<Content>(KIND, from, left).await {
                 Ok(changes) => changes,
-                Err(CallError::HistoryGone) => return self.read_past(key, after).await,
+                Err(CallError::HistoryGone) => return self.read_if_newer(key, after).await,
                 Err(error) => return Err(unavailable(&error)),
             };
             let newest = changes.events.into_iter().rev().find_map(|e| match e {
@@ -134,8 +134,12 @@
 }
 
 impl PlatformStore {
-    /// Reads an object where the history of its changes is gone.
-    async fn read_past(&self, key: &str, after: u64) -> Result<Option<store::Object>, ReadError> {
+    /// Reads an object if the store no longer has the history since version `after`; none if it has not changed since.
+    async fn read_if_newer(
+        &self,
+        key: &str,
+        after: u64,
+    ) -> Result<Option<store::Object>, ReadError> {
         let found = self.read(key).await?;
         Ok(found.filter(|object| object.version > after))
     }
@@ -144,7 +148,7 @@
 fn into_object(object: Object<Content>) -> Result<store::Object, ReadError> {
     let value = object.spec.as_ref().and_then(Content::value);
     let value = value.ok_or_else(|| ReadError::Unavailable {
-        reason: format!("object {} cannot be read", object.metadata.name),
+        reason: format!("object {} cannot be decoded", object.metadata.name),
     })?;
     Ok(store::Object {
         version: object.metadata.revision,
@@ -162,7 +166,7 @@
     let reason = error.to_string();
     match error {
         CallError::Conflict => WriteError::Conflict,
-        // An object that was to be replaced and is not there.
+        // The object to be replaced does not exist.
         CallError::Refused { status } if status == hyper::StatusCode::NOT_FOUND => {
             WriteError::Conflict
         }
--- a/src/platform/store_watch.rs
+++ b/src/platform/store_watch.rs
@@ -1,4 +1,7 @@
-//! Follows the store: the operators' configuration, and the endpoints' entries.
+//! Synchronises an instance with the store: configuration, endpoints and evacuations.
+//!
+//! A few instances watch the store for all others and pass on what has changed. The others call the
+//! store only before their state becomes too old to act on.
 
 use std::{
     collections::{BTreeSet, HashSet},
@@ -22,338 +25,344 @@
         endpoints::{self, EndpointSpec},
         evacuations::{self, EvacuationSpec},
         objects::{
-            CallError, Changes, Event, Listing, Object, ObjectClient, PartialListing, Unreadable,
+            CallError, Changes, Event, Listing, Object, ObjectClient, PartialListing,
+            UnreadableObject,
         },
     },
     prelude::{Micros, Name},
 };
 
-/// Changes that come together are taken together: a call is paid for, and three watchers made up to 30
-/// a second while endpoints were replaced. An endpoint that says it leaves goes on for seconds.
-const GATHER: Duration = Duration::from_millis(250);
-/// But for no longer than this share of a watch's wait, which falls with the bound.
-const GATHER_SHARE: f64 = 0.5;
-/// A watch that ends without news before this share of its wait is followed by the same pause: a store that
-/// answers at once would be asked without end.
-const EARLY_SHARE: f64 = 0.5;
-/// At the first start of all, an instance that is no seed waits this long for others to tell it what
-/// the store has: 295 instances made 1,690 calls before the first request, .059 of a calm day's worth.
-/// Callers come some seconds later. Whoever starts again asks at once.
-const FIRST_WAIT_US: Micros = 4_000_000;
-/// And this long once others are known to have it: copies for hundreds take some seconds.
-const LONGEST_FIRST_WAIT_US: Micros = 8_000_000;
-/// A process that starts is given this long to fetch a long list from others.
-const BROUGHT_WITHIN_US: Micros = 1_500_000;
-const BROUGHT_LOOK: Duration = Duration::from_millis(20);
-/// How often it is looked at whether the store is to be asked, at least: the watchers change.
-const LOOK_US: Micros = 200_000;
-/// Pause after a call that brought nothing; spread, so that instances do not return together.
+/// Pause after a call that returned changes, so that the next one returns several at once. Calls cost money, and
+/// three watchers made up to 30 a second while endpoints were replaced. The delay is harmless: an endpoint that
+/// announces its shutdown keeps running for seconds.
+const BATCH_DELAY: Duration = Duration::from_millis(250);
+/// Maximum of that pause, as a share of a watch's wait, which is shorter for smaller staleness bounds.
+const MAX_BATCH_DELAY_SHARE: f64 = 0.5;
+/// A watch that ends without changes before this share of its wait is followed by the same pause: otherwise a store
+/// that answers immediately would be called without end.
+const EARLY_END_SHARE: f64 = 0.5;
+/// On the first start of a deployment, an instance that is not a seed waits this long for others to send it the
+/// contents of the store: without the wait, 295 instances made 1,690 calls before the first request, 0.059 of the
+/// calls of a calm day. Callers arrive some seconds later. An instance that restarts calls the store immediately.
+const FIRST_START_WAIT_US: Micros = 4_000_000;
+/// The same wait once others are known to have the contents: copying them to hundreds of instances takes seconds.
+const MAX_FIRST_START_WAIT_US: Micros = 8_000_000;
+/// Time for which a starting instance waits to get a long list from its peers, before it reads on from the store.
+const PEER_FETCH_TIMEOUT_US: Micros = 1_500_000;
+const PEER_FETCH_POLL: Duration = Duration::from_millis(20);
+/// Maximum interval between checks whether to call the store: the set of watchers may change in between.
+const POLL_US: Micros = 200_000;
+/// Pause after a failed call; randomised so that instances do not retry at the same time.
 const RETRY_MS: std::ops::Range<u64> = 150..350;
-/// Where others watch, the pause grows with the group beyond this many instances: calls are paid
-/// for, those that bring nothing too, and whoever gets an answer tells the others.
-const RETRY_GROUP: usize = 12;
-/// But not beyond this share of the bound: an instance whose way to the store is back, and whom nobody tells so,
-/// finds out by itself. At 295 instances the pause would be 3.6 to 8.4 s, twice a bound of 4 s.
-const RETRY_SHARE: f64 = 0.75;
-
-/// What is done with what a kind's objects say.
-trait Follower {
+/// For an instance that is no watcher, the pause grows with the number of instances beyond this one: failed calls cost
+/// money too, and any instance that gets an answer passes it on to the others.
+const RETRY_GROUP_SIZE: usize = 12;
+/// Maximum of that pause, as a share of the staleness bound: an instance that can reach the store again, but gets no
+/// message from others, has to find out by itself. With 295 instances the pause would be 3.6 to 8.4 s, twice a bound
+/// of 4 s.
+const MAX_RETRY_SHARE: f64 = 0.75;
+
+/// Applies the objects of one kind to the state of the gateway.
+trait KindHandler {
     type Spec: serde::de::DeserializeOwned;
     const KIND: &'static str;
 
-    /// Takes all objects of the kind, asked for at `asked_us`.
-    fn listed(&mut self, listing: Listing<Self::Spec>, asked_us: Micros);
+    /// Applies a complete list of the kind, requested at `sent_us`.
+    fn apply_listing(&mut self, listing: Listing<Self::Spec>, sent_us: Micros);
 
-    /// Takes what has changed since, asked for at `asked_us`.
-    fn changed(&mut self, changes: Changes<Self::Spec>, asked_us: Micros);
+    /// Applies the changes since the last call, requested at `sent_us`.
+    fn apply_changes(&mut self, changes: Changes<Self::Spec>, sent_us: Micros);
 
-    /// Returns how fresh what is known of the kind is.
+    /// Returns the staleness of the state of the kind.
     fn staleness(&self) -> &Staleness;
 
-    /// Returns how long after a change of the kind an instance may act as before it.
+    /// Returns how long after a change an instance may still act on the state before it.
     fn bound(&self) -> StalenessBound;
 
-    /// Returns the revision up to which what is known of the kind is whole, whoever told it; none if only a list
-    /// makes it whole.
+    /// Returns the revision up to which the state of the kind is complete, whether it came from the store or from
+    /// peers; none if only a list can complete it.
     fn known_revision(&self) -> Option<u64> {
         None
     }
 
-    /// Notes that the store did not answer.
-    fn lost(&mut self) {}
+    /// Handles a failed call to the store.
+    fn call_failed(&mut self) {}
 }
 
-/// Pages of a list that were read are kept for this long over calls that bring nothing. A watch goes on from the first of
-/// them, and stores keep a history of 20 s and more.
-const LIST_KEPT_US: Micros = 10_000_000;
+/// Pages of an incomplete list are kept for this long over failed calls. The next watch starts at the revision of the
+/// first page, and stores keep a history of 20 s and more.
+const LIST_MAX_AGE_US: Micros = 10_000_000;
 
-/// A list that is being read.
-struct Reading<T> {
+/// A list that is being read page by page.
+struct ListProgress<T> {
     pages: PartialListing<T>,
-    /// When the first page was asked for.
-    asked_us: Micros,
+    /// When the first page was requested.
+    sent_us: Micros,
 }
 
-impl<T> Reading<T> {
-    fn new(asked_us: Micros) -> Self {
+impl<T> ListProgress<T> {
+    fn new(sent_us: Micros) -> Self {
         Self {
             pages: PartialListing::default(),
-            asked_us,
+            sent_us,
         }
     }
 
-    /// Begins anew if what was read is too old to go on with.
-    fn renew(&mut self, now_us: Micros) {
-        if now_us.saturating_sub(self.asked_us) >= LIST_KEPT_US {
+    /// Discards the pages if they are too old to continue with.
+    fn discard_if_stale(&mut self, now_us: Micros) {
+        if now_us.saturating_sub(self.sent_us) >= LIST_MAX_AGE_US {
             *self = Self::new(now_us);
         }
     }
 }
 
-/// What an answer of the store brought.
+/// The outcome of a successful call.
 struct Answer {
-    /// The revision that a watch goes on from.
+    /// The revision from which the next watch continues.
     revision: u64,
-    /// It told of all objects, or of a change.
-    has_news: bool,
+    /// Whether the answer was a complete list or contained a change.
+    has_changes: bool,
 }
 
-/// Follows a kind until dropped: by watches where this instance watches for others, else by what
-/// those tell, and by reading for itself before what is known becomes too old to act on.
-async fn follow<P: Protocol, F: Follower>(
+/// Keeps the state of one kind up to date until dropped. A watcher watches the store; any other instance gets the
+/// changes from the watchers, and calls the store itself before its state becomes too old to act on.
+async fn watch_kind<P: Protocol, F: KindHandler>(
     gateway: &Gateway<P>,
     mut store: ObjectClient,
-    mut follower: F,
+    mut handler: F,
 ) {
     let mut revision: Option<u64> = None;
-    let mut reading = Reading::new(gateway.clock.now_us());
-    let mut is_lost = false;
-    let mut had_news = true;
+    let mut progress = ListProgress::new(gateway.clock.now_us());
+    let mut is_unreachable = false;
+    let mut had_changes = true;
     let mut was_suspended = false;
     let mut has_history = true;
     loop {
-        let watches_for_others = gateway.watches_store();
-        if !watches_for_others || revision.is_none() {
-            revision = follower.known_revision().filter(|_| has_history);
+        let is_watcher = gateway.watches_store();
+        if !is_watcher || revision.is_none() {
+            revision = handler.known_revision().filter(|_| has_history);
         }
-        if !watches_for_others && let Some(pause) = pause_before_asking(gateway, &follower) {
-            pause_unless_wanted(&follower, pause).await;
+        if !is_watcher && let Some(pause) = pause_before_call(gateway, &handler) {
+            pause_until_wanted(&handler, pause).await;
             continue;
         }
-        reading.renew(gateway.clock.now_us());
-        let asked_us = gateway.clock.now_us();
-        if !watches_for_others {
-            log_asked(F::KIND, follower.staleness().age_us(asked_us), revision);
+        progress.discard_if_stale(gateway.clock.now_us());
+        let sent_us = gateway.clock.now_us();
+        if !is_watcher {
+            log_call(F::KIND, handler.staleness().age_us(sent_us), revision);
         }
         let wait = match revision {
-            // Whoever waits for news does not know yet what came meanwhile.
-            Some(_) if watches_for_others && !was_suspended => {
-                watch_wait(gateway, &follower, had_news)
-            }
+            // Any other call returns immediately: an instance that is no watcher, or was suspended, first has to learn
+            // what it missed.
+            Some(_) if is_watcher && !was_suspended => watch_wait(gateway, &handler, had_changes),
             _ => Duration::ZERO,
         };
-        follower.staleness().asks(asked_us, follower.bound(), wait);
-        let asking = async {
+        handler.staleness().asks(sent_us, handler.bound(), wait);
+        let call = async {
             match revision {
-                None => list(gateway, &mut store, &mut follower, &mut reading, asked_us).await,
-                Some(from) => watch(&mut store, &mut follower, from, wait, asked_us).await,
+                None => list(gateway, &mut store, &mut handler, &mut progress, sent_us).await,
+                Some(from) => watch(&mut store, &mut handler, from, wait, sent_us).await,
             }
         };
-        let Some(result) = gateway.clock.unless_suspended(asking).await else {
-            // The answer was on its way to a machine that was not there; it may come seconds later.
+        let Some(result) = gateway.clock.unless_suspended(call).await else {
+            // The answer was sent while the machine was suspended; it may arrive seconds later.
             store.close();
-            follower.staleness().abandoned();
+            handler.staleness().abandoned();
             was_suspended = true;
             continue;
         };
         was_suspended = false;
         match result {
             Ok(answer) => {
-                follower.staleness().answered();
+                handler.staleness().answered();
                 revision = Some(answer.revision);
                 has_history = true;
-                had_news = answer.has_news;
-                if std::mem::take(&mut is_lost) {
+                had_changes = answer.has_changes;
+                if std::mem::take(&mut is_unreachable) {
                     log::info!(target: "ryevalve::process", kind = F::KIND; "store_regained");
                 }
-                let took_us = gateway.clock.now_us() - asked_us;
-                let is_early = Duration::from_micros(took_us) < wait.mul_f64(EARLY_SHARE);
-                if had_news || is_early {
-                    let longest = follower.bound().watch_wait().mul_f64(GATHER_SHARE);
-                    time::sleep(GATHER.min(longest)).await;
+                let took_us = gateway.clock.now_us() - sent_us;
+                let is_early = Duration::from_micros(took_us) < wait.mul_f64(EARLY_END_SHARE);
+                if had_changes || is_early {
+                    let max_delay = handler.bound().watch_wait().mul_f64(MAX_BATCH_DELAY_SHARE);
+                    time::sleep(BATCH_DELAY.min(max_delay)).await;
                 }
             }
             Err(CallError::HistoryGone) => {
-                follower.staleness().answered();
+                handler.staleness().answered();
                 log::info!(target: "ryevalve::process", kind = F::KIND; "store_history_gone");
                 has_history = false;
                 revision = None;
             }
             Err(error) => {
-                if !std::mem::replace(&mut is_lost, true) {
+                if !std::mem::replace(&mut is_unreachable, true) {
                     let reason = error.to_string();
                     log::warn!(target: "ryevalve::process", kind = F::KIND, reason; "store_lost");
                 }
                 gateway.metrics.store_failures.inc();
-                follower.staleness().failed(gateway.clock.now_us());
-                follower.lost();
-                pause_unless_wanted(&follower, retry_pause(gateway, follower.bound())).await;
+                handler.staleness().failed(gateway.clock.now_us());
+                handler.call_failed();
+                pause_until_wanted(&handler, retry_pause(gateway, handler.bound())).await;
             }
         }
     }
 }
 
-/// Writes a line on a question to the store by an instance that others tell of changes.
-fn log_asked(kind: &'static str, age_us: Micros, revision: Option<u64>) {
+/// Logs a call to the store by an instance that is no watcher.
+fn log_call(kind: &'static str, age_us: Micros, revision: Option<u64>) {
     let age_ms = (age_us < Micros::MAX).then_some(age_us / 1_000);
     log::info!(target: "ryevalve::process", kind, age_ms, revision; "store_asked");
 }
 
-/// Returns how long an instance that others tell of changes need not ask the store; none if it is to.
-fn pause_before_asking<P: Protocol, F: Follower>(
+/// Returns how long an instance that is no watcher may wait before it calls the store; none if it has to call now.
+fn pause_before_call<P: Protocol, F: KindHandler>(
     gateway: &Gateway<P>,
-    follower: &F,
+    handler: &F,
 ) -> Option<Duration> {
     let now_us = gateway.clock.now_us();
-    let look = Duration::from_micros(LOOK_US);
+    let poll = Duration::from_micros(POLL_US);
     let wait_us = match gateway.do_others_know() {
-        true => LONGEST_FIRST_WAIT_US,
-        false => FIRST_WAIT_US,
+        true => MAX_FIRST_START_WAIT_US,
+        false => FIRST_START_WAIT_US,
     };
     if gateway.waits_for_others() && now_us < wait_us {
-        return Some(look);
+        return Some(poll);
     }
-    let age_us = follower.staleness().age_us(now_us);
-    // Where nobody is heard, nobody could tell of a change.
-    let before = match gateway.sharers().heard {
+    let age_us = handler.staleness().age_us(now_us);
+    // Without other live instances, nobody could pass on a change.
+    let turns_before = match gateway.sharers().heard {
         0 | 1 => 0,
         _ => gateway.place_to_watch().saturating_sub(WATCHERS),
     };
-    let left_us = follower.bound().ask_age_us(before).checked_sub(age_us)?;
-    let pause_us = left_us.clamp(1_000, LOOK_US);
+    let left_us = handler
+        .bound()
+        .ask_age_us(turns_before)
+        .checked_sub(age_us)?;
+    let pause_us = left_us.clamp(1_000, POLL_US);
     Some(Duration::from_micros(pause_us))
 }
 
-/// Pauses until something waits for the store's answer.
-async fn pause_unless_wanted<F: Follower>(follower: &F, pause: Duration) {
-    // Both ends say the same: it is looked again at what there is to do.
-    let _ = time::timeout(pause, follower.staleness().wanted()).await;
+/// Sleeps for `pause`, or until a request waits for an answer of the store.
+async fn pause_until_wanted<F: KindHandler>(handler: &F, pause: Duration) {
+    // After either end the caller checks again what there is to do.
+    let _ = time::timeout(pause, handler.staleness().wanted()).await;
 }
 
-/// Returns how long a watch waits. News comes to all who watch at once, so their next waits have different
-/// ends: what the others know is then a third of a wait older than a wait at most, and not twice a wait.
-fn watch_wait<P: Protocol, F: Follower>(
+/// Returns how long a watch waits. A change ends the watches of all watchers at once, so that the next ones get
+/// different lengths: the state of the other instances is then at most a wait and a third old instead of two waits.
+fn watch_wait<P: Protocol, F: KindHandler>(
     gateway: &Gateway<P>,
-    follower: &F,
-    had_news: bool,
+    handler: &F,
+    had_changes: bool,
 ) -> Duration {
-    let wait = follower.bound().watch_wait();
-    if !had_news {
+    let wait = handler.bound().watch_wait();
+    if !had_changes {
         return wait;
     }
     let part = gateway.place_to_watch() % WATCHERS + 1;
     wait * part as u32 / WATCHERS as u32
 }
 
+/// Returns the pause after a failed call.
 fn retry_pause<P: Protocol>(gateway: &Gateway<P>, bound: StalenessBound) -> Duration {
     let pause = Duration::from_millis(rand::rng().random_range(RETRY_MS));
     if gateway.watches_store() {
         return pause;
     }
-    let groups = (gateway.sharers().all / RETRY_GROUP).max(1) as u32;
-    let longest = Duration::from_micros(bound.0).mul_f64(RETRY_SHARE);
-    (pause * groups).min(longest)
+    let groups = (gateway.sharers().all / RETRY_GROUP_SIZE).max(1) as u32;
+    let max_delay = Duration::from_micros(bound.0).mul_f64(MAX_RETRY_SHARE);
+    (pause * groups).min(max_delay)
 }
 
-/// Asks for all, from where the list that is being read stands. What it tells is as old as its first page.
+/// Reads the remaining pages of a list. The list is as old as its first page.
 ///
-/// Whoever starts beside others, or goes on where the store forgot what changed, waits after the first page of many: they
-/// may bring what it lacks.
-async fn list<P: Protocol, F: Follower>(
+/// An instance that starts while others run, or for which the store's history has expired, waits after the first of
+/// several pages: its peers may supply what is missing.
+async fn list<P: Protocol, F: KindHandler>(
     gateway: &Gateway<P>,
     store: &mut ObjectClient,
-    follower: &mut F,
-    reading: &mut Reading<F::Spec>,
-    asked_us: Micros,
+    handler: &mut F,
+    progress: &mut ListProgress<F::Spec>,
+    sent_us: Micros,
 ) -> Result<Answer, CallError> {
-    let is_begun = !reading.pages.is_empty();
-    if !is_begun {
-        reading.asked_us = asked_us;
+    let is_resumed = !progress.pages.is_empty();
+    if !is_resumed {
+        progress.sent_us = sent_us;
     }
-    let mut listing = store.list_page(F::KIND, &mut reading.pages).await?;
+    let mut listing = store.list_page(F::KIND, &mut progress.pages).await?;
     if listing.is_none()
-        && !is_begun
-        && let Some(revision) = brought_by_others(gateway, follower).await
+        && !is_resumed
+        && let Some(revision) = fetched_from_peers(gateway, handler).await
     {
-        reading.pages = PartialListing::default();
+        progress.pages = PartialListing::default();
         return Ok(Answer {
             revision,
-            has_news: true,
+            has_changes: true,
         });
     }
     let listing = loop {
         match listing {
             Some(listing) => break listing,
-            None => listing = store.list_page(F::KIND, &mut reading.pages).await?,
+            None => listing = store.list_page(F::KIND, &mut progress.pages).await?,
         }
     };
     let revision = listing.revision;
-    follower.listed(listing, reading.asked_us);
+    handler.apply_listing(listing, progress.sent_us);
     Ok(Answer {
         revision,
-        has_news: true,
+        has_changes: true,
     })
 }
 
-/// Waits until others have brought what is missing here, so that the store need not be asked; returns up to which
-/// revision, if they did in time.
-async fn brought_by_others<P: Protocol, F: Follower>(
+/// Waits until peers have supplied the missing state, so that the rest of the list need not be read; returns the
+/// revision of that state, or none after a timeout.
+async fn fetched_from_peers<P: Protocol, F: KindHandler>(
     gateway: &Gateway<P>,
-    follower: &F,
+    handler: &F,
 ) -> Option<u64> {
     if !gateway.fetches_at_start() {
         return None;
     }
-    let within_us = match follower.known_revision() {
-        Some(_) => follower.bound().answer_us(),
-        None => BROUGHT_WITHIN_US,
+    let within_us = match handler.known_revision() {
+        Some(_) => handler.bound().answer_us(),
+        None => PEER_FETCH_TIMEOUT_US,
     };
     let until_us = gateway.clock.now_us() + within_us;
     loop {
         let now_us = gateway.clock.now_us();
-        let is_fresh = follower.staleness().age_us(now_us) < follower.bound().ask_age_us(0);
-        if is_fresh && let Some(revision) = follower.known_revision() {
+        let is_fresh = handler.staleness().age_us(now_us) < handler.bound().ask_age_us(0);
+        if is_fresh && let Some(revision) = handler.known_revision() {
             return Some(revision);
         }
         if now_us >= until_us {
             return None;
         }
-        time::sleep(BROUGHT_LOOK).await;
+        time::sleep(PEER_FETCH_POLL).await;
     }
 }
 
-async fn watch<F: Follower>(
+async fn watch<F: KindHandler>(
     store: &mut ObjectClient,
-    follower: &mut F,
+    handler: &mut F,
     from: u64,
     wait: Duration,
-    asked_us: Micros,
+    sent_us: Micros,
 ) -> Result<Answer, CallError> {
     let changes = store.watch::<F::Spec>(F::KIND, from, wait).await?;
     let answer = Answer {
         revision: changes.revision,
-        has_news: !changes.events.is_empty(),
+        has_changes: !changes.events.is_empty(),
     };
-    follower.changed(changes, asked_us);
+    handler.apply_changes(changes, sent_us);
     Ok(answer)
 }
 
-struct ConfigFollower<P: Protocol> {
+struct ConfigHandler<P: Protocol> {
     gateway: Arc<Gateway<P>>,
 }
 
-impl<P: Protocol> ConfigFollower<P> {
-    fn take(&self, object: Object<ConfigSpec>) {
+impl<P: Protocol> ConfigHandler<P> {
+    fn apply(&self, object: Object<ConfigSpec>) {
         if object.metadata.name == configuration::OBJECT.1
             && let Some(spec) = object.spec
         {
@@ -361,15 +370,15 @@
         }
     }
 
-    fn confirm(&self, asked_us: Micros) {
+    fn confirm(&self, sent_us: Micros) {
         let version = self.gateway.config.version();
         if version > 0 {
-            self.gateway.config.confirm(version, asked_us);
+            self.gateway.config.confirm(version, sent_us);
         }
     }
 }
 
-impl<P: Protocol> Follower for ConfigFollower<P> {
+impl<P: Protocol> KindHandler for ConfigHandler<P> {
     type Spec = ConfigSpec;
     const KIND: &'static str = configuration::OBJECT.0;
 
@@ -381,65 +390,67 @@
         self.gateway.bounds().config()
     }
 
-    fn listed(&mut self, listing: Listing<ConfigSpec>, asked_us: Micros) {
+    fn apply_listing(&mut self, listing: Listing<ConfigSpec>, sent_us: Micros) {
         for object in listing.items {
-            self.take(object);
+            self.apply(object);
         }
-        self.confirm(asked_us);
+        self.confirm(sent_us);
     }
 
-    fn changed(&mut self, changes: Changes<ConfigSpec>, asked_us: Micros) {
+    fn apply_changes(&mut self, changes: Changes<ConfigSpec>, sent_us: Micros) {
         for event in changes.events {
             match event {
-                Event::Changed(object) => self.take(object),
-                // The last one known stays in force.
-                Event::Deleted(name) => log_unused(Self::KIND, Some(&name), "it was removed"),
-                Event::Unreadable(what) => {
-                    log_unused(Self::KIND, what.name.as_deref(), &what.reason);
+                Event::Changed(object) => self.apply(object),
+                // The last known configuration stays in force.
+                Event::Deleted(name) => {
+                    log_unused(Self::KIND, Some(&name), "the object was deleted")
+                }
+                Event::Unreadable(skipped) => {
+                    log_unused(Self::KIND, skipped.name.as_deref(), &skipped.reason);
                 }
             }
         }
-        self.confirm(asked_us);
+        self.confirm(sent_us);
     }
 }
 
-/// Entries of other writers that are remembered to have been logged, at most.
-const MOST_UNUSED: usize = 64;
+/// Maximum number of names of unusable entries that are remembered as logged.
+const MAX_LOGGED_UNUSED: usize = 64;
 
-/// Writes a line on an object that is passed over.
+/// Logs an object that is skipped.
 fn log_unused(kind: &'static str, name: Option<&str>, reason: &str) {
     let name = name.unwrap_or("-");
     log::warn!(target: "ryevalve::process", kind, name, reason; "entry_unused");
 }
 
-struct EndpointFollower<P: Protocol> {
+struct EndpointHandler<P: Protocol> {
     gateway: Arc<Gateway<P>>,
-    /// Names of unreadable entries that were logged: their writers may write them several times a second.
-    unused: HashSet<String>,
+    /// Names of unreadable entries that were logged: their writers may update them several times a second.
+    logged_unused: HashSet<String>,
 }
 
-impl<P: Protocol> EndpointFollower<P> {
-    fn seen(&mut self, object: Object<EndpointSpec>) {
+impl<P: Protocol> EndpointHandler<P> {
+    fn upsert(&mut self, object: Object<EndpointSpec>) {
         let metadata = object.metadata;
         let Some(spec) = object.spec else {
-            let reason = "it has no content".into();
+            let reason = "the object has no content".into();
             let name = Some(metadata.name);
-            self.pass_over(metadata.revision, Unreadable { name, reason });
+            self.skip(metadata.revision, UnreadableObject { name, reason });
             return;
         };
-        self.unused.remove(&metadata.name);
+        self.logged_unused.remove(&metadata.name);
         let entry = spec.into_entry(&metadata.name);
         let id = entry.id.clone();
-        let seen = self
+        let upserted = self
             .gateway
             .balancer()
             .upsert_endpoint(entry, metadata.revision);
-        if let Some(change) = seen {
+        if let Some(change) = upserted {
             self.gateway.endpoint_changed(&id, change, "store");
         }
     }
 
-    fn removed(&self, name: &str, revision: u64) {
+    fn remove(&self, name: &str, revision: u64) {
         let now_us = self.gateway.clock.now_us();
         let mut balancer = self.gateway.balancer();
         let change = balancer.remove_endpoint(now_us, name, revision);
@@ -449,27 +460,27 @@
         }
     }
 
-    /// An entry that cannot be read names no endpoint, also where it took the place of one that did.
-    fn pass_over(&mut self, revision: u64, what: Unreadable) {
+    /// Skips an unreadable entry. If it replaced a readable one, that endpoint is removed.
+    fn skip(&mut self, revision: u64, skipped: UnreadableObject) {
         self.gateway.metrics.entries_unused.inc();
-        let Some(name) = what.name else {
-            log::debug!(target: "ryevalve::process", reason = what.reason; "entry_without_name");
+        let Some(name) = skipped.name else {
+            log::debug!(target: "ryevalve::process", reason = skipped.reason; "entry_without_name");
             return;
         };
-        self.removed(&name, revision);
-        if self.unused.len() < MOST_UNUSED && self.unused.insert(name.clone()) {
-            log_unused(endpoints::KIND, Some(&name), &what.reason);
+        self.remove(&name, revision);
+        if self.logged_unused.len() < MAX_LOGGED_UNUSED && self.logged_unused.insert(name.clone()) {
+            log_unused(endpoints::KIND, Some(&name), &skipped.reason);
         }
     }
 
-    fn reached(&self, revision: u64, asked_us: Micros) {
+    fn advance(&self, revision: u64, sent_us: Micros) {
         self.gateway.balancer().advance_endpoints_revision(revision);
-        self.gateway.endpoints.confirm(asked_us);
+        self.gateway.endpoints.confirm(sent_us);
         self.gateway.reconsider();
     }
 }
 
-impl<P: Protocol> Follower for EndpointFollower<P> {
+impl<P: Protocol> KindHandler for EndpointHandler<P> {
     type Spec = EndpointSpec;
     const KIND: &'static str = endpoints::KIND;
 
@@ -486,11 +497,11 @@
         (revision > 0).then_some(revision)
     }
 
-    fn listed(&mut self, listing: Listing<EndpointSpec>, asked_us: Micros) {
+    fn apply_listing(&mut self, listing: Listing<EndpointSpec>, sent_us: Micros) {
         let names = listing.items.iter().map(|o| o.metadata.name.clone());
         let names: HashSet<String> = names.collect();
         for object in listing.items {
-            self.seen(object);
+            self.upsert(object);
         }
         let now_us = self.gateway.clock.now_us();
         let changes =
@@ -500,27 +511,27 @@
         for (id, change) in changes {
             self.gateway.endpoint_changed(&id, change, "store");
         }
-        for what in listing.unreadable {
-            self.pass_over(listing.revision, what);
+        for skipped in listing.unreadable {
+            self.skip(listing.revision, skipped);
         }
-        self.reached(listing.revision, asked_us);
+        self.advance(listing.revision, sent_us);
     }
 
-    fn changed(&mut self, changes: Changes<EndpointSpec>, asked_us: Micros) {
-        let done_by = changes.latest_revisions();
-        for (event, done_by) in changes.events.into_iter().zip(done_by) {
+    fn apply_changes(&mut self, changes: Changes<EndpointSpec>, sent_us: Micros) {
+        let latest_revisions = changes.latest_revisions();
+        for (event, latest_revision) in changes.events.into_iter().zip(latest_revisions) {
             match event {
-                Event::Changed(object) => self.seen(object),
-                Event::Deleted(name) => self.removed(&name, done_by),
-                Event::Unreadable(what) => self.pass_over(done_by, what),
+                Event::Changed(object) => self.upsert(object),
+                Event::Deleted(name) => self.remove(&name, latest_revision),
+                Event::Unreadable(skipped) => self.skip(latest_revision, skipped),
             }
         }
-        self.reached(changes.revision, asked_us);
+        self.advance(changes.revision, sent_us);
     }
 
-    /// Where others heard from the store of late, only this instance's way there is lost: nobody's entry has
-    /// lapsed, and one that is missing has gone.
-    fn lost(&mut self) {
+    /// If other instances had an answer of the store recently, only this instance's connection failed: no entry has
+    /// lapsed because of an outage, and a missing entry means that its endpoint has left.
+    fn call_failed(&mut self) {
         if self.gateway.endpoints_age_us() < self.bound().outage_age_us() {
             return;
         }
@@ -529,50 +540,50 @@
     }
 }
 
-/// Follows the configuration until dropped.
+/// Keeps the configuration up to date until dropped.
 pub async fn configuration<P: Protocol>(gateway: Arc<Gateway<P>>, store: ObjectClient) {
-    let follower = ConfigFollower {
+    let handler = ConfigHandler {
         gateway: gateway.clone(),
     };
-    follow(&gateway, store, follower).await;
+    watch_kind(&gateway, store, handler).await;
 }
 
-/// Follows the endpoints until dropped.
+/// Keeps the endpoints up to date until dropped.
 pub async fn endpoints<P: Protocol>(gateway: Arc<Gateway<P>>, store: ObjectClient) {
-    let follower = EndpointFollower {
+    let handler = EndpointHandler {
         gateway: gateway.clone(),
-        unused: HashSet::new(),
+        logged_unused: HashSet::new(),
     };
-    follow(&gateway, store, follower).await;
+    watch_kind(&gateway, store, handler).await;
 }
 
-struct EvacuationFollower<P: Protocol> {
+struct EvacuationHandler<P: Protocol> {
     gateway: Arc<Gateway<P>>,
-    /// The data centres that are evacuated, as this instance learned from the store.
+    /// The evacuated data centres according to the store.
     evacuated: BTreeSet<Name>,
 }
 
-impl<P: Protocol> EvacuationFollower<P> {
-    fn publish(&self, revision: u64, asked_us: Micros) {
+impl<P: Protocol> EvacuationHandler<P> {
+    fn publish(&self, revision: u64, sent_us: Micros) {
         let (set, left_out) = EvacuationSet::new(revision, self.evacuated.iter().cloned());
         if left_out > 0 {
             log::error!(target: "ryevalve::process", left_out; "evacuations_left_out");
         }
-        self.gateway.take_evacuations(set, Some(asked_us), "store");
+        self.gateway.take_evacuations(set, Some(sent_us), "store");
     }
 
-    /// An object names its data centre; what else stands in it, readable or not, says nothing.
-    fn insert_unreadable(&mut self, what: Unreadable) {
-        match what.name {
+    /// Adds the data centre of an unreadable object: only the name matters, not the content.
+    fn insert_unreadable(&mut self, skipped: UnreadableObject) {
+        match skipped.name {
             Some(name) => {
                 self.evacuated.insert(name.as_str().into());
             }
-            None => log_unused(evacuations::KIND, None, &what.reason),
+            None => log_unused(evacuations::KIND, None, &skipped.reason),
         }
     }
 }
 
-impl<P: Protocol> Follower for EvacuationFollower<P> {
+impl<P: Protocol> KindHandler for EvacuationHandler<P> {
     type Spec = EvacuationSpec;
     const KIND: &'static str = evacuations::KIND;
 
@@ -585,16 +596,16 @@
         bounds.evacuate.unwrap_or(bounds.config_apply)
     }
 
-    fn listed(&mut self, listing: Listing<EvacuationSpec>, asked_us: Micros) {
+    fn apply_listing(&mut self, listing: Listing<EvacuationSpec>, sent_us: Micros) {
         let names = listing.items.into_iter().map(|o| o.metadata.name);
         self.evacuated = names.map(|name| name.as_str().into()).collect();
-        for what in listing.unreadable {
-            self.insert_unreadable(what);
+        for skipped in listing.unreadable {
+            self.insert_unreadable(skipped);
         }
-        self.publish(listing.revision, asked_us);
+        self.publish(listing.revision, sent_us);
     }
 
-    fn changed(&mut self, changes: Changes<EvacuationSpec>, asked_us: Micros) {
+    fn apply_changes(&mut self, changes: Changes<EvacuationSpec>, sent_us: Micros) {
         for event in changes.events {
             match event {
                 Event::Changed(object) => {
@@ -603,18 +614,18 @@
                 Event::Deleted(name) => {
                     self.evacuated.remove(name.as_str());
                 }
-                Event::Unreadable(what) => self.insert_unreadable(what),
+                Event::Unreadable(skipped) => self.insert_unreadable(skipped),
             }
         }
-        self.publish(changes.revision, asked_us);
+        self.publish(changes.revision, sent_us);
     }
 }
 
-/// Follows the evacuations until dropped.
+/// Keeps the evacuations up to date until dropped.
 pub async fn evacuations<P: Protocol>(gateway: Arc<Gateway<P>>, store: ObjectClient) {
-    let follower = EvacuationFollower {
+    let handler = EvacuationHandler {
         gateway: gateway.clone(),
         evacuated: BTreeSet::new(),
     };
-    follow(&gateway, store, follower).await;
+    watch_kind(&gateway, store, handler).await;
 }
