--- a/src/config/version.rs
+++ b/src/config/version.rs
@@ -1,10 +1,9 @@
-//! Versions of the configuration: one total order, and the verified step from one to the next.
+//! Versions of the configuration, which are totally ordered, and verified deltas between them.
 //!
-//! A version's digest covers every object. A delta names the digests before and after, and the one
-//! who applies it computes both, so a wrong or partial delta is found and a whole copy is fetched.
-//! The verified step follows the related paper, "Event stream and closure endpoint", whose deltas
-//! carry the hash before and after and fall back to a snapshot; docs/DECISIONS.md gives the
-//! measurement that this choice rests on.
+//! The digest of a version covers all objects. A delta contains the digests before and after, and the
+//! receiver computes both, so that a wrong or partial delta is detected and a snapshot fetched instead.
+//! This follows the related paper, "Event stream and closure endpoint", whose deltas carry the hash
+//! before and after and fall back to a snapshot; docs/DECISIONS.md has the measurement behind the choice.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -20,55 +19,57 @@
 /// SHA-256 over the objects of a version.
 pub type Hash = [u8; 32];
 
-/// One accepted version, read and ready for use.
+/// An accepted version of the configuration, decoded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Versioned {
-    /// Counts accepted configurations, from 1; 0 is the empty one before any.
+    /// Number of the version, counted from 1; 0 is the empty configuration before the first one.
     pub version: u64,
-    /// Digest over the objects.
+    /// Digest of the objects.
     pub hash: Hash,
-    /// The objects.
+    /// The objects in their stored form.
     pub objects: Arc<Objects>,
     /// The objects as typed data.
     pub config: Arc<Config>,
 }
 
-/// One object set or removed.
+/// One object that was set or removed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Its key, `kind/name`.
+    /// Key of the object, `kind/name`.
     pub key: String,
-    /// Its JSON, or none if it was removed.
+    /// JSON of the object; none if it was removed.
     pub value: Option<String>,
 }
 
-/// The step between two versions.
+/// The difference between two versions.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The version it applies to.
+    /// The version to which it applies.
     pub from_version: u64,
-    /// Digest of that version.
+    /// Digest of `from_version`.
     pub from_hash: Hash,
-    /// The version that it leads to.
+    /// The resulting version.
     pub to_version: u64,
-    /// Digest of that version.
+    /// Digest of `to_version`.
     pub to_hash: Hash,
     /// The objects that differ.
     pub changes: Vec<Change>,
 }
 
-/// Why a version could not be made.
+/// Why a version could not be created.
 #[derive(Debug, Snafu)]
 pub enum VersionError {
-    /// The delta is for another version or its result has another digest.
-    #[snafu(display("the delta does not lead from the version at hand to the one it names"))]
+    /// The delta applies to another version, or its result has another digest than stated.
+    #[snafu(display(
+        "the delta does not apply to this version, or its result has the wrong digest"
+    ))]
     Mismatch,
-    /// An object cannot be read.
-    #[snafu(display("object `{key}` cannot be read"))]
+    /// An object cannot be decoded.
+    #[snafu(display("object `{key}` cannot be decoded"))]
     Object {
         /// The object's key.
         key: String,
-        /// What the reader said.
+        /// The error of the decoder.
         source: serde_json::Error,
     },
     /// An object is of a kind that this program does not know.
@@ -91,10 +92,10 @@
 }
 
 impl Versioned {
-    /// Makes a version of typed data; objects come in the order of their names.
+    /// Creates a version from a configuration, whose objects get sorted by name.
     pub fn from_config(version: u64, config: Config) -> Self {
         let objects = to_objects(&config);
-        // What was written from typed data can be read again.
+        // Objects that were encoded from typed data can always be decoded.
         let ordered = from_objects(&objects).unwrap_or(config);
         Self {
             version,
@@ -104,10 +105,10 @@
         }
     }
 
-    /// Makes a version of its objects.
+    /// Creates a version from its objects.
     ///
     /// # Errors
-    /// An object cannot be read or is of an unknown kind.
+    /// An object cannot be decoded or is of an unknown kind.
     pub fn from_objects(version: u64, objects: Objects) -> Result<Self, VersionError> {
         let config = from_objects(&objects)?;
         Ok(Self {
@@ -118,7 +119,7 @@
         })
     }
 
-    /// Returns the step from this version to `next`.
+    /// Returns the delta from this version to `next`.
     pub fn delta_to(&self, next: &Self) -> Delta {
         let set = next.objects.iter();
         let set = set.filter(|(key, value)| self.objects.get(*key) != Some(*value));
@@ -126,11 +127,11 @@
             key: key.clone(),
             value: Some(value.clone()),
         });
-        let gone = self
+        let missing = self
             .objects
             .keys()
             .filter(|k| !next.objects.contains_key(*k));
-        let removed = gone.map(|key| Change {
+        let removed = missing.map(|key| Change {
             key: key.clone(),
             value: None,
         });
@@ -143,10 +144,10 @@
         }
     }
 
-    /// Applies a step; this version stays as it is.
+    /// Returns the version that results from a delta; this version is not changed.
     ///
     /// # Errors
-    /// The step is for another version, or its result is not what it names.
+    /// The delta applies to another version, or its result has another digest than stated.
     pub fn apply(&self, delta: &Delta) -> Result<Self, VersionError> {
         if delta.from_version != self.version || delta.from_hash != self.hash {
             return Err(VersionError::Mismatch);
@@ -214,10 +215,9 @@
     objects
 }
 
-/// Writes an object with its fields in the order of their names, so that equal objects have equal
-/// text whoever wrote them.
+/// Encodes an object as JSON with sorted fields, so that equal objects have equal text on all instances.
 fn json<T: Serialize>(object: &T) -> String {
-    // Plain structs with text keys always have a JSON form.
+    // Plain structs with string keys can always be encoded.
     serde_json::to_value(object).map_or_else(|_| String::new(), |v| v.to_string())
 }
 
@@ -226,21 +226,21 @@
     for (key, value) in objects {
         let kind = key.split_once('/').map_or("", |(kind, _)| kind);
         match kind {
-            "policy" => config.policy = read(key, value)?,
-            "hall" => config.halls.push(read(key, value)?),
-            "tier" => config.tiers.push(read(key, value)?),
-            "organisation" => config.organisations.push(read(key, value)?),
-            "operator" => config.operators.push(read(key, value)?),
-            "pool" => config.pools.push(read(key, value)?),
-            "service" => config.services.push(read(key, value)?),
-            "endpoint" => config.endpoints.push(read(key, value)?),
-            "event" => config.events.push(read(key, value)?),
+            "policy" => config.policy = decode(key, value)?,
+            "hall" => config.halls.push(decode(key, value)?),
+            "tier" => config.tiers.push(decode(key, value)?),
+            "organisation" => config.organisations.push(decode(key, value)?),
+            "operator" => config.operators.push(decode(key, value)?),
+            "pool" => config.pools.push(decode(key, value)?),
+            "service" => config.services.push(decode(key, value)?),
+            "endpoint" => config.endpoints.push(decode(key, value)?),
+            "event" => config.events.push(decode(key, value)?),
             _ => return KindSnafu { key }.fail(),
         }
     }
     Ok(config)
 }
 
-fn read<T: DeserializeOwned>(key: &str, value: &str) -> Result<T, VersionError> {
+fn decode<T: DeserializeOwned>(key: &str, value: &str) -> Result<T, VersionError> {
     serde_json::from_str(value).context(ObjectSnafu { key })
 }
--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -194,8 +194,8 @@
 }
 
 impl<T> Changes<T> {
-    /// Returns the latest possible revision of each event. The event of a deletion carries no revision, and an object of
-    /// the same name may have been created since.
+    /// Returns the latest possible revision of each event. The event of a deletion carries no revision, and an object
+    /// of the same name may have been created since.
     pub fn latest_revisions(&self) -> Vec<u64> {
         let mut latest = self.revision;
         let backwards = self.events.iter().rev().map(|event| {
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -15,7 +15,7 @@
     #[snafu(display("{PATH_VARIABLE} is not set; expected the path of a settings file"))]
     NoPath,
     /// The file cannot be read.
-    #[snafu(display("{} cannot be read", path.display()))]
+    #[snafu(display("{} cannot be read: {source}", path.display()))]
     Unreadable {
         /// The file.
         path: PathBuf,
@@ -59,7 +59,7 @@
     /// Control addresses of up to three instances, which may no longer exist.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Region by zone of the platform: the data centre of each hall.
+    /// Region of each hall, by hall; the platform calls halls zones.
     #[serde(rename = "zones", default)]
     pub regions: BTreeMap<String, String>,
     /// Whether the deployment starts for the first time.
@@ -120,7 +120,7 @@
     pub config_apply_ms: u64,
     /// How long an API key may be used after its revocation, in milliseconds.
     pub revoke_ms: u64,
-    /// Whether `revoke_ms` holds even while the configuration cannot be refreshed, so that callers are refused.
+    /// Whether `revoke_ms` holds even while the configuration cannot be refreshed and callers have to be refused.
     /// Otherwise callers are served by the last known configuration while no newer one can be obtained.
     pub strict_revocation: bool,
     /// Permitted retries per request of a service.
