--- a/tests/edge/other_writers.rs
+++ b/tests/edge/other_writers.rs
@@ -1,8 +1,8 @@
-//! Entries that endpoints did not write, and endpoints that start again under their id, over real sockets.
+//! Entries of other writers and endpoints that restart under the same id, over real sockets.
 //!
-//! The story: a list with one entry that could not be decoded was dropped whole, so that an instance knew of no
-//! endpoint, or of none that came later; an entry in a state that nobody had named counted as ready. An endpoint
-//! that started again under its id went on being sent requests as if it were the one before.
+//! Guards against three failures: one entry that could not be decoded made an instance drop the whole list, so that it
+//! knew no endpoint, or missed all later ones; an entry in an unknown state counted as ready; and requests for an
+//! endpoint that had restarted under its id were still sent to the previous run.
 
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
         "state": "ready", "warmupLeftMs": 0, "born": 1_764_000_000_000_u64, "sequence": 1})
 }
 
-/// The fields of an entry, and contents that are of another type.
-fn spoiled() -> impl Strategy<Value = Value> {
+/// Generates entries with one field missing or of another type.
+fn invalid() -> impl Strategy<Value = Value> {
     let field = prop::sample::select(vec![
         "backend",
         "address",
@@ -42,18 +42,18 @@
         Just(json!(-1)),
         Just(json!(0.5)),
     ];
-    (field, prop::option::of(content)).prop_filter_map("it is spoiled", |(field, content)| {
+    (field, prop::option::of(content)).prop_filter_map("still valid", |(field, content)| {
         let mut entry = valid();
         let fields = entry.as_object_mut()?;
         match content {
-            // Endpoints need not say when they started.
+            // `born` is optional.
             None if field == "born" => return None,
             None => drop(fields.remove(field)),
-            // Any text is a name.
+            // Any string is a valid name.
             Some(Value::String(_)) if ["backend", "zone", "version"].contains(&field) => {
                 return None;
             }
-            // Any number is a time.
+            // Any number is a valid time.
             Some(Value::Number(_)) if field == "warmupLeftMs" => return None,
             Some(content) => drop(fields.insert(field.into(), content)),
         }
@@ -63,13 +63,13 @@
 
 proptest! {
     #[test]
-    fn an_entry_with_a_field_missing_or_of_another_type_names_no_endpoint(entry in spoiled()) {
+    fn an_entry_with_a_field_missing_or_of_another_type_is_refused(entry in invalid()) {
         prop_assert!(serde_json::from_value::<EndpointSpec>(entry).is_err());
     }
 }
 
 #[test]
-fn an_entry_without_room_or_in_another_state_names_no_endpoint() {
+fn an_entry_without_slots_or_in_an_unknown_state_is_refused() {
     assert!(serde_json::from_value::<EndpointSpec>(valid()).is_ok());
     for (field, content) in [
         ("capacity", json!(0)),
@@ -85,23 +85,23 @@
     }
 }
 
-/// Entries of other writers beside good ones, before the list is read and while it is watched.
+/// Invalid entries next to valid ones, both in the list and in watch events.
 #[tokio::test]
-async fn entries_of_other_writers_harm_no_other() {
+async fn invalid_entries_do_not_affect_valid_ones() {
     let edge = Edge::start(1).await;
     edge.platform.fault(|f| f.spoils = Some("not-text".into()));
-    let mut unknown = valid();
-    unknown["state"] = json!("warming");
+    let mut unknown_state = valid();
+    unknown_state["state"] = json!("warming");
     for (name, spec) in [
         ("a-missing", json!({"backend": "svc"})),
         ("b-type", json!(["not", "an", "entry"])),
         ("c-text", json!("not-text")),
-        ("d-state", unknown),
+        ("d-state", unknown_state),
         ("z-null", Value::Null),
     ] {
         edge.platform.set("servers", name, spec);
     }
-    // It was ready before, and names no endpoint any more.
+    // The entry of a ready endpoint becomes invalid: the endpoint is removed.
     let other = Runner::start("i-9").await;
     edge.platform.set(
         "servers",
@@ -122,8 +122,12 @@
         let got = edge.call("/once/", &format!("r-{number}")).await;
         assert_eq!(got.status, StatusCode::OK);
     }
-    assert_eq!(other.seen().len(), seen, "its entry names it no more");
-    // The history is forgotten, so that the list is read anew with all of them in it.
+    assert_eq!(
+        other.seen().len(),
+        seen,
+        "a request was sent to an endpoint whose entry is invalid"
+    );
+    // Without the history, the list with all invalid entries has to be read again.
     edge.platform.forget_history();
     time::sleep(Duration::from_millis(900)).await;
     edge.entry(0, "ready");
@@ -137,38 +141,38 @@
     assert!((5..=8).contains(&unused), "{unused} lines");
 }
 
-/// An endpoint starts again elsewhere under its id; what the start before wrote lands in the store later.
+/// An endpoint restarts under its id at another address; a late write of the previous run reaches the store afterwards.
 #[tokio::test]
-async fn a_later_start_gets_the_requests_though_an_earlier_one_writes_last() {
+async fn the_latest_run_gets_the_requests_even_if_an_earlier_one_writes_last() {
     let edge = Edge::start(1).await;
-    let before = &edge.runners[0];
-    let after = Runner::start("i-0").await;
+    let previous = &edge.runners[0];
+    let latest = Runner::start("i-0").await;
     let entry = |runner: &Runner, born: u64, state: &str| {
         json!({"backend": "svc", "address": runner.addr, "zone": "hall", "version": "v1", "capacity": 4,
             "state": state, "warmupLeftMs": 0, "born": born, "sequence": 1})
     };
     edge.platform
-        .set("servers", "i-0", entry(before, 1_000, "ready"));
+        .set("servers", "i-0", entry(previous, 1_000, "ready"));
     time::sleep(Duration::from_millis(900)).await;
     assert_eq!(edge.call("/once/", "r-0").await.status, StatusCode::OK);
-    assert_eq!(before.seen().len(), 1);
-    before.fault(Fault::Full);
+    assert_eq!(previous.seen().len(), 1);
+    previous.fault(Fault::Full);
     edge.platform
-        .set("servers", "i-0", entry(&after, 2_000, "ready"));
+        .set("servers", "i-0", entry(&latest, 2_000, "ready"));
     edge.until(|| async { edge.call("/once/", "r-1").await.status == StatusCode::OK })
         .await;
-    let seen = before.seen().len();
+    let seen = previous.seen().len();
     edge.platform
-        .set("servers", "i-0", entry(before, 1_000, "draining"));
+        .set("servers", "i-0", entry(previous, 1_000, "draining"));
     time::sleep(Duration::from_millis(900)).await;
     for number in 2..12 {
         let got = edge.call("/once/", &format!("r-{number}")).await;
         assert_eq!(got.status, StatusCode::OK);
     }
     assert_eq!(
-        before.seen().len(),
+        previous.seen().len(),
         seen,
-        "the start before gets nothing more"
+        "the previous run got another request"
     );
     assert!(edge.lines().iter().any(|l| l["change"] == "restarted"));
 }
--- a/tests/gateway/headers.rs
+++ b/tests/gateway/headers.rs
@@ -1,4 +1,4 @@
-//! The platform's headers and objects, decoded and written.
+//! Decoding and writing of the platform's headers, and decoding of its objects.
 
 use assert_matches::assert_matches;
 use hyper::{
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_callers_headers_are_read_once() {
+fn headers_of_callers_are_decoded() {
     let call = PlatformProtocol.read_call(&headers(&[
         ("Request-Id", "9c41d07be2a35f68"),
         ("Deadline-Ms", "12000"),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_left_out() {
+fn invalid_headers_of_callers_are_ignored() {
     let call = PlatformProtocol.read_call(&headers(&[
         ("Deadline-Ms", "soon"),
         ("Authorization", "Bearer i9n73hh2"),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_caller_cannot_speak_for_the_gateway() {
+fn headers_reserved_for_the_gateway_are_replaced() {
     let mut forwarded = headers(&[
         ("Tenant", "another"),
         ("Expect-Instance", "i-another"),
@@ -84,24 +84,24 @@
         ("Last-Event-Id", "3"),
     ]);
     assert_eq!(forwarded, expected);
-    let named = Forward {
+    let with_organisation = Forward {
         organisation: Some("hule930"),
         resume_after: None,
         ..forward
     };
-    PlatformProtocol.write_forward(&mut forwarded, &named);
+    PlatformProtocol.write_forward(&mut forwarded, &with_organisation);
     assert_eq!(forwarded["tenant"], "hule930");
 }
 
 #[test]
-fn no_header_that_orders_an_endpoint_comes_from_a_caller() {
+fn reserved_headers_are_removed_in_any_spelling() {
     let forward = Forward {
         endpoint: "i-1",
         organisation: None,
         left_ms: 700,
         resume_after: None,
     };
-    let orders = [
+    let reserved = [
         "Pin-Ms",
         "Retention",
         "Kv-Backup",
@@ -110,26 +110,26 @@
         "Expect-Version",
         "Tenant",
     ];
-    for name in orders {
+    for name in reserved {
         for spelling in [name.to_owned(), name.to_lowercase(), name.to_uppercase()] {
             let mut forwarded = headers(&[("Model", "m")]);
-            let spelled: HeaderName = spelling.parse().unwrap();
-            forwarded.append(spelled.clone(), HeaderValue::from_static("1"));
-            forwarded.append(spelled, HeaderValue::from_static("2"));
+            let header: HeaderName = spelling.parse().unwrap();
+            forwarded.append(header.clone(), HeaderValue::from_static("1"));
+            forwarded.append(header, HeaderValue::from_static("2"));
             PlatformProtocol.write_forward(&mut forwarded, &forward);
             let expected = headers(&[
                 ("Model", "m"),
                 ("Expect-Instance", "i-1"),
                 ("Deadline-Ms", "700"),
             ]);
-            assert_eq!(forwarded, expected, "{spelling} was passed on");
+            assert_eq!(forwarded, expected, "{spelling} was forwarded");
         }
     }
 }
 
 #[test]
-fn headers_of_one_connection_stay_there() {
-    let mut passed = headers(&[
+fn connection_headers_are_not_forwarded() {
+    let mut forwarded = headers(&[
         ("Connection", "keep-alive, X-Hop"),
         ("X-Hop", "1"),
         ("Keep-Alive", "timeout=5"),
@@ -138,12 +138,12 @@
         ("Expect", "100-continue"),
         ("Content-Type", "text/plain"),
     ]);
-    strip_connection_headers(&mut passed);
-    assert_eq!(passed, headers(&[("Content-Type", "text/plain")]));
+    strip_connection_headers(&mut forwarded);
+    assert_eq!(forwarded, headers(&[("Content-Type", "text/plain")]));
 }
 
 #[test]
-fn an_endpoints_head_is_read() {
+fn headers_of_answers_are_decoded() {
     let head = PlatformProtocol.read_answer(
         StatusCode::OK,
         &headers(&[
@@ -163,12 +163,12 @@
     );
 }
 
-/// Returns what a refusal says of rest.
-fn rest(status: StatusCode, words: &[&str]) -> BackOffHeader {
-    let mut all = vec![("Date", "Thu, 03 Dec 2026 06:00:00 GMT")];
-    all.extend(words.iter().map(|word| ("Retry-After", *word)));
+/// Returns the back-off that an answer with these Retry-After headers requests.
+fn back_off(status: StatusCode, periods: &[&str]) -> BackOffHeader {
+    let mut pairs = vec![("Date", "Thu, 03 Dec 2026 06:00:00 GMT")];
+    pairs.extend(periods.iter().map(|period| ("Retry-After", *period)));
     let mut map = HeaderMap::new();
-    for (name, value) in all {
+    for (name, value) in pairs {
         let name: HeaderName = name.parse().expect("a name");
         map.append(name, HeaderValue::from_str(value).expect("a value"));
     }
@@ -176,9 +176,9 @@
 }
 
 #[test]
-fn rest_is_read_in_seconds_or_as_a_date_and_nothing_else() {
+fn back_off_is_decoded_from_seconds_or_a_date_only() {
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
-    for (word, us) in [
+    for (period, expected_us) in [
         ("3", 3_000_000),
         ("0.3", 300_000),
         (" 1.25 ", 1_250_000),
@@ -189,12 +189,12 @@
         ("Thu, 03 Dec 2026 05:00:00 GMT", 0),
     ] {
         assert_eq!(
-            rest(unavailable, &[word]),
-            BackOffHeader::Period(us),
-            "{word}"
+            back_off(unavailable, &[period]),
+            BackOffHeader::Period(expected_us),
+            "{period}"
         );
     }
-    for word in [
+    for period in [
         "-1",
         "+1",
         "1e9",
@@ -207,28 +207,28 @@
         "Thu, 99 Dec 2026",
     ] {
         assert_matches!(
-            rest(unavailable, &[word]),
+            back_off(unavailable, &[period]),
             BackOffHeader::Unreadable(_),
-            "{word}"
+            "{period}"
         );
     }
-    assert_eq!(rest(unavailable, &[]), BackOffHeader::None);
+    assert_eq!(back_off(unavailable, &[]), BackOffHeader::None);
     assert_eq!(
-        rest(unavailable, &["1", "3", "x", "2"]),
+        back_off(unavailable, &["1", "3", "x", "2"]),
         BackOffHeader::Period(3_000_000)
     );
-    // With any other status it says when the caller may come back, and nothing of the endpoint.
+    // With any other status, Retry-After is meant for the caller and does not concern the endpoint.
     for status in [
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::OK,
         StatusCode::INTERNAL_SERVER_ERROR,
     ] {
-        assert_eq!(rest(status, &["3"]), BackOffHeader::None, "{status}");
+        assert_eq!(back_off(status, &["3"]), BackOffHeader::None, "{status}");
     }
 }
 
 #[test]
-fn leaving_is_read_in_any_answer_and_headers_that_nothing_reads_are_named() {
+fn shutdown_is_decoded_with_any_status_and_unknown_headers_are_reported() {
     for status in [200, 421, 500, 503] {
         let status = StatusCode::from_u16(status).expect("a status");
         let head = PlatformProtocol.read_answer(status, &headers(&[("Server-Leaving", " 1 ")]));
@@ -236,17 +236,17 @@
         let head = PlatformProtocol.read_answer(status, &headers(&[("Server-Leaving", "0")]));
         assert!(!head.words.leaves, "{status}");
     }
-    let all = [
+    let answer = [
         ("Content-Type", "text/plain"),
         ("Server-Mood", "low"),
         ("Retry-After", "3"),
     ];
-    let head = PlatformProtocol.read_answer(StatusCode::OK, &headers(&all));
+    let head = PlatformProtocol.read_answer(StatusCode::OK, &headers(&answer));
     assert_eq!(head.unread, [HeaderName::from_static("server-mood")]);
 }
 
 #[test]
-fn a_configuration_is_decoded_into_the_gateways() {
+fn a_configuration_object_is_decoded() {
     let spec: ConfigSpec = serde_json::from_str(
         r#"{"version":7,"later":{"unknown":1},
         "routes":[
@@ -270,13 +270,16 @@
     assert_eq!(stream.kind, RouteKind::Stream { resumable: true });
     assert_eq!(stream.target_gap.as_millis(), 600);
     assert_eq!(stream.targets.len(), 2);
-    let unsafe_route = &config.routes[1];
-    assert!(!unsafe_route.kind.is_repeatable());
+    let not_repeatable = &config.routes[1];
+    assert!(!not_repeatable.kind.is_repeatable());
     assert_eq!(
-        (unsafe_route.max_attempts, &*unsafe_route.targets[0].service),
+        (
+            not_repeatable.max_attempts,
+            &*not_repeatable.targets[0].service
+        ),
         (1, "p")
     );
-    assert_eq!(unsafe_route.target, unsafe_route.timeout);
+    assert_eq!(not_repeatable.target, not_repeatable.timeout);
     assert_eq!(config.services["m1"].engine.unwrap().slots, 7);
     let limit = config.organisations[0].limit.unwrap();
     assert_eq!(
@@ -289,7 +292,7 @@
 }
 
 #[test]
-fn an_endpoints_entry_is_decoded() {
+fn an_endpoint_entry_is_decoded() {
     let spec: EndpointSpec = serde_json::from_str(
         r#"{"backend":"m1","address":"10.128.0.9:8080","zone":"hall","version":"v1","capacity":7,
         "state":"draining","warmupLeftMs":0,"phase":"both","sequence":4}"#,
--- a/tests/gateway/settings.rs
+++ b/tests/gateway/settings.rs
@@ -1,8 +1,8 @@
-//! The platform's settings file: read, checked, and said what is wrong with it.
+//! Decoding and validation of the platform's settings file.
 
 use ryevalve::platform::settings::PlatformSettings;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 nodeName = "edge-hall-a-1"
 zone = "hall-a"
 region = "almaty"
@@ -27,8 +27,8 @@
 "#;
 
 #[test]
-fn the_file_is_read_and_unknown_fields_are_passed_over() {
-    let settings: PlatformSettings = toml::from_str(GOOD).unwrap();
+fn the_file_is_decoded_and_unknown_fields_are_ignored() {
+    let settings: PlatformSettings = toml::from_str(VALID).unwrap();
     assert!(settings.faults().is_empty());
     assert!(settings.is_first_start);
     assert_eq!(settings.hall, "hall-a");
@@ -37,15 +37,15 @@
     assert_eq!(settings.bounds.drain_ms, 1_500);
     assert_eq!(
         settings.bounds.config_apply_ms, 2_000,
-        "the strictest seen, where none is given"
+        "the strictest known value, if none is given"
     );
     assert_eq!(settings.bounds.budget_window_s, 10.0);
-    assert!(settings.bounds.strict_revocation, "unless it is said");
+    assert!(settings.bounds.strict_revocation, "strict by default");
 }
 
 #[test]
-fn a_bad_value_is_named_with_its_place() {
-    let text = GOOD.replace("10.1.0.25:8221", "nowhere");
+fn errors_name_the_field_and_the_value() {
+    let text = VALID.replace("10.1.0.25:8221", "nowhere");
     let error = toml::from_str::<PlatformSettings>(&text)
         .unwrap_err()
         .to_string();
@@ -53,7 +53,7 @@
         error.contains("frontend") && error.contains("nowhere"),
         "{error}"
     );
-    let text = GOOD.replace("nodeName", "nodeNome");
+    let text = VALID.replace("nodeName", "nodeNome");
     let error = toml::from_str::<PlatformSettings>(&text)
         .unwrap_err()
         .to_string();
@@ -61,8 +61,8 @@
 }
 
 #[test]
-fn every_impossible_value_is_said_at_once() {
-    let text = GOOD
+fn all_values_out_of_range_are_reported_at_once() {
+    let text = VALID
         .replace("[7600, 7615]", "[7615, 7600]")
         .replace("maxFds = 4200", "maxFds = 20")
         .replace("graceS = 8", "graceS = 0")
@@ -82,10 +82,10 @@
     assert!(faults.contains("expected"));
 }
 
-/// Updates and places have a port each.
+/// Messages between instances need two ports: one for updates, one for reservations.
 #[test]
-fn one_port_for_what_instances_tell_each_other_is_too_few() {
-    let text = GOOD.replace("[7600, 7615]", "[7600, 7600]");
+fn a_range_of_one_internal_port_is_refused() {
+    let text = VALID.replace("[7600, 7615]", "[7600, 7600]");
     let settings: PlatformSettings = toml::from_str(&text).unwrap();
     assert_eq!(settings.faults().len(), 1);
 }
--- a/tests/product/check.rs
+++ b/tests/product/check.rs
@@ -1,4 +1,4 @@
-//! `ryevalve check`: every fault at once, with its place.
+//! Validation of the configuration as by `ryevalve check`, and deltas between versions.
 
 use ryevalve::config::{self, check};
 
@@ -46,10 +46,10 @@
 "#;
 
 #[test]
-fn every_fault_is_reported_with_place_and_fix() {
+fn all_faults_are_reported_with_position_and_fix() {
     let faults = config::parse(FAULTY).unwrap_err();
-    let text: Vec<String> = faults.iter().map(ToString::to_string).collect();
-    let wanted = [
+    let messages: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    let expected = [
         "7:8: tier `gate` has rank 3",
         "default_deadline_ms 10 and max_deadline_ms 5",
         "no SHA-256",
@@ -66,17 +66,17 @@
         .position(|l| l == "slots = \"four\"")
         .unwrap()
         + 1;
-    let typed = format!("{line}:9: invalid type: string \"four\"");
-    for part in wanted.into_iter().chain([typed.as_str()]) {
+    let wrong_type = format!("{line}:9: invalid type: string \"four\"");
+    for part in expected.into_iter().chain([wrong_type.as_str()]) {
         assert!(
-            text.iter().any(|t| t.contains(part)),
-            "{part} is not in {text:#?}"
+            messages.iter().any(|t| t.contains(part)),
+            "{part} is not in {messages:#?}"
         );
     }
 }
 
 #[test]
-fn the_examples_have_no_fault_and_todays_sizes() {
+fn the_example_configurations_are_valid_and_have_the_expected_sizes() {
     for (text, engines) in [
         (include_str!("../../configs/broye.toml"), 46),
         (include_str!("../../configs/steppe.toml"), 51),
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_step_leads_where_it_says_or_nowhere() {
+fn a_delta_applies_completely_to_its_version_or_fails() {
     let base = config::parse(include_str!("../../configs/broye.toml")).unwrap();
     let mut changed = base.clone();
     changed.endpoints[3].slots = 2;
@@ -105,8 +105,11 @@
     let delta = one.delta_to(&two);
     assert_eq!(delta.changes.len(), 2);
     assert_eq!(one.apply(&delta).unwrap(), two);
-    assert!(two.apply(&delta).is_err(), "applied to another version");
+    assert!(
+        two.apply(&delta).is_err(),
+        "the delta was applied to another version"
+    );
     let mut partial = delta;
     partial.changes.pop();
-    assert!(one.apply(&partial).is_err(), "a partial step was taken");
+    assert!(one.apply(&partial).is_err(), "a partial delta was applied");
 }
