--- a/src/config/model.rs
+++ b/src/config/model.rs
@@ -220,7 +220,7 @@
     pub pool: Name,
     /// Lowest tier for which capacity is reserved.
     pub tier: Name,
-    /// Start, in seconds since the Unix epoch.
+    /// Start, in seconds since the Unix epoch (1970).
     pub starts_at_s: u64,
     /// Duration, in seconds.
     pub duration_s: u64,
--- a/src/platform/edge.rs
+++ b/src/platform/edge.rs
@@ -63,10 +63,10 @@
         source: SettingsError,
     },
     /// An address cannot be bound.
-    #[snafu(display("cannot listen for {what} on {addr}: {source}"))]
+    #[snafu(display("cannot listen for {purpose} on {addr}: {source}"))]
     Bind {
         /// The purpose of the socket.
-        what: &'static str,
+        purpose: &'static str,
         /// The address.
         addr: SocketAddr,
         /// The error of the operating system.
@@ -194,21 +194,21 @@
         leaving: false,
     };
     let membership = Membership::new(me.clone(), settings.seeds.clone(), me.incarnation.0);
-    let what = "peers";
+    let purpose = "peers";
     let gossip = Gossip::bind(control, membership, key.as_bytes(), gateway.clock).await;
     let gossip = Arc::new(gossip.context(BindSnafu {
-        what,
+        purpose,
         addr: control,
     })?);
-    let copies = bind(what, control).await?;
+    let copies = bind(purpose, control).await?;
     let addr = SocketAddr::new(control.ip(), settings.peer_ports.0);
-    let socket = UdpSocket::bind(addr)
+    let exchange_socket = UdpSocket::bind(addr)
         .await
-        .context(BindSnafu { what, addr })?;
+        .context(BindSnafu { purpose, addr })?;
     let addr = SocketAddr::new(control.ip(), settings.peer_ports.0 + 1);
-    let reservations = UdpSocket::bind(addr)
+    let reservation_socket = UdpSocket::bind(addr)
         .await
-        .context(BindSnafu { what, addr })?;
+        .context(BindSnafu { purpose, addr })?;
     let codec = SealedCodec::new(key.as_bytes(), Arc::default());
     let incarnation = me.incarnation;
     let place = ExchangePlace {
@@ -219,12 +219,12 @@
     let exchange = Exchange::new(
         gateway.clone(),
         gossip.clone(),
-        socket,
+        exchange_socket,
         key.as_bytes(),
         codec.clone(),
         place,
     );
-    let exchange = Arc::new(exchange.context(BindSnafu { what, addr })?);
+    let exchange = Arc::new(exchange.context(BindSnafu { purpose, addr })?);
     tokio::spawn(async move { gossip.run(CancellationToken::new()).await });
     tokio::spawn(exchange.clone().meet());
     if gateway.fetches_at_start() {
@@ -234,7 +234,7 @@
     let issuer = gateway.clone();
     tokio::spawn(async move {
         if let Err(error) =
-            reservation_server::run(issuer, reservations, key.as_bytes(), incarnation).await
+            reservation_server::run(issuer, reservation_socket, key.as_bytes(), incarnation).await
         {
             let reason = error.to_string();
             log::error!(target: "ryevalve::process", reason; "places_not_given");
@@ -250,10 +250,10 @@
     Ok(())
 }
 
-async fn bind(what: &'static str, addr: SocketAddr) -> Result<TcpListener, EdgeError> {
+async fn bind(purpose: &'static str, addr: SocketAddr) -> Result<TcpListener, EdgeError> {
     TcpListener::bind(addr)
         .await
-        .context(BindSnafu { what, addr })
+        .context(BindSnafu { purpose, addr })
 }
 
 fn gateway_bounds(bounds: &Bounds) -> GatewayBounds {
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -188,8 +188,8 @@
 /// Returns whether the endpoint announces its shutdown, which only the value `1` does.
 fn is_leaving(headers: &HeaderMap) -> bool {
     let values = headers.get_all(LEAVING).iter();
-    let mut texts = values.filter_map(|value| value.to_str().ok());
-    texts.any(|text| text.trim() == "1")
+    let mut flags = values.filter_map(|value| value.to_str().ok());
+    flags.any(|flag| flag.trim() == "1")
 }
 
 /// Returns the back-off period that an answer requests; the longest of several. Retry-After concerns the endpoint
--- a/src/platform/objects.rs
+++ b/src/platform/objects.rs
@@ -161,7 +161,7 @@
             self.listing.revision = page.revision;
         }
         for item in &page.items {
-            match read_object(item) {
+            match decode_object(item) {
                 Ok(object) => self.listing.items.push(object),
                 Err(unreadable) => self.listing.unreadable.push(unreadable),
             }
@@ -198,16 +198,16 @@
     /// of the same name may have been created since.
     pub fn latest_revisions(&self) -> Vec<u64> {
         let mut latest = self.revision;
-        let backwards = self.events.iter().rev().map(|event| {
-            let done_by = latest;
+        let newest_first = self.events.iter().rev().map(|event| {
+            let event_revision = latest;
             if let Event::Changed(object) = event {
                 latest = latest.min(object.metadata.revision.saturating_sub(1));
             }
-            done_by
+            event_revision
         });
-        let mut done_by: Vec<u64> = backwards.collect();
-        done_by.reverse();
-        done_by
+        let mut revisions: Vec<u64> = newest_first.collect();
+        revisions.reverse();
+        revisions
     }
 }
 
@@ -238,9 +238,9 @@
 }
 
 impl RawEvent {
-    fn read<T: DeserializeOwned>(&self) -> Event<T> {
+    fn decode<T: DeserializeOwned>(&self) -> Event<T> {
         if !self.deleted {
-            return read_object(&self.object).map_or_else(Event::Unreadable, Event::Changed);
+            return decode_object(&self.object).map_or_else(Event::Unreadable, Event::Changed);
         }
         match name_of(&self.object) {
             Some(name) => Event::Deleted(name),
@@ -263,7 +263,7 @@
 }
 
 /// Decodes one object of a list or a watch.
-fn read_object<T: DeserializeOwned>(object: &RawValue) -> Result<Object<T>, UnreadableObject> {
+fn decode_object<T: DeserializeOwned>(object: &RawValue) -> Result<Object<T>, UnreadableObject> {
     serde_json::from_str(object.get()).map_err(|error| UnreadableObject {
         name: name_of(object),
         reason: error.to_string(),
@@ -366,7 +366,7 @@
         let path = format!("/objects/{kind}?watch={revision}&waitMs={wait_ms}");
         let answer: WatchResponse = self.read(&path, wait + CALL_TIMEOUT).await?;
         Ok(Changes {
-            events: answer.events.iter().map(RawEvent::read).collect(),
+            events: answer.events.iter().map(RawEvent::decode).collect(),
             revision: answer.revision,
         })
     }
--- a/src/platform/store_watch.rs
+++ b/src/platform/store_watch.rs
@@ -126,10 +126,10 @@
 
 /// Keeps the state of one kind up to date until dropped. A watcher watches the store; any other instance gets the
 /// changes from the watchers, and calls the store itself before its state becomes too old to act on.
-async fn watch_kind<P: Protocol, F: KindHandler>(
+async fn watch_kind<P: Protocol, H: KindHandler>(
     gateway: &Gateway<P>,
     mut store: ObjectClient,
-    mut handler: F,
+    mut handler: H,
 ) {
     let mut revision: Option<u64> = None;
     let mut progress = ListProgress::new(gateway.clock.now_us());
@@ -149,7 +149,7 @@
         progress.discard_if_stale(gateway.clock.now_us());
         let sent_us = gateway.clock.now_us();
         if !is_watcher {
-            log_call(F::KIND, handler.staleness().age_us(sent_us), revision);
+            log_call(H::KIND, handler.staleness().age_us(sent_us), revision);
         }
         let wait = match revision {
             // Any other call returns immediately: an instance that is no watcher, or was suspended, first has to learn
@@ -179,7 +179,7 @@
                 has_history = true;
                 had_changes = answer.has_changes;
                 if std::mem::take(&mut is_unreachable) {
-                    log::info!(target: "ryevalve::process", kind = F::KIND; "store_regained");
+                    log::info!(target: "ryevalve::process", kind = H::KIND; "store_regained");
                 }
                 let took_us = gateway.clock.now_us() - sent_us;
                 let is_early = Duration::from_micros(took_us) < wait.mul_f64(EARLY_END_SHARE);
@@ -190,14 +190,14 @@
             }
             Err(CallError::HistoryGone) => {
                 handler.staleness().answered();
-                log::info!(target: "ryevalve::process", kind = F::KIND; "store_history_gone");
+                log::info!(target: "ryevalve::process", kind = H::KIND; "store_history_gone");
                 has_history = false;
                 revision = None;
             }
             Err(error) => {
                 if !std::mem::replace(&mut is_unreachable, true) {
                     let reason = error.to_string();
-                    log::warn!(target: "ryevalve::process", kind = F::KIND, reason; "store_lost");
+                    log::warn!(target: "ryevalve::process", kind = H::KIND, reason; "store_lost");
                 }
                 gateway.metrics.store_failures.inc();
                 handler.staleness().failed(gateway.clock.now_us());
@@ -215,9 +215,9 @@
 }
 
 /// Returns how long an instance that is no watcher may wait before it calls the store; none if it has to call now.
-fn pause_before_call<P: Protocol, F: KindHandler>(
+fn pause_before_call<P: Protocol, H: KindHandler>(
     gateway: &Gateway<P>,
-    handler: &F,
+    handler: &H,
 ) -> Option<Duration> {
     let now_us = gateway.clock.now_us();
     let poll = Duration::from_micros(POLL_US);
@@ -243,16 +243,16 @@
 }
 
 /// Sleeps for `pause`, or until a request waits for an answer of the store.
-async fn pause_until_wanted<F: KindHandler>(handler: &F, pause: Duration) {
+async fn pause_until_wanted<H: KindHandler>(handler: &H, pause: Duration) {
     // After either end the caller checks again what there is to do.
     let _ = time::timeout(pause, handler.staleness().wanted()).await;
 }
 
 /// Returns how long a watch waits. A change ends the watches of all watchers at once, so that the next ones get
-/// different lengths: the state of the other instances is then at most a wait and a third old instead of two waits.
-fn watch_wait<P: Protocol, F: KindHandler>(
+/// different lengths: the state of the other instances is then at most 4/3 of a wait old instead of two waits.
+fn watch_wait<P: Protocol, H: KindHandler>(
     gateway: &Gateway<P>,
-    handler: &F,
+    handler: &H,
     had_changes: bool,
 ) -> Duration {
     let wait = handler.bound().watch_wait();
@@ -278,18 +278,18 @@
 ///
 /// An instance that starts while others run, or for which the store's history has expired, waits after the first of
 /// several pages: its peers may supply what is missing.
-async fn list<P: Protocol, F: KindHandler>(
+async fn list<P: Protocol, H: KindHandler>(
     gateway: &Gateway<P>,
     store: &mut ObjectClient,
-    handler: &mut F,
-    progress: &mut ListProgress<F::Spec>,
+    handler: &mut H,
+    progress: &mut ListProgress<H::Spec>,
     sent_us: Micros,
 ) -> Result<Answer, CallError> {
     let is_resumed = !progress.pages.is_empty();
     if !is_resumed {
         progress.sent_us = sent_us;
     }
-    let mut listing = store.list_page(F::KIND, &mut progress.pages).await?;
+    let mut listing = store.list_page(H::KIND, &mut progress.pages).await?;
     if listing.is_none()
         && !is_resumed
         && let Some(revision) = fetched_from_peers(gateway, handler).await
@@ -303,7 +303,7 @@
     let listing = loop {
         match listing {
             Some(listing) => break listing,
-            None => listing = store.list_page(F::KIND, &mut progress.pages).await?,
+            None => listing = store.list_page(H::KIND, &mut progress.pages).await?,
         }
     };
     let revision = listing.revision;
@@ -316,9 +316,9 @@
 
 /// Waits until peers have supplied the missing state, so that the rest of the list need not be read; returns the
 /// revision of that state, or none after a timeout.
-async fn fetched_from_peers<P: Protocol, F: KindHandler>(
+async fn fetched_from_peers<P: Protocol, H: KindHandler>(
     gateway: &Gateway<P>,
-    handler: &F,
+    handler: &H,
 ) -> Option<u64> {
     if !gateway.fetches_at_start() {
         return None;
@@ -341,14 +341,14 @@
     }
 }
 
-async fn watch<F: KindHandler>(
+async fn watch<H: KindHandler>(
     store: &mut ObjectClient,
-    handler: &mut F,
+    handler: &mut H,
     from: u64,
     wait: Duration,
     sent_us: Micros,
 ) -> Result<Answer, CallError> {
-    let changes = store.watch::<F::Spec>(F::KIND, from, wait).await?;
+    let changes = store.watch::<H::Spec>(H::KIND, from, wait).await?;
     let answer = Answer {
         revision: changes.revision,
         has_changes: !changes.events.is_empty(),
