--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -163,9 +163,7 @@
     fn parse_config(&mut self) -> Config {
         if self.text.len() > MAX_CONFIG_BYTES {
             let problem = format!("the file has {} bytes", self.text.len());
-            let fix = format!(
-                "keep it within {MAX_CONFIG_BYTES} bytes, the platform's limit for a stored value"
-            );
+            let fix = format!("keep it within {MAX_CONFIG_BYTES}, the platform's limit on values");
             self.add_fault(0..0, problem, fix);
         }
         let (table, errors) = DeTable::parse_recoverable(self.text);
@@ -290,7 +288,7 @@
         for (index, name) in names.enumerate() {
             let span = self.name_span(section, index);
             if name.is_empty() || !name.chars().all(is_name_char) {
-                let problem = format!("{section} name `{name}` is invalid");
+                let problem = format!("{section} name `{name}` is not usable");
                 let fix = "use letters, digits, `-`, `_` and `.`";
                 self.add_fault(span.clone(), problem, fix);
             }
@@ -311,7 +309,7 @@
         }
         if config.tiers.len() > MAX_TIERS {
             let problem = format!("{} tiers are declared", config.tiers.len());
-            self.add_fault(0..0, problem, format!("declare at most {MAX_TIERS}"));
+            self.add_fault(0..0, problem, format!("keep to {MAX_TIERS}"));
         }
         let mut ranks = BTreeSet::new();
         for (index, tier) in config.tiers.iter().enumerate() {
@@ -330,7 +328,7 @@
                 self.add_fault(
                     span,
                     problem,
-                    "use a default of at least 1 and at most the maximum",
+                    "make the default at least 1 and at most the maximum",
                 );
             }
         }
@@ -369,7 +367,7 @@
                 self.add_fault(
                     span.clone(),
                     problem,
-                    "add the SHA-256 of a key to key_sha256",
+                    "add the SHA-256 of one to key_sha256",
                 );
             }
             for tier in &organisation.tiers {
@@ -380,7 +378,7 @@
                 self.add_fault(span.clone(), problem, "use more than 0 and at most 1000");
             }
             if organisation.max_running == Some(0) {
-                let problem = format!("{subject} has max_running 0");
+                let problem = format!("{subject} may run nothing");
                 self.add_fault(span, problem, "use at least 1, or leave max_running out");
             }
         }
@@ -394,7 +392,7 @@
             self.check_reference(&span, &subject, "pool", &service.pool, &pools);
             for path in &service.not_repeatable_paths {
                 if !path.starts_with('/') {
-                    let problem = format!("{subject} has the invalid path `{path}`");
+                    let problem = format!("{subject} has the path `{path}`");
                     self.add_fault(span.clone(), problem, "begin it with `/`");
                 }
             }
@@ -407,7 +405,7 @@
             }
             if !config.endpoints.iter().any(|e| e.pool == pool.name) {
                 let problem = format!("pool `{}` has no endpoint", pool.name);
-                self.add_fault(span, problem, "declare an endpoint, or remove the pool");
+                self.add_fault(span, problem, "declare one, or remove the pool");
             }
         }
     }
@@ -422,16 +420,16 @@
             self.check_reference(&span, &subject, "pool", &endpoint.pool, &pools);
             self.check_reference(&span, &subject, "hall", &endpoint.hall, &halls);
             if endpoint.addr.parse::<SocketAddr>().is_err() {
-                let problem = format!("{subject} has the invalid address `{}`", endpoint.addr);
+                let problem = format!("{subject} has the address `{}`", endpoint.addr);
                 self.add_fault(
                     span.clone(),
                     problem,
-                    "use IP address and port, as in 10.0.0.7:8000",
+                    "use IP and port, as in 10.0.0.7:8000",
                 );
             }
             if let Some(other) = names_by_addr.insert(&endpoint.addr, &endpoint.name) {
-                let problem = format!("{subject} has the same address as endpoint `{other}`");
-                self.add_fault(span.clone(), problem, "give each endpoint its own address");
+                let problem = format!("{subject} has the address of `{other}`");
+                self.add_fault(span.clone(), problem, "give each its own");
             }
             if !(1..=MAX_SLOTS).contains(&endpoint.slots) {
                 let problem = format!("{subject} has {} slots", endpoint.slots);
@@ -441,12 +439,8 @@
             let is_model = pool.is_some_and(|p| p.kind == PoolKind::Model);
             let speeds = [endpoint.prefill_tokens_per_s, endpoint.decode_step_us];
             if is_model && !speeds.iter().all(|s| s.is_finite() && *s > 0.0) {
-                let problem = format!("{subject} has a speed that is not greater than 0");
-                self.add_fault(
-                    span,
-                    problem,
-                    "set prefill_tokens_per_s and decode_step_us to more than 0",
-                );
+                let problem = format!("{subject} has a speed that is not above 0");
+                self.add_fault(span, problem, "set prefill_tokens_per_s and decode_step_us");
             }
         }
     }
@@ -460,8 +454,8 @@
             self.check_reference(&span, &subject, "pool", &event.pool, &pools);
             self.check_reference(&span, &subject, "tier", &event.tier, &tiers);
             if event.duration_s == 0 {
-                let problem = format!("{subject} has duration_s 0");
-                self.add_fault(span.clone(), problem, "use at least 1");
+                let problem = format!("{subject} lasts 0 s");
+                self.add_fault(span.clone(), problem, "give it a duration_s");
             }
             if !(0.0..=0.9).contains(&event.keep_share) {
                 let problem = format!("{subject} has keep_share {}", event.keep_share);
@@ -479,7 +473,7 @@
         known: &BTreeSet<&str>,
     ) {
         if !known.contains(&**name) {
-            let problem = format!("{subject} refers to the unknown {section} `{name}`");
+            let problem = format!("{subject} names the unknown {section} `{name}`");
             let fix = suggestion(name, known.iter().copied());
             self.add_fault(span.clone(), problem, fix);
         }
--- a/src/config/version.rs
+++ b/src/config/version.rs
@@ -60,12 +60,10 @@
 #[derive(Debug, Snafu)]
 pub enum VersionError {
     /// The delta applies to another version, or its result has another digest than stated.
-    #[snafu(display(
-        "the delta does not apply to this version, or its result has the wrong digest"
-    ))]
+    #[snafu(display("the delta does not lead from the version at hand to the one it names"))]
     Mismatch,
     /// An object cannot be decoded.
-    #[snafu(display("object `{key}` cannot be decoded"))]
+    #[snafu(display("object `{key}` cannot be read"))]
     Object {
         /// The object's key.
         key: String,
