--- a/src/gateway/aggregators.rs
+++ b/src/gateway/aggregators.rs
@@ -21,12 +21,12 @@
 pub const AGGREGATORS: usize = 2;
 /// One of the own hall that was told for this long and did not answer is passed over: it answers in
 /// some 100 ms, and a datagram may be lost.
-const NEAR_SILENT_US: Micros = 700_000;
+const OWN_HALL_TIMEOUT_US: Micros = 700_000;
 /// The same for other halls, whose aggregators tell this one several times a second if they agree on
 /// who it is.
-const FAR_SILENT_US: Micros = 2_200_000;
+const REMOTE_HALL_TIMEOUT_US: Micros = 2_200_000;
 /// One that was passed over is told again after this time.
-const PASSED_OVER_US: Micros = 5_000_000;
+const RETRY_AFTER_US: Micros = 5_000_000;
 
 /// Returns how a hall is named in updates.
 pub fn hall_key(hall: &Name) -> u32 {
@@ -63,31 +63,31 @@
     }
 
     /// Notes that an instance was told something that it answers.
-    pub fn told(&mut self, now_us: Micros, whom: Incarnation) {
-        self.unanswered.entry(whom).or_insert(now_us);
+    pub fn expect_answer(&mut self, now_us: Micros, incarnation: Incarnation) {
+        self.unanswered.entry(incarnation).or_insert(now_us);
     }
 
     /// Notes that an instance spoke.
-    pub fn answered(&mut self, who: Incarnation) {
-        self.unanswered.remove(&who);
+    pub fn record_answer(&mut self, incarnation: Incarnation) {
+        self.unanswered.remove(&incarnation);
     }
 
     /// Returns the aggregators of a hall as this instance sees them, itself included.
     pub fn of_hall(&mut self, now_us: Micros, hall: &Name, is_own: bool) -> Vec<Member> {
-        let most_silent_us = if is_own {
-            NEAR_SILENT_US
+        let timeout_us = if is_own {
+            OWN_HALL_TIMEOUT_US
         } else {
-            FAR_SILENT_US
+            REMOTE_HALL_TIMEOUT_US
         };
-        let passed_over_us = most_silent_us + PASSED_OVER_US;
+        let retry_after_us = timeout_us + RETRY_AFTER_US;
         self.unanswered
-            .retain(|_, since_us| now_us.saturating_sub(*since_us) < passed_over_us);
+            .retain(|_, since_us| now_us.saturating_sub(*since_us) < retry_after_us);
         let Some(hall) = self.halls.iter().find(|h| h.name == *hall) else {
             return Vec::new();
         };
         let answers = |m: &&Member| {
             let since_us = self.unanswered.get(&m.info.incarnation);
-            since_us.is_none_or(|since| now_us.saturating_sub(*since) < most_silent_us)
+            since_us.is_none_or(|since| now_us.saturating_sub(*since) < timeout_us)
         };
         let chosen = hall.members.iter().filter(answers);
         let chosen: Vec<Member> = chosen.take(AGGREGATORS).cloned().collect();
@@ -99,17 +99,17 @@
     }
 
     /// Returns how many instances a data centre has that may aggregate.
-    pub fn members_of(&self, data_centre: &Name) -> usize {
-        let known = self.halls.iter().find(|h| h.name == *data_centre);
+    pub fn members_of(&self, hall_name: &Name) -> usize {
+        let known = self.halls.iter().find(|h| h.name == *hall_name);
         known.map_or(0, |h| h.members.len())
     }
 
     /// Returns whom this instance tells of its hall, if it is one of its aggregators: of each other
     /// hall the one of its own place, or all where it is alone in its hall.
-    pub fn far_peers(&mut self, now_us: Micros, my_hall: &Name) -> Vec<Member> {
+    pub fn remote_peers(&mut self, now_us: Micros, my_hall: &Name) -> Vec<Member> {
         let me = self.view.me;
         let own = self.of_hall(now_us, my_hall, true);
-        let Some(place) = own.iter().position(|m| m.info.incarnation == me) else {
+        let Some(position) = own.iter().position(|m| m.info.incarnation == me) else {
             return Vec::new();
         };
         let others = self.halls.iter().map(|h| h.name.clone());
@@ -119,7 +119,7 @@
             let theirs = self.of_hall(now_us, &hall, false);
             match own.len() {
                 0 | 1 => peers.extend(theirs),
-                _ => peers.extend(theirs.get(place % theirs.len().max(1)).cloned()),
+                _ => peers.extend(theirs.get(position % theirs.len().max(1)).cloned()),
             }
         }
         peers
--- a/src/gateway/copies.rs
+++ b/src/gateway/copies.rs
@@ -41,20 +41,20 @@
 
 /// Time for a connection and for an answer, each.
 const TIMEOUT: Duration = Duration::from_millis(800);
-const CALLS_AT_ONCE: usize = 16;
+const MAX_CONCURRENT_CALLS: usize = 16;
 /// Bytes of a copy that go in one answer: 13 ms of a link of 10 Mbit/s.
 const PART_BYTES: usize = 16 << 10;
 /// Takers that are given a copy of several parts at a time: what is on its way to them takes 52 ms of a link of
 /// 10 Mbit/s.
-const TAKERS_AT_ONCE: usize = 4;
+const MAX_TRANSFERS: usize = 4;
 /// Packed copies of the endpoints that are kept for those that ask for the same.
-const MOST_PACKED: usize = 4;
+const MAX_PACKED: usize = 4;
 /// A taker that asks for no more within this time has gone: it waits for [`TIMEOUT`] for each part.
-const TAKER_GONE_US: Micros = 1_000_000;
+const TRANSFER_IDLE_US: Micros = 1_000_000;
 
 /// Addresses of instances in one answer, at most: some 2 KB. Whoever asks several times, and hears from those that it
 /// met, learns of the others.
-const MET_TOLD: usize = 256;
+const MAX_ADDRESSES: usize = 256;
 
 /// Why no copy came.
 #[derive(Debug, Snafu)]
@@ -112,41 +112,42 @@
     async fn config_part(version: ConfigVersion, offset: u64) -> CopyAnswer;
     /// Takes the address of the one who asks, and returns all that are known.
     async fn meet(me: SocketAddr) -> Vec<SocketAddr>;
-    /// Returns what has changed in the endpoints since a revision, from `offset` on, of the copy up to `coming` if that is
+    /// Returns what has changed in the endpoints since a revision, from `offset` on, of the copy up to `requested` if that is
     /// kept; 0 is the newest.
-    async fn endpoints_part(since: Revision, coming: Revision, offset: u64) -> CopyAnswer;
+    async fn endpoints_part(since: Revision, requested: Revision, offset: u64) -> CopyAnswer;
 }
 
 /// Those that are being given a copy of several parts.
 #[derive(Debug, Default)]
-pub struct Takers {
+pub struct Transfers {
     /// The number of each one's connection, and when it asked last.
-    asked_us: Vec<(u64, Micros)>,
+    last_request_us: Vec<(u64, Micros)>,
 }
 
-impl Takers {
+impl Transfers {
     /// Returns whether a taker is given a part now.
-    pub fn admit(&mut self, now_us: Micros, taker: u64) -> bool {
-        let stays = |at_us: Micros| now_us.saturating_sub(at_us) < TAKER_GONE_US;
-        self.asked_us
-            .retain(|(other, at_us)| *other != taker && stays(*at_us));
-        let has_room = self.asked_us.len() < TAKERS_AT_ONCE;
+    pub fn admit(&mut self, now_us: Micros, connection: u64) -> bool {
+        let is_active = |at_us: Micros| now_us.saturating_sub(at_us) < TRANSFER_IDLE_US;
+        self.last_request_us
+            .retain(|(other, at_us)| *other != connection && is_active(*at_us));
+        let has_room = self.last_request_us.len() < MAX_TRANSFERS;
         if has_room {
-            self.asked_us.push((taker, now_us));
+            self.last_request_us.push((connection, now_us));
         }
         has_room
     }
 
     /// Notes that a taker has been given all.
-    pub fn finished(&mut self, taker: u64) {
-        self.asked_us.retain(|(other, _)| *other != taker);
+    pub fn finish(&mut self, connection: u64) {
+        self.last_request_us
+            .retain(|(other, _)| *other != connection);
     }
 }
 
 /// What all connections to one that gives copies share.
-struct Giver<P: Protocol> {
+struct CopySource<P: Protocol> {
     gateway: Arc<Gateway<P>>,
-    takers: Mutex<Takers>,
+    transfers: Mutex<Transfers>,
     packed: Mutex<VecDeque<PackedEndpoints>>,
     connections: AtomicU64,
 }
@@ -160,14 +161,14 @@
 }
 
 struct CopyServer<P: Protocol> {
-    giver: Arc<Giver<P>>,
+    source: Arc<CopySource<P>>,
     connection: u64,
 }
 
 impl<P: Protocol> Clone for CopyServer<P> {
     fn clone(&self) -> Self {
         Self {
-            giver: self.giver.clone(),
+            source: self.source.clone(),
             connection: self.connection,
         }
     }
@@ -175,7 +176,7 @@
 
 impl<P: Protocol> CopyServer<P> {
     fn config_part(&self, version: ConfigVersion, offset: u64) -> Option<CopyAnswer> {
-        let gateway = &self.giver.gateway;
+        let gateway = &self.source.gateway;
         let table = gateway.config.table()?;
         if table.config().version <= version {
             return None;
@@ -187,17 +188,17 @@
     fn endpoints_part(
         &self,
         since: Revision,
-        coming: Revision,
+        requested: Revision,
         offset: u64,
     ) -> io::Result<CopyAnswer> {
-        let gateway = &self.giver.gateway;
+        let gateway = &self.source.gateway;
         let newest = gateway.balancer().endpoints_revision();
         if newest <= since {
             return Ok(CopyAnswer::NotNewer);
         }
         let packed = match self
-            .kept(since, coming)
-            .or_else(|| self.kept(since, newest))
+            .cached(since, requested)
+            .or_else(|| self.cached(since, newest))
         {
             Some(packed) => packed,
             None => self.pack(since)?,
@@ -208,41 +209,41 @@
         Ok(self.part(packed.revision, age_us, &packed.bytes, offset))
     }
 
-    fn kept(&self, since: Revision, revision: Revision) -> Option<PackedEndpoints> {
-        let kept = lock(&self.giver.packed);
-        let is_it = |p: &&PackedEndpoints| p.since == since && p.revision == revision;
-        kept.iter().find(is_it).cloned()
+    fn cached(&self, since: Revision, revision: Revision) -> Option<PackedEndpoints> {
+        let cached = lock(&self.source.packed);
+        let is_match = |p: &&PackedEndpoints| p.since == since && p.revision == revision;
+        cached.iter().find(is_match).cloned()
     }
 
     fn pack(&self, since: Revision) -> io::Result<PackedEndpoints> {
-        let copy = self.giver.gateway.balancer().endpoints_delta_since(since);
+        let copy = self.source.gateway.balancer().endpoints_delta_since(since);
         let packed = PackedEndpoints {
             since,
             revision: copy.revision,
             bytes: Arc::new(packed::pack(&copy)?),
         };
-        let mut kept = lock(&self.giver.packed);
-        kept.push_back(packed.clone());
-        if kept.len() > MOST_PACKED {
-            kept.pop_front();
+        let mut cached = lock(&self.source.packed);
+        cached.push_back(packed.clone());
+        if cached.len() > MAX_PACKED {
+            cached.pop_front();
         }
         Ok(packed)
     }
 
     /// Returns a part of a copy, if its taker is among those that are given one now.
     fn part(&self, version: u64, age_us: Option<Micros>, packed: &[u8], offset: u64) -> CopyAnswer {
-        let gateway = &self.giver.gateway;
+        let gateway = &self.source.gateway;
         let from = usize::try_from(offset).map_or(packed.len(), |o| o.min(packed.len()));
         let to = packed.len().min(from + PART_BYTES);
         if packed.len() > PART_BYTES {
             let now_us = gateway.clock.now_us();
-            let mut takers = lock(&self.giver.takers);
-            if !takers.admit(now_us, self.connection) {
+            let mut transfers = lock(&self.source.transfers);
+            if !transfers.admit(now_us, self.connection) {
                 gateway.metrics.copies_put_off.inc();
                 return CopyAnswer::Busy;
             }
             if to == packed.len() {
-                takers.finished(self.connection);
+                transfers.finish(self.connection);
             }
         }
         CopyAnswer::Part(CopyPart {
@@ -271,17 +272,17 @@
     }
 
     async fn meet(self, _: Context, me: SocketAddr) -> Vec<SocketAddr> {
-        sample(self.giver.gateway.meet(&[me]), MET_TOLD)
+        sample(self.source.gateway.meet(&[me]), MAX_ADDRESSES)
     }
 
     async fn endpoints_part(
         self,
         _: Context,
         since: Revision,
-        coming: Revision,
+        requested: Revision,
         offset: u64,
     ) -> CopyAnswer {
-        match CopyServer::endpoints_part(&self, since, coming, offset) {
+        match CopyServer::endpoints_part(&self, since, requested, offset) {
             Ok(answer) => answer,
             Err(error) => {
                 let reason = error.to_string();
@@ -293,10 +294,10 @@
 }
 
 /// Returns some of the addresses, drawn if there are more.
-pub fn sample(mut addrs: Vec<SocketAddr>, most: usize) -> Vec<SocketAddr> {
-    if addrs.len() > most {
+pub fn sample(mut addrs: Vec<SocketAddr>, max: usize) -> Vec<SocketAddr> {
+    if addrs.len() > max {
         addrs.shuffle(&mut rand::rng());
-        addrs.truncate(most);
+        addrs.truncate(max);
     }
     addrs
 }
@@ -313,23 +314,23 @@
     let codec = move || codec.clone();
     let mut incoming = tarpc::serde_transport::tcp::listen_on(listener, codec).await?;
     incoming.config_mut().max_frame_length(MAX_FRAME_BYTES);
-    let giver = Arc::new(Giver {
+    let source = Arc::new(CopySource {
         gateway,
-        takers: Mutex::default(),
+        transfers: Mutex::default(),
         packed: Mutex::default(),
         connections: AtomicU64::default(),
     });
     while let Some(transport) = incoming.next().await {
         let Ok(transport) = transport else { continue };
         let server = CopyServer {
-            giver: giver.clone(),
-            connection: giver.connections.fetch_add(1, Ordering::Relaxed),
+            source: source.clone(),
+            connection: source.connections.fetch_add(1, Ordering::Relaxed),
         };
         let channel = BaseChannel::with_defaults(transport);
         tokio::spawn(
             channel
                 .execute(server.serve())
-                .for_each_concurrent(CALLS_AT_ONCE, |call| call),
+                .for_each_concurrent(MAX_CONCURRENT_CALLS, |call| call),
         );
     }
     Ok(())
@@ -337,7 +338,7 @@
 
 /// A copy that came from another instance.
 #[derive(Debug)]
-pub struct Taken<T> {
+pub struct Fetched<T> {
     /// What came.
     pub value: T,
     /// When it was known to be the newest, by the clock of the one that asked.
@@ -354,15 +355,15 @@
     codec: SealedCodec,
     version: ConfigVersion,
     clock: Clock,
-) -> Result<Option<Taken<GatewayConfig>>, CopyError> {
+) -> Result<Option<Fetched<GatewayConfig>>, CopyError> {
     let client = connect(addr, codec).await?;
-    let mut coming = Coming::default();
+    let mut partial = PartialCopy::default();
     loop {
         let asked_us = clock.now_us();
-        let asked = client.config_part(context(), version, coming.offset());
-        let answer = asked.await.context(NoAnswerSnafu)?;
-        if let Some(taken) = coming.take(answer, asked_us)? {
-            return Ok(taken);
+        let call = client.config_part(context(), version, partial.offset());
+        let answer = call.await.context(NoAnswerSnafu)?;
+        if let Some(fetched) = partial.append(answer, asked_us)? {
+            return Ok(fetched);
         }
     }
 }
@@ -376,27 +377,27 @@
     codec: SealedCodec,
     revision: Revision,
     clock: Clock,
-) -> Result<Option<Taken<EndpointsDelta>>, CopyError> {
+) -> Result<Option<Fetched<EndpointsDelta>>, CopyError> {
     let client = connect(addr, codec).await?;
-    let mut coming = Coming::default();
+    let mut partial = PartialCopy::default();
     loop {
         let asked_us = clock.now_us();
-        let asked = client.endpoints_part(context(), revision, coming.version, coming.offset());
-        let answer = asked.await.context(NoAnswerSnafu)?;
-        if let Some(taken) = coming.take(answer, asked_us)? {
-            return Ok(taken);
+        let call = client.endpoints_part(context(), revision, partial.version, partial.offset());
+        let answer = call.await.context(NoAnswerSnafu)?;
+        if let Some(fetched) = partial.append(answer, asked_us)? {
+            return Ok(fetched);
         }
     }
 }
 
 /// The parts of a copy that have come.
 #[derive(Debug, Default)]
-struct Coming {
+struct PartialCopy {
     version: u64,
     bytes: Vec<u8>,
 }
 
-impl Coming {
+impl PartialCopy {
     /// Returns the place to go on from.
     fn offset(&self) -> u64 {
         self.bytes.len() as u64
@@ -404,17 +405,17 @@
 
     /// Takes an answer to a question that was sent at `asked_us`; none if more is to come, else the copy, if there
     /// is one.
-    fn take<T: DeserializeOwned>(
+    fn append<T: DeserializeOwned>(
         &mut self,
         answer: CopyAnswer,
         asked_us: Micros,
-    ) -> Result<Option<Option<Taken<T>>>, CopyError> {
+    ) -> Result<Option<Option<Fetched<T>>>, CopyError> {
         let CopyAnswer::Part(part) = answer else {
             return Ok(Some(None));
         };
-        let is_other = part.version != self.version && !self.bytes.is_empty();
+        let is_other_version = part.version != self.version && !self.bytes.is_empty();
         self.version = part.version;
-        if is_other {
+        if is_other_version {
             // A newer one came there meanwhile: this part does not belong to what is here.
             self.bytes.clear();
             return Ok(None);
@@ -427,7 +428,7 @@
         }
         let value = packed::unpack(&self.bytes).context(UnreadableSnafu)?;
         let fresh_at_us = part.age_us.map(|age_us| asked_us.saturating_sub(age_us));
-        Ok(Some(Some(Taken { value, fresh_at_us })))
+        Ok(Some(Some(Fetched { value, fresh_at_us })))
     }
 }
 
@@ -435,7 +436,7 @@
 ///
 /// # Errors
 /// It did not answer.
-pub async fn meet(
+pub async fn exchange_addresses(
     addr: SocketAddr,
     codec: SealedCodec,
     me: SocketAddr,
--- a/src/gateway/freshness.rs
+++ b/src/gateway/current_config.rs
@@ -27,7 +27,7 @@
 
 /// What became of an offered configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offered {
+pub enum OfferOutcome {
     /// It is in force now.
     Applied,
     /// It was in force already.
@@ -48,13 +48,13 @@
     }
 
     /// Puts a configuration in force if it is newer than the one that is.
-    pub fn offer(&self, config: GatewayConfig) -> Offered {
+    pub fn offer(&self, config: GatewayConfig) -> OfferOutcome {
         match config.version.cmp(&self.version()) {
-            std::cmp::Ordering::Less => Offered::Older,
-            std::cmp::Ordering::Equal if self.table.load().is_some() => Offered::Known,
+            std::cmp::Ordering::Less => OfferOutcome::Older,
+            std::cmp::Ordering::Equal if self.table.load().is_some() => OfferOutcome::Known,
             _ => {
                 self.table.store(Some(Arc::new(RouteTable::new(config))));
-                Offered::Applied
+                OfferOutcome::Applied
             }
         }
     }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -25,13 +25,13 @@
         aggregators::{Aggregators, hall_key},
         copies,
         far_book::{FAR_HALLS, FarBook},
-        fetching::Fetching,
+        fetching::ActiveFetches,
         hall_book::HallBook,
         halls::{Halls, teller_of_hall},
-        heard::HeardInstances,
-        pace::Pace,
+        peer_table::PeerTable,
         protocol::Protocol,
         quota,
+        report_intervals::ReportIntervals,
         state::Gateway,
     },
     limits::instance_counts::InstanceCounts,
@@ -48,23 +48,23 @@
 const ROUND: Duration = Duration::from_millis(40);
 /// Up to this many instances everybody tells everybody each round; in larger groups they report to
 /// aggregators.
-const SMALL_GROUP: usize = 12;
+const SMALL_CLUSTER: usize = 12;
 /// Instances that watch the store for all: two may be lost at once.
 pub const WATCHERS: usize = 3;
 /// An instance that is no seed watches the store for others only after this time: until then it knows
 /// few of them, and of 295 that start together most would believe to be among the first three.
-const SETTLED_US: Micros = 1_500_000;
+const VIEW_SETTLING_US: Micros = 1_500_000;
 /// The longest datagram that is read: what UDP carries.
 const MAX_DATAGRAM: usize = 65_536;
 /// Rounds of which it is remembered what was sent: a second and more.
-const SENT_KEPT: usize = 64;
+const SENT_UPDATES_KEPT: usize = 64;
 /// The seeds are asked for the others after these times from the start, one of them each time: 295
 /// instances are 6 KB, and three seeds told to all of them each 250 ms filled the seeds' links.
-const MEETINGS_MS: [u64; 6] = [0, 150, 400, 800, 1_500, 3_000];
+const DISCOVERY_DELAYS_MS: [u64; 6] = [0, 150, 400, 800, 1_500, 3_000];
 
 /// What a round said of this instance alone.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Sent {
+pub(super) struct SentUpdate {
     pub(super) seq: u64,
     pub(super) at_us: Micros,
     pub(super) loads: Arc<Vec<(EndpointKey, InFlight)>>,
@@ -73,11 +73,11 @@
 #[derive(Debug, Default)]
 pub(super) struct State {
     pub(super) seq: u64,
-    pub(super) sent: VecDeque<Sent>,
-    pub(super) heard: HeardInstances,
+    pub(super) sent_updates: VecDeque<SentUpdate>,
+    pub(super) peer_table: PeerTable,
     pub(super) halls: Halls,
-    pub(super) book: HallBook,
-    pub(super) far_book: FarBook,
+    pub(super) hall_reports: HallBook,
+    pub(super) remote_halls: FarBook,
     pub(super) aggregators: Aggregators,
     /// How many instances the view knows, silent ones included.
     pub(super) instances_in_view: usize,
@@ -86,42 +86,42 @@
     /// Where those are that watch the store for all.
     pub(super) watchers: Vec<SocketAddr>,
     /// When another instance was asked how fresh what it knows is.
-    pub(super) asked_us: Micros,
-    pub(super) told_at_us: Micros,
+    pub(super) freshness_query_us: Micros,
+    pub(super) reported_at_us: Micros,
     /// What is told of requests has changed since.
     pub(super) has_changed: bool,
     pub(super) summary_at_us: Micros,
     /// How long the last summary was.
     pub(super) summary_bytes: usize,
     /// When the peers in other halls were told of this one, and this one of other halls.
-    pub(super) far_summary_at_us: Micros,
-    pub(super) far_told_at_us: Micros,
-    pub(super) turn: usize,
+    pub(super) summary_to_remote_at_us: Micros,
+    pub(super) remote_summary_at_us: Micros,
+    pub(super) round_number: usize,
     /// What was told last of the configuration, the endpoints and the evacuations: news goes out at once.
-    pub(super) told_state: (u64, u64, Vec<Name>),
+    pub(super) last_sent_state: (u64, u64, Vec<Name>),
 }
 
 impl State {
-    fn known(&self, now_us: Micros, view: &View) -> usize {
-        let others = view.others().count().max(self.heard.len());
+    fn known_peers(&self, now_us: Micros, view: &View) -> usize {
+        let others = view.others().count().max(self.peer_table.len());
         others.max(self.halls.sharers(now_us).all.saturating_sub(1))
     }
 
-    pub(super) fn remember(&mut self, sent: Sent) {
-        self.sent.push_back(sent);
-        if self.sent.len() > SENT_KEPT {
-            self.sent.pop_front();
+    pub(super) fn record_sent(&mut self, sent: SentUpdate) {
+        self.sent_updates.push_back(sent);
+        if self.sent_updates.len() > SENT_UPDATES_KEPT {
+            self.sent_updates.pop_front();
         }
     }
 
-    pub(super) fn sent(&self, seq: u64) -> Option<&Sent> {
-        self.sent.iter().find(|s| s.seq == seq)
+    pub(super) fn sent_update(&self, seq: u64) -> Option<&SentUpdate> {
+        self.sent_updates.iter().find(|s| s.seq == seq)
     }
 }
 
 /// The addresses at which an exchange tells and asks, and what its link carries.
 #[derive(Clone, Debug)]
-pub struct ExchangePlace {
+pub struct ExchangeSettings {
     /// This instance, as the membership knows it.
     pub me: MemberInfo,
     /// Control addresses of some instances, which may be gone.
@@ -138,12 +138,12 @@
     pub(super) port: u16,
     pub(super) authenticator: Authenticator,
     pub(super) codec: SealedCodec,
-    pub(super) place: ExchangePlace,
+    pub(super) settings: ExchangeSettings,
     pub(super) my_hall: u32,
     /// The others ask it who is there, or there are none that would.
     pub(super) is_seed: bool,
     pub(super) state: Mutex<State>,
-    pub(super) fetching: Fetching,
+    pub(super) fetching: ActiveFetches,
 }
 
 impl<P: Protocol> Exchange<P> {
@@ -157,17 +157,17 @@
         socket: UdpSocket,
         cluster_key: &[u8],
         codec: SealedCodec,
-        mut place: ExchangePlace,
+        mut settings: ExchangeSettings,
     ) -> std::io::Result<Self> {
         let mut state = State::default();
         let now_us = gateway.clock.now_us();
-        let my_addr = place.me.peer_addr;
-        gateway.quota.join(place.me.incarnation, my_addr.ip());
-        let is_seed = place.seeds.is_empty() || place.seeds.contains(&my_addr);
-        place.seeds.retain(|seed| *seed != my_addr);
+        let my_addr = settings.me.peer_addr;
+        gateway.quota.join(settings.me.incarnation, my_addr.ip());
+        let is_seed = settings.seeds.is_empty() || settings.seeds.contains(&my_addr);
+        settings.seeds.retain(|seed| *seed != my_addr);
         // The seeds are taken for instances until they had time to be heard.
-        for seed in place.seeds.iter().filter(|s| s.ip() != my_addr.ip()) {
-            state.heard.meet(now_us, seed.ip());
+        for seed in settings.seeds.iter().filter(|s| s.ip() != my_addr.ip()) {
+            state.peer_table.add_unseen(now_us, seed.ip());
         }
         Ok(Self {
             gateway,
@@ -176,11 +176,11 @@
             socket,
             authenticator: Authenticator::new(cluster_key, "ryevalve update"),
             codec,
-            my_hall: hall_key(&place.me.hall),
+            my_hall: hall_key(&settings.me.hall),
             is_seed,
-            place,
+            settings,
             state: Mutex::new(state),
-            fetching: Fetching::default(),
+            fetching: ActiveFetches::default(),
         })
     }
 
@@ -191,7 +191,7 @@
         let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
             tokio::select! {
-                _ = round.tick() => self.tell().await,
+                _ = round.tick() => self.run_round().await,
                 received = self.socket.recv_from(&mut buffer) => {
                     if let Ok((len, from)) = received {
                         self.receive(&buffer[..len], from);
@@ -203,23 +203,24 @@
 
     /// Meets the others through the seeds for some seconds after the start, which is quicker than
     /// hearing of each by probes when all of a large group start at once.
-    pub async fn meet(self: Arc<Self>) {
+    pub async fn discover_peers(self: Arc<Self>) {
         let started = time::Instant::now();
-        let first = rand::rng().random_range(0..self.place.seeds.len().max(1));
-        let seeds = self.place.seeds.iter().cycle().skip(first);
-        for (after_ms, seed) in MEETINGS_MS.into_iter().zip(seeds) {
+        let first = rand::rng().random_range(0..self.settings.seeds.len().max(1));
+        let seeds = self.settings.seeds.iter().cycle().skip(first);
+        for (after_ms, seed) in DISCOVERY_DELAYS_MS.into_iter().zip(seeds) {
             time::sleep_until(started + Duration::from_millis(after_ms)).await;
-            let asked = copies::meet(*seed, self.codec.clone(), self.place.me.peer_addr);
+            let answer =
+                copies::exchange_addresses(*seed, self.codec.clone(), self.settings.me.peer_addr);
             // A seed may be long gone; the others are asked all the same.
-            let known = asked.await.unwrap_or_default();
-            self.take_met(&known);
+            let known = answer.await.unwrap_or_default();
+            self.add_peers(&known);
         }
     }
 
     /// Takes control addresses of instances: they are told of this one, and share limits with it.
-    fn take_met(&self, addrs: &[SocketAddr]) {
+    fn add_peers(&self, addrs: &[SocketAddr]) {
         let now_us = self.gateway.clock.now_us();
-        let others = addrs.iter().filter(|a| **a != self.place.me.peer_addr);
+        let others = addrs.iter().filter(|a| **a != self.settings.me.peer_addr);
         let others: Vec<SocketAddr> = others.copied().collect();
         if others.is_empty() {
             return;
@@ -227,54 +228,54 @@
         let known = self.gateway.meet(&others);
         let mut state = self.lock();
         for addr in others {
-            state.heard.meet(now_us, addr.ip());
+            state.peer_table.add_unseen(now_us, addr.ip());
         }
         drop(state);
         self.gossip.set_listed(known);
     }
 
-    async fn tell(self: &Arc<Self>) {
+    async fn run_round(self: &Arc<Self>) {
         let now_us = self.gateway.clock.now_us();
         let view = self.gossip.view();
-        self.take_view(&view);
+        self.apply_view(&view);
         quota::tick(&self.gateway).await;
-        let group = self.count_sharers(now_us, &view);
-        let has_news = self.take_state_news();
+        let cluster_size = self.count_sharers(now_us, &view);
+        let has_state_change = self.take_state_changed();
         let is_suspected = self.gateway.suspects().take_has_changes();
         let has_limits = self.gateway.balancer().take_standings_changed();
         let changed = self.gateway.balancer().take_changed() || is_suspected || has_limits;
         let is_due = {
             let mut state = self.lock();
-            state.turn += 1;
+            state.round_number += 1;
             state.has_changed |= changed;
-            let since_us = now_us.saturating_sub(state.told_at_us);
-            let pace = self.pace(&state);
-            let has_changed = state.has_changed && since_us >= pace.report_us();
-            let is_due = has_news || has_changed || since_us >= pace.quiet_us();
+            let since_us = now_us.saturating_sub(state.reported_at_us);
+            let intervals = self.report_intervals(&state);
+            let has_changed = state.has_changed && since_us >= intervals.min_report_us();
+            let is_due = has_state_change || has_changed || since_us >= intervals.max_report_us();
             if is_due {
-                state.told_at_us = now_us;
+                state.reported_at_us = now_us;
                 state.has_changed = false;
             }
             is_due
         };
-        match group {
+        match cluster_size {
             ClusterSize::Small => {
                 self.gateway
                     .balancer()
                     .load_view_mut()
                     .set_hall_aggregator(false);
                 self.gateway.reserver.set_issuers(Vec::new());
-                self.tell_all(now_us, &view, is_due).await;
+                self.send_to_all(now_us, &view, is_due).await;
             }
             ClusterSize::Large => {
-                self.appoint_ledger(now_us);
-                self.ask_if_old(now_us, &view).await;
+                self.set_reservation_issuers(now_us);
+                self.query_if_stale(now_us, &view).await;
                 if is_due {
                     self.report(now_us).await;
                 }
-                self.tell_hall(now_us, has_news).await;
-                if has_news && self.gateway.watches_store() {
-                    self.tell_of_news(now_us).await;
+                self.send_hall_summaries(now_us, has_state_change).await;
+                if has_state_change && self.gateway.watches_store() {
+                    self.announce_state_change(now_us).await;
                 }
             }
         }
@@ -282,26 +283,28 @@
 
     /// Returns how often this instance reports. Those that watch the store do so as in a small group: the others
     /// know from them how fresh their configuration is.
-    fn pace(&self, state: &State) -> Pace {
+    fn report_intervals(&self, state: &State) -> ReportIntervals {
         let instances = match state.is_watcher {
             true => 0,
-            false => state.aggregators.members_of(&self.place.me.hall),
+            false => state.aggregators.members_of(&self.settings.me.hall),
         };
-        Pace { instances }
+        ReportIntervals { instances }
     }
 
     /// Works out whom this instance asks for places at its hall's endpoints: the aggregators, the first of
     /// them first. One that is the first itself asks nobody.
-    fn appoint_ledger(&self, now_us: Micros) {
+    fn set_reservation_issuers(&self, now_us: Micros) {
         let (chosen, is_aggregator) = {
             let mut state = self.lock();
-            let chosen = state.aggregators.of_hall(now_us, &self.place.me.hall, true);
-            (chosen, state.book.is_aggregator(now_us))
+            let chosen = state
+                .aggregators
+                .of_hall(now_us, &self.settings.me.hall, true);
+            (chosen, state.hall_reports.is_aggregator(now_us))
         };
-        let me = self.place.me.incarnation;
+        let me = self.settings.me.incarnation;
         let before_me = chosen.iter().take_while(|m| m.info.incarnation != me);
-        let ledgers = before_me.map(|m| m.info.peer_addr.ip()).collect();
-        self.gateway.reserver.set_issuers(ledgers);
+        let issuers = before_me.map(|m| m.info.peer_addr.ip()).collect();
+        self.gateway.reserver.set_issuers(issuers);
         self.gateway
             .balancer()
             .load_view_mut()
@@ -309,7 +312,7 @@
     }
 
     /// Works out from a new view what this instance does for others.
-    fn take_view(&self, view: &Arc<View>) {
+    fn apply_view(&self, view: &Arc<View>) {
         let now_us = self.gateway.clock.now_us();
         self.gateway.permits.set_view(view);
         self.gateway.quota.set_view(now_us, view);
@@ -317,31 +320,31 @@
         if state.aggregators.set_view(view) {
             state.instances_in_view = view.instances();
             let in_turn = view.chosen("store", usize::MAX, Member::can_lead);
-            let me = self.place.me.incarnation;
-            let place = in_turn.iter().position(|m| m.info.incarnation == me);
-            state.is_watcher = place.is_some_and(|p| p < WATCHERS);
+            let me = self.settings.me.incarnation;
+            let position = in_turn.iter().position(|m| m.info.incarnation == me);
+            state.is_watcher = position.is_some_and(|p| p < WATCHERS);
             state.watchers = self.watchers(&in_turn);
             self.gateway
-                .set_place_to_watch(place.unwrap_or(in_turn.len()));
+                .set_place_to_watch(position.unwrap_or(in_turn.len()));
         }
-        let is_settled = self.is_seed || self.gateway.clock.now_us() >= SETTLED_US;
+        let is_settled = self.is_seed || self.gateway.clock.now_us() >= VIEW_SETTLING_US;
         let watches = state.is_watcher && is_settled;
         self.gateway.set_watches_store(watches);
     }
 
     /// Counts the sharers, and notes who fell silent.
     fn count_sharers(&self, now_us: Micros, view: &View) -> ClusterSize {
-        let (group, silent, sharers, known_sharers) = {
+        let (cluster_size, silent, sharers, known_sharers) = {
             let mut state = self.lock();
-            let silent = state.heard.expire(now_us);
+            let silent = state.peer_table.expire(now_us);
             let silent_halls = state.halls.expire(now_us);
-            let known = state.known(now_us, view);
-            if known < SMALL_GROUP {
-                let known = state.heard.spoken_sharers(now_us);
+            let known = state.known_peers(now_us, view);
+            if known < SMALL_CLUSTER {
+                let known = state.peer_table.seen_sharers(now_us);
                 (
                     ClusterSize::Small,
                     silent,
-                    state.heard.sharers(now_us),
+                    state.peer_table.sharers(now_us),
                     known,
                 )
             } else {
@@ -362,9 +365,9 @@
                 .quota
                 .add_addresses(self.addresses(view).into_iter());
         }
-        for teller in silent {
-            if group == ClusterSize::Large {
-                let whose = self.whose(teller);
+        for source in silent {
+            if cluster_size == ClusterSize::Large {
+                let whose = self.summary_scope(source);
                 log::warn!(
                     target: "ryevalve::process",
                     whose, instances = sharers.all, instances_heard = sharers.heard;
@@ -372,25 +375,25 @@
                 );
             }
         }
-        self.show(now_us, sharers);
+        self.update_metrics(now_us, sharers);
         self.gateway.set_sharers(sharers);
         self.gateway
             .balancer()
             .load_view_mut()
-            .set_cluster_size(group);
-        group
+            .set_cluster_size(cluster_size);
+        cluster_size
     }
 
     /// Returns where instances are, or were.
     fn addresses(&self, view: &View) -> Vec<IpAddr> {
         let state = self.lock();
-        let met = state.heard.iter().map(|(ip, _)| *ip);
+        let added = state.peer_table.iter().map(|(ip, _)| *ip);
         let members = view.members.iter().map(|m| m.info.peer_addr.ip());
-        met.chain(members).collect()
+        added.chain(members).collect()
     }
 
     /// Shows in the counters what the exchange believes.
-    fn show(&self, now_us: Micros, sharers: InstanceCounts) {
+    fn update_metrics(&self, now_us: Micros, sharers: InstanceCounts) {
         let state = self.lock();
         let age_s = |hall: u32| {
             let age_us = state.halls.age_us(now_us, hall);
@@ -400,13 +403,13 @@
         metrics.instances.set(sharers.all as i64);
         metrics.hall_summary_age_seconds.set(age_s(self.my_hall));
         metrics.far_summary_age_seconds.set(age_s(FAR_HALLS));
-        let reporters = state.book.headcount(now_us).heard.saturating_sub(1);
+        let reporters = state.hall_reports.headcount(now_us).heard.saturating_sub(1);
         metrics.reporters.set(i64::from(reporters));
     }
 
     /// Names in logs whose summaries are meant.
-    pub(super) fn whose(&self, teller: Incarnation) -> &'static str {
-        if teller == teller_of_hall(FAR_HALLS) {
+    pub(super) fn summary_scope(&self, source: Incarnation) -> &'static str {
+        if source == teller_of_hall(FAR_HALLS) {
             "other_halls"
         } else {
             "own_hall"
--- a/src/gateway/fetching.rs
+++ b/src/gateway/fetching.rs
@@ -29,16 +29,16 @@
 };
 
 /// Instances that are asked for the same, one after the other.
-const MOST_ASKED: usize = 12;
+const MAX_ATTEMPTS: usize = 12;
 /// Pause after one that gave nothing; spread, so that those that were put off together do not come together.
-const PAUSE_MS: Range<u64> = 30..90;
+const RETRY_PAUSE_MS: Range<u64> = 30..90;
 /// One in so many is asked in any data centre, the others in the own one.
-const ANYWHERE_EACH: u32 = 4;
+const ANY_HALL_RATIO: u32 = 4;
 /// A process that starts asks others for this long, and this often.
-const STARTING: Duration = Duration::from_secs(10);
-const STARTING_PAUSE: Duration = Duration::from_millis(60);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+const START_RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// What is to be fetched, if nothing as new is known.
+/// What is to be copy, if nothing as new is known.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Wanted {
     /// A configuration of this version or a later one.
@@ -58,13 +58,13 @@
 
 /// Which fetches are under way; one of each kind at a time.
 #[derive(Debug, Default)]
-pub(super) struct Fetching {
+pub(super) struct ActiveFetches {
     config: AtomicBool,
     endpoints: AtomicBool,
 }
 
-impl Fetching {
-    fn of(&self, wanted: Wanted) -> &AtomicBool {
+impl ActiveFetches {
+    fn flag(&self, wanted: Wanted) -> &AtomicBool {
         match wanted {
             Wanted::Config(_) => &self.config,
             Wanted::Endpoints(_) => &self.endpoints,
@@ -73,15 +73,18 @@
 }
 
 impl<P: Protocol> Exchange<P> {
-    /// Fetches what an instance is said to have, from it or from another one, unless one of the kind is being fetched.
+    /// Fetches what an instance is said to have, from it or from another one, unless one of the kind is being copy.
     pub(super) fn fetch(self: &Arc<Self>, ip: IpAddr, wanted: Wanted) {
-        if self.has(wanted) || self.fetching.of(wanted).swap(true, Ordering::Relaxed) {
+        if self.has(wanted) || self.fetching.flag(wanted).swap(true, Ordering::Relaxed) {
             return;
         }
         let exchange = self.clone();
         tokio::spawn(async move {
-            exchange.fetch_from_some(ip, wanted).await;
-            exchange.fetching.of(wanted).store(false, Ordering::Relaxed);
+            exchange.fetch_with_retries(ip, wanted).await;
+            exchange
+                .fetching
+                .flag(wanted)
+                .store(false, Ordering::Relaxed);
         });
     }
 
@@ -94,39 +97,39 @@
 
     /// Asks seeds and others by turns until something is known.
     async fn fetch_missing(&self, wanted: Wanted) {
-        let until = time::Instant::now() + STARTING;
+        let until = time::Instant::now() + START_TIMEOUT;
         let mut is_seed_due = true;
         while !self.has(wanted) && time::Instant::now() < until {
-            let seed = self.place.seeds.iter().choose(&mut rand::rng());
+            let seed = self.settings.seeds.iter().choose(&mut rand::rng());
             let seed = seed.map(|seed| seed.ip()).filter(|_| is_seed_due);
             is_seed_due = !is_seed_due;
-            if let Some(ip) = seed.or_else(|| self.some_other())
-                && let Err(error) = self.take(ip, wanted).await
+            if let Some(ip) = seed.or_else(|| self.random_peer())
+                && let Err(error) = self.fetch_once(ip, wanted).await
             {
                 // Many start beside this one, and some of them do not listen yet.
                 let (what, reason) = (wanted.as_str(), error.to_string());
                 log::debug!(target: "ryevalve::process", what, reason; "copies_not_fetched");
             }
-            time::sleep(STARTING_PAUSE).await;
+            time::sleep(START_RETRY_PAUSE).await;
         }
     }
 
-    async fn fetch_from_some(&self, first: IpAddr, wanted: Wanted) {
+    async fn fetch_with_retries(&self, first: IpAddr, wanted: Wanted) {
         let mut from = Some(first);
         let mut is_logged = false;
-        for _ in 0..MOST_ASKED {
+        for _ in 0..MAX_ATTEMPTS {
             let Some(ip) = from else { return };
-            if let Err(error) = self.take(ip, wanted).await
+            if let Err(error) = self.fetch_once(ip, wanted).await
                 && !std::mem::replace(&mut is_logged, true)
             {
-                log_unfetched(wanted.as_str(), &error);
+                log_fetch_failure(wanted.as_str(), &error);
             }
             if self.has(wanted) {
                 return;
             }
-            let pause_ms = rand::rng().random_range(PAUSE_MS);
+            let pause_ms = rand::rng().random_range(RETRY_PAUSE_MS);
             time::sleep(Duration::from_millis(pause_ms)).await;
-            from = self.some_other();
+            from = self.random_peer();
         }
     }
 
@@ -137,63 +140,65 @@
         }
     }
 
-    async fn take(&self, ip: IpAddr, wanted: Wanted) -> Result<(), CopyError> {
+    async fn fetch_once(&self, ip: IpAddr, wanted: Wanted) -> Result<(), CopyError> {
         match wanted {
-            Wanted::Config(_) => self.take_config(ip).await,
-            Wanted::Endpoints(_) => self.take_endpoints(ip).await,
+            Wanted::Config(_) => self.fetch_config_once(ip).await,
+            Wanted::Endpoints(_) => self.fetch_endpoints_once(ip).await,
         }
     }
 
-    async fn take_config(&self, ip: IpAddr) -> Result<(), CopyError> {
+    async fn fetch_config_once(&self, ip: IpAddr) -> Result<(), CopyError> {
         let gateway = &self.gateway;
-        let addr = self.copies_at(ip);
+        let addr = self.copies_addr(ip);
         let version = gateway.config.version();
-        let taken = copies::fetch_config(addr, self.codec.clone(), version, gateway.clock).await?;
-        let Some(taken) = taken else { return Ok(()) };
-        let version = taken.value.version;
-        gateway.offer(taken.value, "peer");
-        if let Some(fresh_at_us) = taken.fresh_at_us {
+        let copy = copies::fetch_config(addr, self.codec.clone(), version, gateway.clock).await?;
+        let Some(copy) = copy else {
+            return Ok(());
+        };
+        let version = copy.value.version;
+        gateway.offer(copy.value, "peer");
+        if let Some(fresh_at_us) = copy.fresh_at_us {
             gateway.config.confirm(version, fresh_at_us);
         }
         Ok(())
     }
 
-    async fn take_endpoints(&self, ip: IpAddr) -> Result<(), CopyError> {
+    async fn fetch_endpoints_once(&self, ip: IpAddr) -> Result<(), CopyError> {
         let gateway = &self.gateway;
-        let addr = self.copies_at(ip);
+        let addr = self.copies_addr(ip);
         let revision = gateway.balancer().endpoints_revision();
-        let asked = copies::fetch_endpoints(addr, self.codec.clone(), revision, gateway.clock);
-        if let Some(taken) = asked.await? {
-            gateway.take_endpoints(taken.value, taken.fresh_at_us);
+        let answer = copies::fetch_endpoints(addr, self.codec.clone(), revision, gateway.clock);
+        if let Some(copy) = answer.await? {
+            gateway.take_endpoints(copy.value, copy.fresh_at_us);
         }
         Ok(())
     }
 
     /// Returns an instance to ask, in the own data centre more often than in another one.
-    fn some_other(&self) -> Option<IpAddr> {
+    fn random_peer(&self) -> Option<IpAddr> {
         let mut rng = rand::rng();
-        let is_anywhere = rng.random_ratio(1, ANYWHERE_EACH);
-        let my_hall = &self.place.me.hall;
+        let is_any_hall = rng.random_ratio(1, ANY_HALL_RATIO);
+        let my_hall = &self.settings.me.hall;
         let view = self.gossip.view();
-        let is_near = |m: &&Member| is_anywhere || m.info.hall == *my_hall;
-        let member = view.others().filter(is_near).choose(&mut rng);
+        let is_eligible = |m: &&Member| is_any_hall || m.info.hall == *my_hall;
+        let member = view.others().filter(is_eligible).choose(&mut rng);
         if let Some(member) = member {
             return Some(member.info.peer_addr.ip());
         }
         // Those that were met are not all in the view yet.
-        let me = self.place.me.peer_addr;
-        let met = self.gateway.meet(&[]).into_iter();
-        let other = met.filter(|addr| *addr != me).choose(&mut rng);
+        let me = self.settings.me.peer_addr;
+        let known = self.gateway.meet(&[]).into_iter();
+        let other = known.filter(|addr| *addr != me).choose(&mut rng);
         other.map(|addr| addr.ip())
     }
 
     /// Returns where an instance gives copies: all have the same port for that.
-    fn copies_at(&self, ip: IpAddr) -> SocketAddr {
-        SocketAddr::new(ip, self.place.me.peer_addr.port())
+    fn copies_addr(&self, ip: IpAddr) -> SocketAddr {
+        SocketAddr::new(ip, self.settings.me.peer_addr.port())
     }
 }
 
-fn log_unfetched(what: &'static str, error: &CopyError) {
+fn log_fetch_failure(what: &'static str, error: &CopyError) {
     let reason = error.to_string();
     log::warn!(target: "ryevalve::process", what, reason; "copies_not_fetched");
 }
--- a/src/gateway/acting.rs
+++ b/src/gateway/freshness_checks.rs
@@ -5,14 +5,14 @@
 use crate::{
     gateway::{
         protocol::Protocol,
-        staleness::{Staleness, StalenessBound, Standing},
+        staleness::{Freshness, Staleness, StalenessBound},
         state::Gateway,
     },
     prelude::Micros,
 };
 
 /// How often what waits for the store's answer looks whether the store still is to be waited for.
-const ANSWER_LOOK: Duration = Duration::from_millis(20);
+const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl<P: Protocol> Gateway<P> {
     /// Returns for how long the configuration has not been known to be the newest.
@@ -41,20 +41,20 @@
     }
 
     /// Returns whether the endpoints may be acted on.
-    pub fn endpoints_standing(&self) -> Standing {
-        self.standing(&self.endpoints, self.bounds().drain)
+    pub fn endpoints_freshness(&self) -> Freshness {
+        self.freshness(&self.endpoints, self.bounds().drain)
     }
 
     /// Returns whether the configuration may be acted on.
-    pub fn config_standing(&self) -> Standing {
-        self.standing(&self.config.staleness, self.bounds().config())
+    pub fn config_freshness(&self) -> Freshness {
+        self.freshness(&self.config.staleness, self.bounds().config())
     }
 
-    fn standing(&self, known: &Staleness, bound: StalenessBound) -> Standing {
-        match known.standing(self.clock.now_us(), bound) {
+    fn freshness(&self, staleness: &Staleness, bound: StalenessBound) -> Freshness {
+        match staleness.freshness(self.clock.now_us(), bound) {
             // The store had no time to answer: this machine was not there.
-            Standing::Unreachable if self.clock.has_just_resumed() => Standing::Asking,
-            standing => standing,
+            Freshness::Unreachable if self.clock.has_just_resumed() => Freshness::Refreshing,
+            freshness => freshness,
         }
     }
 
@@ -62,49 +62,51 @@
     ///
     /// An instance that nobody tells of changes would use endpoints that have left; one that gets no answer goes
     /// on with what it knows, as all do in an outage.
-    pub async fn endpoints_settled(&self) {
-        self.settled(&self.endpoints, self.bounds().drain).await;
+    pub async fn wait_for_fresh_endpoints(&self) {
+        self.wait_until_fresh(&self.endpoints, self.bounds().drain)
+            .await;
     }
 
     /// The same for the configuration.
-    pub async fn config_settled(&self) {
+    pub async fn wait_for_fresh_config(&self) {
         let bound = self.bounds().config();
-        self.settled(&self.config.staleness, bound).await;
+        self.wait_until_fresh(&self.config.staleness, bound).await;
     }
 
     /// Returns whether the evacuations may be acted on; they always may where there are none.
-    pub fn evacuations_standing(&self) -> Standing {
+    pub fn evacuations_freshness(&self) -> Freshness {
         match self.bounds().evacuate {
-            Some(bound) => self.standing(&self.evacuations.staleness, bound),
-            None => Standing::Fresh,
+            Some(bound) => self.freshness(&self.evacuations.staleness, bound),
+            None => Freshness::Fresh,
         }
     }
 
     /// Waits, while the store is being asked, until what is known of evacuations may be acted on.
-    pub async fn evacuations_settled(&self) {
+    pub async fn wait_for_fresh_evacuations(&self) {
         if let Some(bound) = self.bounds().evacuate {
-            self.settled(&self.evacuations.staleness, bound).await;
+            self.wait_until_fresh(&self.evacuations.staleness, bound)
+                .await;
         }
     }
 
-    async fn settled(&self, known: &Staleness, bound: StalenessBound) {
-        let until_us = self.clock.now_us() + bound.answer_us();
+    async fn wait_until_fresh(&self, staleness: &Staleness, bound: StalenessBound) {
+        let until_us = self.clock.now_us() + bound.answer_timeout_us();
         loop {
             let now_us = self.clock.now_us();
-            if now_us >= until_us || self.standing(known, bound) != Standing::Asking {
+            if now_us >= until_us || self.freshness(staleness, bound) != Freshness::Refreshing {
                 return;
             }
-            known.wait_for_answer(ANSWER_LOOK).await;
+            staleness.wait_for_answer(RECHECK_INTERVAL).await;
         }
     }
 
     /// Returns whether the configuration in force may deny what it does not have.
     pub fn may_deny(&self) -> bool {
-        self.is_fresh() && self.config_standing() == Standing::Fresh
+        self.is_config_fresh() && self.config_freshness() == Freshness::Fresh
     }
 
     /// Returns whether the configuration is new enough to judge a key by.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_config_fresh(&self) -> bool {
         self.config_age_us() <= self.bounds().key_age_us()
     }
 
@@ -113,13 +115,13 @@
     /// Operators who do not ask for strict revocation are served by the last configuration known
     /// while the store is away.
     pub fn may_use_keys(&self) -> bool {
-        !self.bounds().is_revocation_strict || self.is_fresh()
+        !self.bounds().is_revocation_strict || self.is_config_fresh()
     }
 
     /// Returns whether callers are to be sent here.
     pub fn is_ready(&self) -> bool {
-        let serves = self.is_fresh() && self.balancer().endpoint_count() > 0;
-        let knows_evacuations = self.evacuations_standing() != Standing::Unknown;
+        let serves = self.is_config_fresh() && self.balancer().endpoint_count() > 0;
+        let knows_evacuations = self.evacuations_freshness() != Freshness::Unknown;
         serves && knows_evacuations && !self.is_stopping()
     }
 }
--- a/src/gateway/hall_book.rs
+++ b/src/gateway/hall_book.rs
@@ -13,7 +13,7 @@
         prefixes::ChainKey,
         speed::SpeedSamples,
     },
-    gateway::heard::{HEARD_US, SHARER_US},
+    gateway::peer_table::{PEER_EXPIRY_US, PEER_SILENT_US},
     peers::update::{HallSummary, Update, address_key},
     prelude::{Incarnation, Micros},
 };
@@ -152,7 +152,7 @@
     /// Forgets those that fell silent long ago.
     pub fn expire(&mut self, now_us: Micros) {
         self.members
-            .retain(|_, m| now_us.saturating_sub(m.heard_us) < SHARER_US);
+            .retain(|_, m| now_us.saturating_sub(m.heard_us) < PEER_EXPIRY_US);
     }
 
     /// Returns whether anybody reports here.
@@ -195,7 +195,7 @@
     }
 
     fn heard(&self, now_us: Micros) -> impl Iterator<Item = (&IpAddr, &Member)> {
-        let is_heard = move |m: &Member| now_us.saturating_sub(m.heard_us) < HEARD_US;
+        let is_heard = move |m: &Member| now_us.saturating_sub(m.heard_us) < PEER_SILENT_US;
         self.members.iter().filter(move |(_, m)| is_heard(m))
     }
 }
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use crate::{
-    gateway::heard::{HEARD_US, SHARER_US},
+    gateway::peer_table::{PEER_EXPIRY_US, PEER_SILENT_US},
     limits::instance_counts::InstanceCounts,
     peers::update::HallSummary,
     prelude::{Incarnation, Micros},
@@ -43,7 +43,7 @@
     fn headcount(&self, now_us: Micros) -> (u32, u32) {
         let instances = self.sources.values().map(|s| s.instances).max();
         let fresh = self.sources.values();
-        let fresh = fresh.filter(|s| now_us.saturating_sub(s.at_us) < HEARD_US);
+        let fresh = fresh.filter(|s| now_us.saturating_sub(s.at_us) < PEER_SILENT_US);
         (
             instances.unwrap_or(0),
             fresh.map(|s| s.heard).max().unwrap_or(0),
@@ -99,7 +99,7 @@
         let mut silent = Vec::new();
         for (key, hall) in &mut self.by_key {
             hall.sources
-                .retain(|_, s| now_us.saturating_sub(s.at_us) < SHARER_US);
+                .retain(|_, s| now_us.saturating_sub(s.at_us) < PEER_EXPIRY_US);
             let (_, heard) = hall.headcount(now_us);
             if heard == 0 && !std::mem::replace(&mut hall.is_forgotten, true) {
                 silent.push(*key);
--- a/src/gateway/packed.rs
+++ b/src/gateway/packed.rs
@@ -31,9 +31,9 @@
 /// # Errors
 /// It cannot be encoded.
 pub fn pack<T: Serialize>(value: &T) -> io::Result<Vec<u8>> {
-    let plain = postcard::to_stdvec(value).map_err(io::Error::other)?;
+    let encoded = postcard::to_stdvec(value).map_err(io::Error::other)?;
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-    io::Write::write_all(&mut encoder, &plain)?;
+    io::Write::write_all(&mut encoder, &encoded)?;
     encoder.finish()
 }
 
@@ -42,9 +42,9 @@
 /// # Errors
 /// The bytes are not those of one.
 pub fn unpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, UnpackError> {
-    let mut plain = Vec::new();
+    let mut encoded = Vec::new();
     let decoder = DeflateDecoder::new(bytes);
-    let read = decoder.take(MAX_UNPACKED_BYTES).read_to_end(&mut plain);
+    let read = decoder.take(MAX_UNPACKED_BYTES).read_to_end(&mut encoded);
     read.context(DecompressSnafu)?;
-    postcard::from_bytes(&plain).context(DecodeSnafu)
+    postcard::from_bytes(&encoded).context(DecodeSnafu)
 }
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -31,8 +31,8 @@
 impl<P: Protocol> Gateway<P> {
     /// Chooses an endpoint for a request that is not in `tried`, waiting for a free slot if needed.
     pub async fn place(&self, ask: &PlacementRequest, tried: &[EndpointKey]) -> Placement {
-        self.endpoints_settled().await;
-        self.evacuations_settled().await;
+        self.wait_for_fresh_endpoints().await;
+        self.wait_for_fresh_evacuations().await;
         let now_us = self.clock.now_us();
         let refusal = self.balancer().refuse_while_backing_off(now_us, ask);
         if let Some(refusal) = refusal {
--- a/src/gateway/hearing.rs
+++ b/src/gateway/receiving.rs
@@ -25,21 +25,21 @@
             self.gateway.metrics.datagrams_dropped.inc();
             return;
         };
-        if update.from == self.place.me.incarnation {
+        if update.from == self.settings.me.incarnation {
             return;
         }
         let now_us = self.gateway.clock.now_us();
         {
             let mut state = self.lock();
-            if !state.heard.note_direct(now_us, from.ip(), &update) {
+            if !state.peer_table.record_update(now_us, from.ip(), &update) {
                 self.gateway.metrics.datagrams_dropped.inc();
                 return;
             }
-            state.aggregators.answered(update.from);
+            state.aggregators.record_answer(update.from);
         }
         self.gateway.metrics.updates_received.inc();
-        let echo = update.echo_of(address_key(self.place.me.peer_addr.ip()));
-        self.take_freshness(&update, echo, from);
+        let echo = update.echo_of(address_key(self.settings.me.peer_addr.ip()));
+        self.apply_freshness(&update, echo, from);
         if update.purpose == Purpose::Question {
             self.answer(now_us, from);
             return;
@@ -48,96 +48,98 @@
             .suspects()
             .apply_updates(now_us, &update.suspects);
         endpoint_announcements::apply_from_peer(&self.gateway, &update.standings);
-        let group = self.gateway.balancer().load_view().cluster_size();
-        match (group, update.purpose) {
-            (ClusterSize::Small, _) => self.take_direct(now_us, &update),
-            (ClusterSize::Large, Purpose::Summary) => self.take_summaries(now_us, update, echo),
-            (ClusterSize::Large, _) => self.take_report(now_us, update, from.ip()),
+        let cluster_size = self.gateway.balancer().load_view().cluster_size();
+        match (cluster_size, update.purpose) {
+            (ClusterSize::Small, _) => self.apply_direct(now_us, &update),
+            (ClusterSize::Large, Purpose::Summary) => self.apply_summaries(now_us, update, echo),
+            (ClusterSize::Large, _) => self.apply_report(now_us, update, from.ip()),
         }
         self.gateway.reconsider();
     }
 
     /// Takes an update of another instance of a small group.
-    fn take_direct(&self, now_us: Micros, update: &Update) {
-        self.take_news(now_us, update);
+    fn apply_direct(&self, now_us: Micros, update: &Update) {
+        self.apply_observations(now_us, update);
         let mut balancer = self.gateway.balancer();
         balancer.apply_peer_update(now_us, update.from, &update.loads, &[], &[]);
     }
 
     /// Takes a report of an instance of the own hall.
-    fn take_report(&self, now_us: Micros, update: Update, from: IpAddr) {
+    fn apply_report(&self, now_us: Micros, update: Update, from: IpAddr) {
         if update.hall != self.my_hall {
             return;
         }
-        self.take_news(now_us, &update);
-        self.lock().book.note(now_us, from, &update);
+        self.apply_observations(now_us, &update);
+        self.lock().hall_reports.note(now_us, from, &update);
         let mut balancer = self.gateway.balancer();
         if balancer.load_view().is_hall_aggregator() {
             balancer.apply_grantee_report(now_us, update.from, &update.loads, update.settled);
         }
         drop(balancer);
         for summary in update.halls {
-            self.take_far_summary(now_us, summary);
+            self.apply_remote_summary(now_us, summary);
         }
     }
 
     /// Takes what an aggregator said.
-    fn take_summaries(&self, now_us: Micros, update: Update, echo: u64) {
-        let is_near = update.hall == self.my_hall;
-        if is_near {
-            self.take_news(now_us, &update);
+    fn apply_summaries(&self, now_us: Micros, update: Update, echo: u64) {
+        let is_own_hall = update.hall == self.my_hall;
+        if is_own_hall {
+            self.apply_observations(now_us, &update);
         }
         for summary in update.halls {
-            if is_near {
-                self.take_summary(now_us, &summary, echo);
+            if is_own_hall {
+                self.apply_summary(now_us, &summary, echo);
             } else {
-                self.take_far_summary(now_us, summary);
+                self.apply_remote_summary(now_us, summary);
             }
         }
     }
 
     /// Takes a summary of another hall that the own hall was not told: it is summed up by an aggregator,
     /// and handed on by others.
-    fn take_far_summary(&self, now_us: Micros, summary: HallSummary) {
+    fn apply_remote_summary(&self, now_us: Micros, summary: HallSummary) {
         if summary.hall == self.my_hall || summary.hall == FAR_HALLS {
             return;
         }
         let mut state = self.lock();
-        if !state.far_book.note(now_us, &summary) {
+        if !state.remote_halls.note(now_us, &summary) {
             return;
         }
-        if !state.book.is_aggregator(now_us) {
-            state.book.note_hall(summary);
+        if !state.hall_reports.is_aggregator(now_us) {
+            state.hall_reports.note_hall(summary);
         }
     }
 
     /// Takes a summary; `echo` is the newest round of this instance that is in it.
-    pub(super) fn take_summary(&self, now_us: Micros, summary: &HallSummary, echo: u64) {
+    pub(super) fn apply_summary(&self, now_us: Micros, summary: &HallSummary, echo: u64) {
         let is_own = summary.hall == self.my_hall;
-        let taken = {
+        let noted = {
             let mut state = self.lock();
-            let sent = state.sent(echo).cloned();
+            let sent = state.sent_update(echo).cloned();
             if is_own && sent.is_none() {
                 // What of it is this instance's own is not known.
                 return;
             }
             let sent = sent.filter(|_| is_own).unwrap_or_default();
-            let taken = state.halls.note(now_us, summary);
-            taken.map(|taken| (taken, sent))
+            let noted = state.halls.note(now_us, summary);
+            noted.map(|noted| (noted, sent))
         };
-        let Some((taken, sent)) = taken else { return };
-        let teller = teller_of_hall(summary.hall);
-        if taken.is_regained {
-            let whose = self.whose(teller);
+        let Some((noted, sent)) = noted else {
+            return;
+        };
+        let source = teller_of_hall(summary.hall);
+        if noted.is_regained {
+            let whose = self.summary_scope(source);
             log::info!(target: "ryevalve::process", whose; "summaries_regained");
         }
         let mut balancer = self.gateway.balancer();
-        let is_known_singly = is_own && balancer.load_view().is_hall_aggregator();
-        if taken.takes_loads && !is_known_singly {
-            let loads = without(&summary.loads, &sent.loads);
+        let has_own_reports = is_own && balancer.load_view().is_hall_aggregator();
+        if noted.takes_loads && !has_own_reports {
+            let loads = subtract_own(&summary.loads, &sent.loads);
             balancer
                 .load_view_mut()
-                .apply_peer_loads(now_us, teller, summary.span, &loads);
+                .apply_peer_loads(now_us, source, summary.span, &loads);
         }
         balancer
             .load_view_mut()
@@ -145,7 +147,7 @@
         balancer.apply_speed_summaries(&summary.speeds);
     }
 
-    fn take_news(&self, now_us: Micros, update: &Update) {
+    fn apply_observations(&self, now_us: Micros, update: &Update) {
         let mut balancer = self.gateway.balancer();
         balancer.remove_dead_endpoints(&update.dead);
         balancer.apply_peer_observations(now_us, &update.read, &update.seen);
@@ -156,7 +158,7 @@
 
     /// Takes what the sender knows of the store. What it told is no older than the sending of the
     /// number that it echoes.
-    fn take_freshness(self: &Arc<Self>, update: &Update, echo: u64, from: SocketAddr) {
+    fn apply_freshness(self: &Arc<Self>, update: &Update, echo: u64, from: SocketAddr) {
         let version = self.gateway.config.version();
         let revision = self.gateway.balancer().endpoints_revision();
         if update.config_version > 0 && update.endpoints_revision > 0 {
@@ -164,7 +166,7 @@
         }
         self.fetch(from.ip(), Wanted::Config(update.config_version));
         self.fetch(from.ip(), Wanted::Endpoints(update.endpoints_revision));
-        let sent_us = self.lock().sent(echo).map(|sent| sent.at_us);
+        let sent_us = self.lock().sent_update(echo).map(|sent| sent.at_us);
         let asked_us = |age_ms: u32| Some(sent_us?.saturating_sub(u64::from(age_ms) * 1_000));
         let evacuations_asked_us = update.evacuations_age_ms.and_then(asked_us);
         let evacuations = update.evacuations.clone();
@@ -183,12 +185,12 @@
 }
 
 /// Returns loads without this instance's own.
-fn without(
+fn subtract_own(
     loads: &[(EndpointKey, InFlight)],
     own: &[(EndpointKey, InFlight)],
 ) -> Vec<(EndpointKey, InFlight)> {
     let own: HashMap<EndpointKey, InFlight> = own.iter().copied().collect();
-    let rest = loads.iter().map(|(key, load)| {
+    let others = loads.iter().map(|(key, load)| {
         let own = own.get(key).copied().unwrap_or_default();
         let load = InFlight {
             requests: load.requests.saturating_sub(own.requests),
@@ -196,5 +198,5 @@
         };
         (*key, load)
     });
-    rest.collect()
+    others.collect()
 }
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -103,7 +103,7 @@
     arrived_us: Micros,
     trace: &mut Trace,
 ) -> Result<Response<Body>, Refusal> {
-    gateway.config_settled().await;
+    gateway.wait_for_fresh_config().await;
     let table = gateway.config.table();
     let table = table.ok_or_else(|| refuse::not_ready("no_configuration"))?;
     let (parts, body) = request.into_parts();
--- a/src/gateway/send_check.rs
+++ b/src/gateway/send_check.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     balance::{load::EndpointKey, readiness::Readiness},
-    gateway::{protocol::Protocol, staleness::Standing as Staleness, state::Gateway},
+    gateway::{protocol::Protocol, staleness::Freshness as Staleness, state::Gateway},
 };
 
 /// Reason for not sending a request: its endpoint is leaving or has left.
@@ -21,11 +21,11 @@
     /// # Errors
     /// The reason why it may not; the request is then sent to another endpoint.
     pub fn check_before_send(&self, key: EndpointKey) -> Result<(), &'static str> {
-        if self.endpoints_standing() == Staleness::Asking {
+        if self.endpoints_freshness() == Staleness::Refreshing {
             // This process was suspended and its endpoint list is being refreshed: the endpoint may have left.
             return Err(ENDPOINT_LEFT);
         }
-        if self.evacuations_standing() == Staleness::Asking {
+        if self.evacuations_freshness() == Staleness::Refreshing {
             return Err(ENDPOINT_EVACUATED);
         }
         let now_us = self.clock.now_us();
--- a/src/gateway/rounds.rs
+++ b/src/gateway/sending.rs
@@ -12,11 +12,11 @@
 use crate::{
     balance::load::split_loads,
     gateway::{
-        exchange::{Exchange, Sent},
+        exchange::{Exchange, SentUpdate},
         far_book::FAR_HALLS,
         hall_book::News,
-        pace::Pace,
         protocol::Protocol,
+        report_intervals::ReportIntervals,
     },
     limits::dissemination::Audience,
     peers::{
@@ -32,52 +32,52 @@
 const SUMMARY_LINK_SHARE: f64 = 0.3;
 /// An aggregator tells its peers in other halls its sums this often: with two of them, each 200 ms in
 /// the mean. In between it tells them how fresh its configuration is.
-const FAR_SUMMARY_US: Micros = 400_000;
+const REMOTE_SUMMARY_US: Micros = 400_000;
 /// Endpoints of which one summary tells the load; about 9 bytes each. More go into several.
-const LOADS_TOLD: usize = 400;
+const LOADS_PER_SUMMARY: usize = 400;
 /// Summaries of other halls that one that is no aggregator hands on at a time; about 1 KB each.
-const HALLS_TOLD: usize = 4;
+const FORWARDED_SUMMARIES: usize = 4;
 /// A summary goes out to so many at a time, with pauses that leave half of the link free: sent at once
 /// to 49, those at the end of a full link's queue lost it each time.
-const SENT_AT_ONCE: usize = 6;
-const SENT_LINK_SHARE: f64 = 0.5;
-const READS_TOLD: usize = 48;
+const SEND_BATCH: usize = 6;
+const SEND_LINK_SHARE: f64 = 0.5;
+const CHAINS_PER_UPDATE: usize = 48;
 /// Endpoints of which a round tells how fast they were seen to be; about 15 bytes each.
-const SEEN_TOLD: usize = 4;
+const SPEED_SAMPLES_PER_UPDATE: usize = 4;
 /// Endpoints of which a word to another hall tells the speed; about 11 bytes each.
-const SPEEDS_TOLD: usize = 5;
+const SPEEDS_PER_SUMMARY: usize = 5;
 /// One that was met or heard and is not in the view is told for this long.
-const MET_UNHEARD_US: Micros = 4_000_000;
+const UNADMITTED_US: Micros = 4_000_000;
 /// A configuration's age beyond this is of no use to anybody.
 const MAX_AGE_MS: u64 = 60_000;
 
-fn told_age_ms(age_us: Micros) -> Option<u32> {
+fn sent_age_ms(age_us: Micros) -> Option<u32> {
     let age_ms = age_us / 1_000 + 1;
     (age_ms < MAX_AGE_MS).then_some(age_ms as u32)
 }
 
 impl<P: Protocol> Exchange<P> {
     /// Returns whether the configuration, the endpoints or the evacuations changed since they were told last.
-    pub(super) fn take_state_news(&self) -> bool {
+    pub(super) fn take_state_changed(&self) -> bool {
         let revision = self.gateway.balancer().endpoints_revision();
         let evacuated = self.gateway.evacuations.known().data_centres;
-        let news = (self.gateway.config.version(), revision, evacuated);
+        let current = (self.gateway.config.version(), revision, evacuated);
         let mut state = self.lock();
-        let has_changed = state.told_state != news;
-        state.told_state = news;
+        let has_changed = state.last_sent_state != current;
+        state.last_sent_state = current;
         has_changed
     }
 
     /// Tells every instance of a small group, and those met that the membership has not admitted.
-    pub(super) async fn tell_all(&self, now_us: Micros, view: &View, is_due: bool) {
+    pub(super) async fn send_to_all(&self, now_us: Micros, view: &View, is_due: bool) {
         let targets = self.targets(now_us, view, is_due);
         if targets.is_empty() {
             return;
         }
         let mut update = self.next_update(now_us, Purpose::Direct);
-        self.add_standing(now_us, &mut update, Audience::Peers);
-        let news = self.take_own_news();
-        self.add_news(&mut update, news);
+        self.add_due_updates(now_us, &mut update, Audience::Peers);
+        let observations = self.take_own_observations();
+        self.add_observations(&mut update, observations);
         for addr in targets {
             self.send(addr, &mut update).await;
         }
@@ -92,9 +92,9 @@
             targets.extend(known.iter().map(|ip| SocketAddr::new(*ip, self.port)));
         }
         // Met, and not yet admitted by the membership.
-        for (ip, heard) in state.heard.iter() {
-            let is_late = now_us.saturating_sub(heard.at_us) >= MET_UNHEARD_US;
-            let is_me = *ip == self.place.me.peer_addr.ip();
+        for (ip, peer) in state.peer_table.iter() {
+            let is_late = now_us.saturating_sub(peer.last_seen_us) >= UNADMITTED_US;
+            let is_me = *ip == self.settings.me.peer_addr.ip();
             if !is_late && !is_me && !known.contains(ip) {
                 targets.push(SocketAddr::new(*ip, self.port));
             }
@@ -104,103 +104,124 @@
 
     /// Reports to the aggregators of the own hall.
     pub(super) async fn report(&self, now_us: Micros) {
-        let (aggregators, is_aggregator, turn) = {
+        let (aggregators, is_aggregator, round_number) = {
             let mut state = self.lock();
-            let of_hall = state.aggregators.of_hall(now_us, &self.place.me.hall, true);
-            let me = self.place.me.incarnation;
+            let of_hall = state
+                .aggregators
+                .of_hall(now_us, &self.settings.me.hall, true);
+            let me = self.settings.me.incarnation;
             let is_chosen = of_hall.iter().any(|m| m.info.incarnation == me);
-            let is_aggregator = is_chosen || state.book.is_aggregator(now_us);
-            (of_hall, is_aggregator, state.turn)
+            let is_aggregator = is_chosen || state.hall_reports.is_aggregator(now_us);
+            (of_hall, is_aggregator, state.round_number)
         };
-        let me = self.place.me.incarnation;
+        let me = self.settings.me.incarnation;
         let aggregators = aggregators.iter().filter(|m| m.info.incarnation != me);
         let aggregators: Vec<&Member> = aggregators.collect();
-        let news = match (is_aggregator, aggregators.is_empty()) {
+        let observations = match (is_aggregator, aggregators.is_empty()) {
             // It goes into this instance's own summary.
             (true, _) => {
-                let news = self.take_own_news();
+                let observations = self.take_own_observations();
                 let mut state = self.lock();
-                let book = &mut state.book;
-                book.note_news(&news.reports, &news.read, &news.seen, &news.dead);
+                let hall_reports = &mut state.hall_reports;
+                hall_reports.note_news(
+                    &observations.reports,
+                    &observations.read,
+                    &observations.seen,
+                    &observations.dead,
+                );
                 News::default()
             }
             (false, true) => return,
-            (false, false) => self.take_own_news(),
+            (false, false) => self.take_own_observations(),
         };
         let mut plain = self.next_update(now_us, Purpose::Report);
-        self.add_standing(now_us, &mut plain, Audience::Peers);
-        plain.dead.clone_from(&news.dead);
+        self.add_due_updates(now_us, &mut plain, Audience::Peers);
+        plain.dead.clone_from(&observations.dead);
         if !is_aggregator {
-            plain.halls = self.lock().book.take_to_pass_on(HALLS_TOLD);
+            plain.halls = self
+                .lock()
+                .hall_reports
+                .take_to_pass_on(FORWARDED_SUMMARIES);
         }
-        let mut with_news = plain.clone();
-        self.add_news(&mut with_news, news);
-        for (place, member) in aggregators.iter().enumerate() {
+        let mut with_observations = plain.clone();
+        self.add_observations(&mut with_observations, observations);
+        for (index, member) in aggregators.iter().enumerate() {
             // News adds up, so it goes to one of them.
-            let has_news = place == turn % aggregators.len();
-            let report = if has_news { &mut with_news } else { &mut plain };
+            let has_observations = index == round_number % aggregators.len();
+            let report = if has_observations {
+                &mut with_observations
+            } else {
+                &mut plain
+            };
             self.lock()
                 .aggregators
-                .told(now_us, member.info.incarnation);
+                .expect_answer(now_us, member.info.incarnation);
             self.send(self.addr_of(member), report).await;
         }
     }
 
     /// Tells the hall its sums, if this instance is one of its aggregators and it is time; and its
     /// peers in other halls.
-    pub(super) async fn tell_hall(self: &Arc<Self>, now_us: Micros, has_news: bool) {
+    pub(super) async fn send_hall_summaries(
+        self: &Arc<Self>,
+        now_us: Micros,
+        has_state_change: bool,
+    ) {
         let (reporters, peers) = {
             let mut state = self.lock();
-            state.book.expire(now_us);
-            state.far_book.expire(now_us);
+            state.hall_reports.expire(now_us);
+            state.remote_halls.expire(now_us);
             let since_us = now_us.saturating_sub(state.summary_at_us);
-            let reporters = state.book.reporters(now_us);
-            let pace_us = self.pace_us(reporters.len(), state.summary_bytes);
-            if since_us < pace_us && !has_news {
+            let reporters = state.hall_reports.reporters(now_us);
+            let interval_us = self.interval_us(reporters.len(), state.summary_bytes);
+            if since_us < interval_us && !has_state_change {
                 return;
             }
             state.summary_at_us = now_us;
-            let peers = state.aggregators.far_peers(now_us, &self.place.me.hall);
+            let peers = state
+                .aggregators
+                .remote_peers(now_us, &self.settings.me.hall);
             (reporters, peers)
         };
         if reporters.is_empty() && peers.is_empty() {
             return;
         }
         let mut update = self.next_update(now_us, Purpose::Summary);
-        self.add_standing(now_us, &mut update, Audience::Hall);
+        self.add_due_updates(now_us, &mut update, Audience::Hall);
         let summaries = self.own_summaries(now_us, &mut update);
-        let far_summaries = self.far_summaries(now_us, &update);
-        for summary in summaries.iter().chain(&far_summaries) {
-            self.take_summary(now_us, summary, update.seq);
+        let remote_summaries = self.remote_summaries(now_us, &update);
+        for summary in summaries.iter().chain(&remote_summaries) {
+            self.apply_summary(now_us, summary, update.seq);
         }
         if !reporters.is_empty() {
-            let all: Vec<_> = summaries.iter().chain(&far_summaries).cloned().collect();
+            let all: Vec<_> = summaries.iter().chain(&remote_summaries).cloned().collect();
             self.send_summaries(reporters, update.clone(), &all);
         }
-        self.tell_peers(now_us, &peers, update, summaries).await;
+        self.send_to_remote_halls(now_us, &peers, update, summaries)
+            .await;
     }
 
     /// Returns how long to wait between two summaries.
-    fn pace_us(&self, reporters: usize, summary_bytes: usize) -> Micros {
+    fn interval_us(&self, reporters: usize, summary_bytes: usize) -> Micros {
         let bytes = (reporters * summary_bytes) as f64;
-        let carried = self.place.link_bytes_per_s * SUMMARY_LINK_SHARE;
-        let least_us = Pace {
+        let carried = self.settings.link_bytes_per_s * SUMMARY_LINK_SHARE;
+        let min_us = ReportIntervals {
             instances: reporters,
         };
-        let least_us = least_us.summary_us();
-        least_us.max((bytes / carried.max(1.0) * 1e6) as Micros)
+        let min_us = min_us.min_summary_us();
+        min_us.max((bytes / carried.max(1.0) * 1e6) as Micros)
     }
 
     /// Returns the sums of the own hall, of all endpoints together.
     fn own_summaries(&self, now_us: Micros, update: &mut Update) -> Vec<HallSummary> {
         let state = self.lock();
-        let headcount = state.book.headcount(now_us);
-        let loads = state.book.loads(now_us, &update.loads);
+        let headcount = state.hall_reports.headcount(now_us);
+        let loads = state.hall_reports.loads(now_us, &update.loads);
         update.loads = Vec::new();
-        let parts = split_loads(&loads, LOADS_TOLD).into_iter();
+        let parts = split_loads(&loads, LOADS_PER_SUMMARY).into_iter();
         let summaries = parts.map(|(span, loads)| HallSummary {
             hall: self.my_hall,
-            by: self.place.me.incarnation,
+            by: self.settings.me.incarnation,
             seq: update.seq,
             instances: headcount.instances,
             heard: headcount.heard,
@@ -212,22 +233,22 @@
     }
 
     /// Returns the sums of all other halls, of all endpoints together, now and then.
-    fn far_summaries(&self, now_us: Micros, update: &Update) -> Vec<HallSummary> {
+    fn remote_summaries(&self, now_us: Micros, update: &Update) -> Vec<HallSummary> {
         let mut state = self.lock();
-        let is_due = now_us.saturating_sub(state.far_told_at_us) >= FAR_SUMMARY_US;
-        if !is_due || state.far_book.is_empty() {
+        let is_due = now_us.saturating_sub(state.remote_summary_at_us) >= REMOTE_SUMMARY_US;
+        if !is_due || state.remote_halls.is_empty() {
             return Vec::new();
         }
-        state.far_told_at_us = now_us;
-        let loads = state.far_book.loads();
+        state.remote_summary_at_us = now_us;
+        let loads = state.remote_halls.loads();
         let mut whole = HallSummary {
             hall: FAR_HALLS,
-            by: self.place.me.incarnation,
+            by: self.settings.me.incarnation,
             seq: update.seq,
             ..HallSummary::default()
         };
-        state.far_book.complete(now_us, &mut whole);
-        let parts = split_loads(&loads, LOADS_TOLD).into_iter();
+        state.remote_halls.complete(now_us, &mut whole);
+        let parts = split_loads(&loads, LOADS_PER_SUMMARY).into_iter();
         let parts = parts.map(|(span, loads)| HallSummary {
             span,
             loads,
@@ -248,18 +269,18 @@
         mut update: Update,
         summaries: &[HallSummary],
     ) {
-        let news = {
+        let observations = {
             let mut state = self.lock();
-            update.echoes = state.book.echoes(self.gateway.clock.now_us());
-            state.book.take_news()
+            update.echoes = state.hall_reports.echoes(self.gateway.clock.now_us());
+            state.hall_reports.take_news()
         };
-        self.add_news(&mut update, news);
+        self.add_observations(&mut update, observations);
         let mut datagrams = Vec::new();
-        for (place, summary) in summaries.iter().enumerate() {
-            if place > 0 {
+        for (index, summary) in summaries.iter().enumerate() {
+            if index > 0 {
                 update.suspects = Vec::new();
                 update.standings = Vec::new();
-                self.add_news(&mut update, News::default());
+                self.add_observations(&mut update, News::default());
                 update.seq = self.next_seq();
             }
             update.halls = vec![summary.clone()];
@@ -270,16 +291,16 @@
         // Nobody is the last each time.
         reporters.shuffle(&mut rand::rng());
         let exchange = self.clone();
-        tokio::spawn(async move { exchange.send_spread(&reporters, &datagrams).await });
+        tokio::spawn(async move { exchange.send_paced(&reporters, &datagrams).await });
     }
 
     /// Sends all the same, with pauses in which the link can carry it.
-    async fn send_spread(&self, targets: &[IpAddr], datagrams: &[Vec<u8>]) {
+    async fn send_paced(&self, targets: &[IpAddr], datagrams: &[Vec<u8>]) {
         let bytes: usize = datagrams.iter().map(Vec::len).sum();
-        let carried = self.place.link_bytes_per_s * SENT_LINK_SHARE;
-        let pause = Duration::from_secs_f64((SENT_AT_ONCE * bytes) as f64 / carried.max(1.0));
-        for some in targets.chunks(SENT_AT_ONCE) {
-            for ip in some {
+        let carried = self.settings.link_bytes_per_s * SEND_LINK_SHARE;
+        let pause = Duration::from_secs_f64((SEND_BATCH * bytes) as f64 / carried.max(1.0));
+        for batch in targets.chunks(SEND_BATCH) {
+            for ip in batch {
                 for bytes in datagrams {
                     self.send_bytes(SocketAddr::new(*ip, self.port), bytes)
                         .await;
@@ -290,7 +311,7 @@
     }
 
     /// Tells the peers in other halls the sums of this one, or only how fresh its configuration is.
-    async fn tell_peers(
+    async fn send_to_remote_halls(
         &self,
         now_us: Micros,
         peers: &[Member],
@@ -299,22 +320,27 @@
     ) {
         let is_due = {
             let mut state = self.lock();
-            let is_due = now_us.saturating_sub(state.far_summary_at_us) >= FAR_SUMMARY_US;
+            let is_due = now_us.saturating_sub(state.summary_to_remote_at_us) >= REMOTE_SUMMARY_US;
             if is_due && !peers.is_empty() {
-                state.far_summary_at_us = now_us;
+                state.summary_to_remote_at_us = now_us;
             }
             is_due
         };
         if is_due && let Some(first) = summaries.first_mut() {
             let mut state = self.lock();
-            first.reports = state.book.take_far_reports();
-            let turn = state.turn;
+            first.reports = state.hall_reports.take_far_reports();
+            let round_number = state.round_number;
             drop(state);
-            first.speeds = self.gateway.balancer().hall_speeds(turn, SPEEDS_TOLD);
+            first.speeds = self
+                .gateway
+                .balancer()
+                .hall_speeds(round_number, SPEEDS_PER_SUMMARY);
             update.halls.push(first.clone());
         }
         for peer in peers {
-            self.lock().aggregators.told(now_us, peer.info.incarnation);
+            self.lock()
+                .aggregators
+                .expect_answer(now_us, peer.info.incarnation);
             self.send(self.addr_of(peer), &mut update).await;
         }
         if !is_due {
@@ -331,10 +357,12 @@
 
     /// Tells the aggregators of all halls at once that there is a newer configuration, or newer
     /// endpoints.
-    pub(super) async fn tell_of_news(&self, now_us: Micros) {
+    pub(super) async fn announce_state_change(&self, now_us: Micros) {
         let aggregators = {
             let mut state = self.lock();
-            state.aggregators.of_all_halls(now_us, &self.place.me.hall)
+            state
+                .aggregators
+                .of_all_halls(now_us, &self.settings.me.hall)
         };
         let mut update = self.next_update(now_us, Purpose::Summary);
         update.loads = Vec::new();
@@ -349,7 +377,7 @@
 
     /// Sends one an update with the newest number from it.
     pub(super) async fn send(&self, addr: SocketAddr, update: &mut Update) {
-        update.echo = self.lock().heard.direct_seq(addr.ip());
+        update.echo = self.lock().peer_table.last_seq(addr.ip());
         let bytes = update::encode(&self.authenticator, update);
         self.send_bytes(addr, &bytes).await;
     }
@@ -376,22 +404,22 @@
         // Before the loads are read: those that are settled are in them.
         let settled = self.gateway.reserver.settled();
         let loads = self.gateway.balancer().load_view().own_loads();
-        self.lock().remember(Sent {
+        self.lock().record_sent(SentUpdate {
             seq,
             at_us: now_us,
             loads: Arc::new(loads.clone()),
         });
         Update {
-            from: self.place.me.incarnation,
+            from: self.settings.me.incarnation,
             hall: self.my_hall,
             seq,
             purpose,
             config_version: self.gateway.config.version(),
-            config_age_ms: told_age_ms(self.gateway.config_age_us()),
+            config_age_ms: sent_age_ms(self.gateway.config_age_us()),
             endpoints_revision: self.gateway.balancer().endpoints_revision(),
-            endpoints_age_ms: told_age_ms(self.gateway.endpoints_age_us()),
+            endpoints_age_ms: sent_age_ms(self.gateway.endpoints_age_us()),
             evacuations: self.gateway.evacuations.known(),
-            evacuations_age_ms: told_age_ms(self.gateway.evacuations_age_us()),
+            evacuations_age_ms: sent_age_ms(self.gateway.evacuations_age_us()),
             settled,
             loads,
             ..Update::default()
@@ -399,19 +427,19 @@
     }
 
     /// Returns what this instance saw since it was told last.
-    fn take_own_news(&self) -> News {
-        let turn = self.lock().turn;
+    fn take_own_observations(&self) -> News {
+        let round_number = self.lock().round_number;
         let mut balancer = self.gateway.balancer();
         News {
             reports: balancer.load_view_mut().take_unaccounted_load(),
-            read: balancer.take_cached_chains(READS_TOLD),
-            seen: balancer.take_speed_samples(turn, SEEN_TOLD),
+            read: balancer.take_cached_chains(CHAINS_PER_UPDATE),
+            seen: balancer.take_speed_samples(round_number, SPEED_SAMPLES_PER_UPDATE),
             dead: balancer.take_dead(),
         }
     }
 
     /// Adds what an audience is to know for as long as it stands.
-    fn add_standing(&self, now_us: Micros, update: &mut Update, audience: Audience) {
+    fn add_due_updates(&self, now_us: Micros, update: &mut Update, audience: Audience) {
         update.suspects = self.gateway.suspects().take_due_updates(now_us, audience);
         update.standings = self
             .gateway
@@ -419,10 +447,10 @@
             .take_standings_to_send(now_us, audience);
     }
 
-    fn add_news(&self, update: &mut Update, news: News) {
-        update.reports = news.reports;
-        update.read = news.read;
-        update.seen = news.seen;
-        update.dead = news.dead;
+    fn add_observations(&self, update: &mut Update, observations: News) {
+        update.reports = observations.reports;
+        update.read = observations.read;
+        update.seen = observations.seen;
+        update.dead = observations.dead;
     }
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -23,9 +23,9 @@
         caller_timeouts::TypicalTimeouts,
         config::GatewayConfig,
         crash_check::CrashChecks,
+        current_config::{CurrentConfig, OfferOutcome},
         endpoint_announcements::UnreadHeaders,
         evacuations::{EvacuationSet, Evacuations},
-        freshness::{CurrentConfig, Offered},
         limit_log,
         line_budget::LineBudget,
         metrics::GatewayMetrics,
@@ -318,10 +318,10 @@
         let version = config.version;
         let before = self.config.version();
         let offered = self.config.offer(config);
-        if offered == Offered::Known {
+        if offered == OfferOutcome::Known {
             return;
         }
-        let applied = offered == Offered::Applied;
+        let applied = offered == OfferOutcome::Applied;
         if let Some(table) = self.config.table().filter(|_| applied) {
             let now_us = self.clock.now_us();
             let changes = self.quota.configure(now_us, table.config());
--- a/src/platform/edge.rs
+++ b/src/platform/edge.rs
@@ -17,7 +17,7 @@
         block_list,
         caller_listener::{self, ListenerStop},
         copies,
-        exchange::{Exchange, ExchangePlace},
+        exchange::{Exchange, ExchangeSettings},
         instance_count, limit_log, probes, reservation_server,
         staleness::StalenessBound,
         state::{Gateway, GatewayBounds},
@@ -205,7 +205,7 @@
         .context(BindSnafu { what, addr })?;
     let codec = SealedCodec::new(key.as_bytes(), Arc::default());
     let incarnation = me.incarnation;
-    let place = ExchangePlace {
+    let place = ExchangeSettings {
         me,
         seeds: settings.seeds.clone(),
         link_bytes_per_s: settings.machine.link_mbps * BYTES_PER_MBIT,
@@ -220,7 +220,7 @@
     );
     let exchange = Arc::new(exchange.context(BindSnafu { what, addr })?);
     tokio::spawn(async move { gossip.run(CancellationToken::new()).await });
-    tokio::spawn(exchange.clone().meet());
+    tokio::spawn(exchange.clone().discover_peers());
     if gateway.fetches_at_start() {
         tokio::spawn(exchange.clone().fetch_at_start());
     }
--- a/src/platform/follow.rs
+++ b/src/platform/follow.rs
@@ -152,7 +152,9 @@
             }
             _ => Duration::ZERO,
         };
-        follower.staleness().asks(asked_us, follower.bound(), wait);
+        follower
+            .staleness()
+            .query_started(asked_us, follower.bound(), wait);
         let asking = async {
             match revision {
                 None => list(gateway, &mut store, &mut follower, &mut reading, asked_us).await,
@@ -162,14 +164,14 @@
         let Some(result) = gateway.clock.unless_suspended(asking).await else {
             // The answer was on its way to a machine that was not there; it may come seconds later.
             store.close();
-            follower.staleness().abandoned();
+            follower.staleness().query_abandoned();
             was_suspended = true;
             continue;
         };
         was_suspended = false;
         match result {
             Ok(answer) => {
-                follower.staleness().answered();
+                follower.staleness().query_answered();
                 revision = Some(answer.revision);
                 has_history = true;
                 had_news = answer.has_news;
@@ -184,7 +186,7 @@
                 }
             }
             Err(CallError::HistoryGone) => {
-                follower.staleness().answered();
+                follower.staleness().query_answered();
                 log::info!(target: "ryevalve::process", kind = F::KIND; "store_history_gone");
                 has_history = false;
                 revision = None;
@@ -195,7 +197,7 @@
                     log::warn!(target: "ryevalve::process", kind = F::KIND, reason; "store_lost");
                 }
                 gateway.metrics.store_failures.inc();
-                follower.staleness().failed(gateway.clock.now_us());
+                follower.staleness().query_failed(gateway.clock.now_us());
                 follower.lost();
                 pause_unless_wanted(&follower, retry_pause(gateway, follower.bound())).await;
             }
@@ -229,7 +231,10 @@
         0 | 1 => 0,
         _ => gateway.place_to_watch().saturating_sub(WATCHERS),
     };
-    let left_us = follower.bound().ask_age_us(before).checked_sub(age_us)?;
+    let left_us = follower
+        .bound()
+        .store_query_age_us(before)
+        .checked_sub(age_us)?;
     let pause_us = left_us.clamp(1_000, LOOK_US);
     Some(Duration::from_micros(pause_us))
 }
@@ -237,7 +242,7 @@
 /// Pauses until something waits for the store's answer.
 async fn pause_unless_wanted<F: Follower>(follower: &F, pause: Duration) {
     // Both ends say the same: it is looked again at what there is to do.
-    let _ = time::timeout(pause, follower.staleness().wanted()).await;
+    let _ = time::timeout(pause, follower.staleness().query_wanted()).await;
 }
 
 /// Returns how long a watch waits. News comes to all who watch at once, so their next waits have different
@@ -315,13 +320,13 @@
         return None;
     }
     let within_us = match follower.known_revision() {
-        Some(_) => follower.bound().answer_us(),
+        Some(_) => follower.bound().answer_timeout_us(),
         None => BROUGHT_WITHIN_US,
     };
     let until_us = gateway.clock.now_us() + within_us;
     loop {
         let now_us = gateway.clock.now_us();
-        let is_fresh = follower.staleness().age_us(now_us) < follower.bound().ask_age_us(0);
+        let is_fresh = follower.staleness().age_us(now_us) < follower.bound().store_query_age_us(0);
         if is_fresh && let Some(revision) = follower.known_revision() {
             return Some(revision);
         }
--- a/tests/edge/late_news.rs
+++ b/tests/edge/change_propagation.rs
@@ -31,7 +31,7 @@
 use tokio::{net::TcpListener, time};
 
 use crate::{
-    group::{BOUNDS, DRAIN, Instance, Place, address, endpoint, free_port, until},
+    group::{BOUNDS, DRAIN, Instance, InstanceSpec, address, endpoint, free_port, until},
     support::config,
 };
 
@@ -79,7 +79,7 @@
     async fn start(net: u8) -> Self {
         let port = free_port(net).await;
         let seeds = [SocketAddr::new(address(net, 0), port)];
-        let place = |number| Place {
+        let place = |number| InstanceSpec {
             net,
             number,
             hall: "a",
@@ -89,7 +89,7 @@
         let mut giver = Instance::start(place(0)).await;
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let link = Proxy::start_at(seeds[0], listener.local_addr().unwrap()).await;
-        giver.give_copies(listener);
+        giver.serve_copies(listener);
         giver.gateway.offer(large_config(1, 1), "test");
         {
             let mut balancer = giver.gateway.balancer();
@@ -155,7 +155,7 @@
         .collect();
     let mut all = Vec::new();
     for number in 0..count {
-        let place = Place {
+        let place = InstanceSpec {
             net,
             number,
             hall: "a",
@@ -164,7 +164,7 @@
         };
         let mut instance = Instance::start(place).await;
         let listener = TcpListener::bind((address(net, number), port)).await;
-        instance.give_copies(listener.expect("a port"));
+        instance.serve_copies(listener.expect("a port"));
         let path = Proxy::start(store).await;
         instance.follow(path.addr);
         all.push((instance, path));
--- a/tests/edge/endpoint_limits.rs
+++ b/tests/edge/endpoint_limits.rs
@@ -22,7 +22,7 @@
 use serde_json::Value;
 
 use crate::{
-    group::{DRAIN, Instance, Place, address, endpoint, free_port, key, until},
+    group::{DRAIN, Instance, InstanceSpec, address, endpoint, free_port, key, until},
     load_generator::{Demand, send_load},
     site::Site,
     support::Edge,
@@ -273,7 +273,7 @@
         .collect();
     let mut all = Vec::new();
     for number in 0..instances {
-        let place = Place {
+        let place = InstanceSpec {
             net,
             number,
             hall: ["a", "b", "c", "d"][number % 4],
--- a/tests/edge/group.rs
+++ b/tests/edge/group.rs
@@ -16,7 +16,7 @@
         block_list,
         caller_listener::{self, ListenerStop},
         copies,
-        exchange::{Exchange, ExchangePlace},
+        exchange::{Exchange, ExchangeSettings},
         reservation_server,
         staleness::StalenessBound,
         state::{Gateway, GatewayBounds},
@@ -63,7 +63,7 @@
 
 /// Where an instance stands, and what it does beside telling and listening.
 #[derive(Clone, Copy)]
-pub struct Place<'p> {
+pub struct InstanceSpec<'p> {
     /// The network of the group, so that tests beside each other do not meet.
     pub net: u8,
     pub number: usize,
@@ -83,13 +83,13 @@
 
 impl Instance {
     /// Starts an instance that tells and listens, and neither gives copies nor reads the store.
-    pub async fn start(place: Place<'_>) -> Self {
+    pub async fn start(place: InstanceSpec<'_>) -> Self {
         Self::start_with_clock(place, Clock::default()).await
     }
 
     /// The same by a clock that the test may move on.
-    pub async fn start_with_clock(place: Place<'_>, clock: Clock) -> Self {
-        let Place {
+    pub async fn start_with_clock(place: InstanceSpec<'_>, clock: Clock) -> Self {
+        let InstanceSpec {
             net, number, port, ..
         } = place;
         let hall = Name::from(place.hall);
@@ -114,7 +114,7 @@
         let places = UdpSocket::bind(places).await.expect("a socket");
         let codec = SealedCodec::new(KEY, Arc::default());
         let incarnation = me.incarnation;
-        let place = ExchangePlace {
+        let place = ExchangeSettings {
             me,
             seeds: place.seeds.to_vec(),
             link_bytes_per_s: 1_250_000.0,
@@ -157,7 +157,7 @@
     }
 
     /// Gives copies to the others through `listener`.
-    pub fn give_copies(&mut self, listener: TcpListener) {
+    pub fn serve_copies(&mut self, listener: TcpListener) {
         let (gateway, codec) = (self.gateway.clone(), self.codec.clone());
         self.tasks.push(tokio::spawn(async move {
             // It serves until the test ends.
@@ -177,7 +177,7 @@
     }
 
     /// Keeps the blocked requests in the store at `addr`, as one that is started when others have run.
-    pub fn keep_block_list(&mut self, addr: SocketAddr) {
+    pub fn sync_block_list(&mut self, addr: SocketAddr) {
         let list = PlatformStore::new(addr);
         let keeping = block_list::run(self.gateway.clone(), list, false);
         self.tasks.push(tokio::spawn(keeping));
@@ -216,8 +216,8 @@
 
     /// Returns the id of the endpoint that a request is sent to now, if it is sent.
     pub async fn place_one(&self) -> Option<Name> {
-        let ask = ask(self.gateway.clock.now_us());
-        match self.gateway.place(&ask, &[]).await {
+        let request = placement_request(self.gateway.clock.now_us());
+        match self.gateway.place(&request, &[]).await {
             Placement::Send(choice) => {
                 self.gateway.balancer().end(choice.key, 0, None);
                 Some(choice.id)
@@ -234,7 +234,7 @@
 }
 
 /// A request that any endpoint of the service may take.
-pub fn ask(now_us: Micros) -> PlacementRequest {
+pub fn placement_request(now_us: Micros) -> PlacementRequest {
     PlacementRequest {
         service: "plain".into(),
         is_stream: false,
--- a/tests/edge/large_copies.rs
+++ b/tests/edge/large_copies.rs
@@ -6,7 +6,7 @@
 use tokio::{net::TcpListener, task::JoinSet, time};
 
 use crate::{
-    group::{Instance, Place, address, endpoint, free_port, until},
+    group::{Instance, InstanceSpec, address, endpoint, free_port, until},
     store_lists::{self, start_store},
 };
 
@@ -31,7 +31,7 @@
 /// Guards against copies that are given up at each taker since all take them at once and whole.
 #[tokio::test(flavor = "multi_thread")]
 async fn many_that_ask_for_thousands_of_endpoints_get_them_by_turns() {
-    let place = Place {
+    let place = InstanceSpec {
         net: NET,
         number: 0,
         hall: "a",
@@ -51,7 +51,7 @@
         .await
         .expect("a port");
     let addr = listener.local_addr().expect("an address");
-    giver.give_copies(listener);
+    giver.serve_copies(listener);
     let giver = Arc::new(giver);
     let mut takers = JoinSet::new();
     for _ in 0..TAKERS {
@@ -80,7 +80,7 @@
     let seeds = [SocketAddr::new(address(net, 0), port)];
     let mut all = Vec::new();
     for number in 0..instances {
-        let place = Place {
+        let place = InstanceSpec {
             net,
             number,
             hall: "a",
@@ -89,7 +89,7 @@
         };
         let mut instance = Instance::start(place).await;
         let copies = TcpListener::bind((address(net, number), port)).await;
-        instance.give_copies(copies.expect("a port"));
+        instance.serve_copies(copies.expect("a port"));
         if number > 0 {
             instance.fetch_at_start();
         }
--- a/tests/edge/large_group.rs
+++ b/tests/edge/large_group.rs
@@ -9,7 +9,9 @@
     prelude::{Incarnation, Name},
 };
 
-use crate::group::{Instance, Place, address, ask, endpoint, free_port, key, until};
+use crate::group::{
+    Instance, InstanceSpec, address, endpoint, free_port, key, placement_request, until,
+};
 
 const HALLS: [&str; 3] = ["a", "b", "c"];
 const IN_HALL: usize = 6;
@@ -17,19 +19,22 @@
 const NET: u8 = 7;
 
 /// Returns the requests that an instance believes to be at the endpoint.
-fn believed(instance: &Instance) -> f64 {
+fn estimated_requests(instance: &Instance) -> f64 {
     let now_us = instance.gateway.clock.now_us();
     let balancer = instance.gateway.balancer();
-    let picture = balancer.load_view();
+    let load_view = balancer.load_view();
     let (service, hall) = ("plain".into(), Name::from("a"));
-    picture
+    load_view
         .estimate(now_us, key(), &service, &hall, true)
         .requests
 }
 
 fn send_one(instance: &Instance) {
     let now_us = instance.gateway.clock.now_us();
-    let placed = instance.gateway.balancer().place(now_us, &ask(now_us), &[]);
+    let placed = instance
+        .gateway
+        .balancer()
+        .place(now_us, &placement_request(now_us), &[]);
     assert!(matches!(placed, Placement::Send(_)), "{placed:?}");
 }
 
@@ -41,7 +46,7 @@
         .collect();
     let mut all = Vec::new();
     for number in 0..ALL {
-        let place = Place {
+        let place = InstanceSpec {
             net: NET,
             number,
             hall: HALLS[number % HALLS.len()],
@@ -62,12 +67,12 @@
     until("all to hear of all", || heard(&all, ALL)).await;
     send_one(&all[0]);
     until("all to know of a request", || {
-        all.iter().all(|i| believed(i) == 1.0)
+        all.iter().all(|i| estimated_requests(i) == 1.0)
     })
     .await;
     send_one(&all[1]);
     until("all to know of both", || {
-        all.iter().all(|i| believed(i) == 2.0)
+        all.iter().all(|i| estimated_requests(i) == 2.0)
     })
     .await;
 
@@ -92,10 +97,10 @@
         .iter()
         .find(|i| i.hall == hall)
         .expect("one of the hall");
-    let before = believed(of_hall);
+    let before = estimated_requests(of_hall);
     send_one(of_hall);
     until("all to know of its request", || {
-        kept.iter().all(|i| believed(i) == before + 1.0)
+        kept.iter().all(|i| estimated_requests(i) == before + 1.0)
     })
     .await;
 }
--- a/tests/edge/main.rs
+++ b/tests/edge/main.rs
@@ -1,6 +1,7 @@
 //! The `edge` program as a process of its own, among a store and endpoints that misbehave.
 
 mod answers;
+mod change_propagation;
 mod control;
 mod endpoint_limits;
 mod evacuations;
@@ -8,7 +9,6 @@
 mod homes;
 mod large_copies;
 mod large_group;
-mod late_news;
 mod leaving_endpoints;
 mod load_generator;
 mod other_writers;
--- a/tests/edge/reservations.rs
+++ b/tests/edge/reservations.rs
@@ -12,14 +12,14 @@
 };
 use tokio::time::{self, Instant};
 
-use crate::group::{self, Instance, Place, address, endpoint, free_port, until};
+use crate::group::{self, Instance, InstanceSpec, address, endpoint, free_port, until};
 
 const INSTANCES: usize = 18;
 const ENDPOINTS: usize = 12;
 const SLOTS: u32 = 3;
 
 fn stream(instance: &Instance, number: u64) -> PlacementRequest {
-    let ask = group::ask(instance.gateway.clock.now_us());
+    let ask = group::placement_request(instance.gateway.clock.now_us());
     PlacementRequest {
         is_stream: true,
         output_events: 20.0,
@@ -36,7 +36,7 @@
         .collect();
     let mut instances = Vec::new();
     for number in 0..INSTANCES {
-        let place = Place {
+        let place = InstanceSpec {
             net,
             number,
             hall: "a",
--- a/tests/edge/site.rs
+++ b/tests/edge/site.rs
@@ -7,7 +7,7 @@
 use tokio::{net::TcpListener, task::JoinHandle, time};
 
 use crate::{
-    group::{Instance, Place, address, free_port, until},
+    group::{Instance, InstanceSpec, address, free_port, until},
     support::{Got, config, exchange, request},
 };
 
@@ -117,7 +117,7 @@
         let seeds: Vec<SocketAddr> = (self.lost..self.lost + 3)
             .map(|n| SocketAddr::new(address(self.net, n), self.port))
             .collect();
-        let place = Place {
+        let place = InstanceSpec {
             net: self.net,
             number,
             hall: HALLS[number % HALLS.len()],
@@ -127,7 +127,7 @@
         let mut instance = Instance::start(place).await;
         instance.follow(self.platform.addr());
         instance.follow_evacuations(self.platform.addr(), EVACUATE);
-        instance.keep_block_list(self.platform.addr());
+        instance.sync_block_list(self.platform.addr());
         let listener = TcpListener::bind((address(self.net, number), 0)).await;
         let listener = listener.expect("a port");
         self.callers
--- a/tests/edge/store_lists.rs
+++ b/tests/edge/store_lists.rs
@@ -12,7 +12,7 @@
 use standins::platform::Platform;
 
 use crate::{
-    group::{Instance, Place, endpoint, free_port, until},
+    group::{Instance, InstanceSpec, endpoint, free_port, until},
     support::config,
 };
 
@@ -39,7 +39,7 @@
 
 async fn start_instance(net: u8) -> Instance {
     let port = free_port(net).await;
-    let place = Place {
+    let place = InstanceSpec {
         net,
         number: 0,
         hall: "a",
--- a/tests/edge/suspension.rs
+++ b/tests/edge/suspension.rs
@@ -19,7 +19,7 @@
 use tokio::{net::TcpListener, time};
 
 use crate::{
-    group::{DRAIN, Instance, Place, address, free_port, until},
+    group::{DRAIN, Instance, InstanceSpec, address, free_port, until},
     support::{config, exchange, request},
 };
 
@@ -53,7 +53,7 @@
         let source = TimeSource::steered();
         let port = free_port(net).await;
         let seeds = [SocketAddr::new(address(net, 0), port)];
-        let place = Place {
+        let place = InstanceSpec {
             net,
             number: 0,
             hall: "a",
--- a/tests/gateway/aggregators.rs
+++ b/tests/gateway/aggregators.rs
@@ -47,7 +47,7 @@
     let mut aggregators = Aggregators::default();
     aggregators.set_view(&view_of(number));
     for one in silent {
-        aggregators.told(0, *one);
+        aggregators.expect_answer(0, *one);
     }
     aggregators
 }
@@ -61,7 +61,7 @@
     let running = (0..IN_HALL * 4).filter(|n| !silent.contains(&Incarnation(n + 1)));
     let told = running.flat_map(|number| {
         let hall = member(number).info.hall;
-        let peers = aggregators(number, silent).far_peers(3 * SECOND, &hall);
+        let peers = aggregators(number, silent).remote_peers(3 * SECOND, &hall);
         let peers = ids(&peers).into_iter();
         peers.map(move |whom| (Incarnation(number + 1), whom))
     });
@@ -120,15 +120,15 @@
     let hall = Name::from("a");
     let mut seen = aggregators(0, &[]);
     let first = ids(&seen.of_hall(0, &hall, true))[0];
-    seen.told(0, first);
+    seen.expect_answer(0, first);
     assert!(ids(&seen.of_hall(600 * MS, &hall, true)).contains(&first));
     assert!(!ids(&seen.of_hall(800 * MS, &hall, true)).contains(&first));
     // Told again, its silence counts from the first time.
-    seen.told(900 * MS, first);
+    seen.expect_answer(900 * MS, first);
     assert!(!ids(&seen.of_hall(SECOND, &hall, true)).contains(&first));
     assert!(ids(&seen.of_hall(6 * SECOND, &hall, true)).contains(&first));
-    seen.told(6 * SECOND, first);
-    seen.answered(first);
+    seen.expect_answer(6 * SECOND, first);
+    seen.record_answer(first);
     assert!(ids(&seen.of_hall(9 * SECOND, &hall, true)).contains(&first));
 }
 
--- a/tests/gateway/copies.rs
+++ b/tests/gateway/copies.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use ryevalve::gateway::copies::{Takers, sample};
+use ryevalve::gateway::copies::{Transfers, sample};
 
 use crate::support::MS;
 
@@ -10,27 +10,27 @@
 
 #[test]
 fn a_few_are_given_a_configuration_at_a_time_and_the_others_after_them() {
-    let mut takers = Takers::default();
-    for taker in 0..AT_ONCE {
-        assert!(takers.admit(0, taker));
+    let mut transfers = Transfers::default();
+    for connection in 0..AT_ONCE {
+        assert!(transfers.admit(0, connection));
     }
-    assert!(!takers.admit(MS, 9), "the link is taken");
+    assert!(!transfers.admit(MS, 9), "the link is taken");
     assert!(
-        takers.admit(2 * MS, 0),
+        transfers.admit(2 * MS, 0),
         "one that is being given it goes on"
     );
-    takers.finished(0);
-    assert!(takers.admit(3 * MS, 9));
+    transfers.finish(0);
+    assert!(transfers.admit(3 * MS, 9));
 }
 
 #[test]
 fn a_taker_that_has_gone_takes_no_place() {
-    let mut takers = Takers::default();
-    for taker in 0..AT_ONCE {
-        assert!(takers.admit(0, taker));
+    let mut transfers = Transfers::default();
+    for connection in 0..AT_ONCE {
+        assert!(transfers.admit(0, connection));
     }
-    assert!(!takers.admit(900 * MS, 9));
-    assert!(takers.admit(1_100 * MS, 9));
+    assert!(!transfers.admit(900 * MS, 9));
+    assert!(transfers.admit(1_100 * MS, 9));
 }
 
 /// Guards against answers of seeds that grow with the group, while all of it asks them.
--- a/tests/gateway/freshness.rs
+++ b/tests/gateway/current_config.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use ryevalve::{
     gateway::{
-        freshness::{CurrentConfig, Offered},
+        current_config::{CurrentConfig, OfferOutcome},
         staleness::StalenessBound,
         state::{Gateway, GatewayBounds},
     },
@@ -16,11 +16,23 @@
 #[test]
 fn an_older_configuration_changes_nothing() {
     let current = CurrentConfig::default();
-    assert_eq!(current.offer(config(7, vec![], vec![])), Offered::Applied);
-    assert_eq!(current.offer(config(5, vec![], vec![])), Offered::Older);
-    assert_eq!(current.offer(config(7, vec![], vec![])), Offered::Known);
+    assert_eq!(
+        current.offer(config(7, vec![], vec![])),
+        OfferOutcome::Applied
+    );
+    assert_eq!(
+        current.offer(config(5, vec![], vec![])),
+        OfferOutcome::Older
+    );
+    assert_eq!(
+        current.offer(config(7, vec![], vec![])),
+        OfferOutcome::Known
+    );
     assert_eq!(current.version(), 7);
-    assert_eq!(current.offer(config(12, vec![], vec![])), Offered::Applied);
+    assert_eq!(
+        current.offer(config(12, vec![], vec![])),
+        OfferOutcome::Applied
+    );
     assert_eq!(current.version(), 12);
 }
 
@@ -70,11 +82,11 @@
     };
     let gateway = Gateway::new(PlatformProtocol, "hall".into(), bounds, true);
     gateway.offer(config(7, vec![], vec![]), "test");
-    assert!(!gateway.is_fresh(), "nothing has confirmed it yet");
+    assert!(!gateway.is_config_fresh(), "nothing has confirmed it yet");
     std::thread::sleep(std::time::Duration::from_millis(5));
     gateway.config.confirm(7, 1);
     assert!(
-        !gateway.is_fresh(),
+        !gateway.is_config_fresh(),
         "confirmed longer ago than a key may be used"
     );
     assert!(!gateway.may_use_keys());
@@ -82,13 +94,13 @@
         is_revocation_strict: false,
         ..bounds
     });
-    assert!(gateway.may_use_keys() && !gateway.is_fresh());
+    assert!(gateway.may_use_keys() && !gateway.is_config_fresh());
     let long = GatewayBounds {
         revoke_us: 60 * SECOND,
         ..bounds
     };
     gateway.set_bounds(long);
-    assert!(gateway.is_fresh());
+    assert!(gateway.is_config_fresh());
 }
 
 /// With a fixed 1.2 s taken off, a bound of 1 s left nothing, and calm instances would have refused every key.
@@ -102,7 +114,7 @@
     let gateway = Gateway::new(PlatformProtocol, "hall".into(), bounds, true);
     gateway.offer(config(7, vec![], vec![]), "test");
     gateway.config.confirm(7, 1);
-    assert!(gateway.is_fresh() && gateway.may_use_keys());
+    assert!(gateway.is_config_fresh() && gateway.may_use_keys());
 }
 
 proptest! {
--- a/tests/gateway/growth.rs
+++ b/tests/gateway/growth.rs
@@ -4,7 +4,7 @@
 
 use ryevalve::{
     balance::{balancer::Balancer, discovery::Discovery},
-    gateway::{line_budget::LineBudget, pace::Pace},
+    gateway::{line_budget::LineBudget, report_intervals::ReportIntervals},
     limits::quota::{Message, Node},
     prelude::Incarnation,
 };
@@ -90,14 +90,17 @@
 #[test]
 fn an_aggregators_datagrams_a_second_are_bounded_whatever_its_data_centre() {
     for instances in [1, 12, 49, 164, 656, 2_624] {
-        let pace = Pace { instances };
-        let a_second = |each_us: u64| instances as f64 * 1e6 / each_us as f64;
-        let (least, most) = (a_second(pace.quiet_us()), a_second(pace.report_us()));
+        let intervals = ReportIntervals { instances };
+        let per_second = |each_us: u64| instances as f64 * 1e6 / each_us as f64;
+        let (least, most) = (
+            per_second(intervals.max_report_us()),
+            per_second(intervals.min_report_us()),
+        );
         assert!(
             least <= 340.0 && most <= 1_010.0,
             "{least} to {most} reports: {instances}"
         );
-        let sent = a_second(pace.summary_us());
+        let sent = per_second(intervals.min_summary_us());
         assert!(sent <= 410.0, "{sent} summaries: {instances}");
     }
 }
--- a/tests/gateway/heard.rs
+++ b/tests/gateway/peer_table.rs
@@ -3,7 +3,7 @@
 use std::net::IpAddr;
 
 use ryevalve::{
-    gateway::heard::HeardInstances, limits::instance_counts::InstanceCounts, peers::update::Update,
+    gateway::peer_table::PeerTable, limits::instance_counts::InstanceCounts, peers::update::Update,
     prelude::Incarnation,
 };
 
@@ -21,36 +21,36 @@
 
 #[test]
 fn an_older_datagram_is_passed_over() {
-    let mut heard = HeardInstances::default();
-    assert!(heard.note_direct(0, ADDR, &told(1, 5)));
-    assert!(!heard.note_direct(MS, ADDR, &told(1, 5)));
-    assert!(!heard.note_direct(MS, ADDR, &told(1, 4)));
-    assert!(heard.note_direct(3 * MS, ADDR, &told(1, 7)));
-    assert_eq!(heard.direct_seq(ADDR), 7);
+    let mut heard = PeerTable::default();
+    assert!(heard.record_update(0, ADDR, &told(1, 5)));
+    assert!(!heard.record_update(MS, ADDR, &told(1, 5)));
+    assert!(!heard.record_update(MS, ADDR, &told(1, 4)));
+    assert!(heard.record_update(3 * MS, ADDR, &told(1, 7)));
+    assert_eq!(heard.last_seq(ADDR), 7);
 }
 
 #[test]
 fn another_start_at_the_same_address_begins_anew() {
-    let mut heard = HeardInstances::default();
-    assert!(heard.note_direct(0, ADDR, &told(1, 500)));
-    assert!(heard.note_direct(MS, ADDR, &told(2, 1)));
-    assert_eq!(heard.direct_seq(ADDR), 1);
+    let mut heard = PeerTable::default();
+    assert!(heard.record_update(0, ADDR, &told(1, 500)));
+    assert!(heard.record_update(MS, ADDR, &told(2, 1)));
+    assert_eq!(heard.last_seq(ADDR), 1);
     assert_eq!(heard.len(), 1);
 }
 
 #[test]
 fn one_that_was_only_met_shares_and_is_not_heard() {
-    let mut heard = HeardInstances::default();
-    heard.meet(0, ADDR);
+    let mut heard = PeerTable::default();
+    heard.add_unseen(0, ADDR);
     assert_eq!(heard.sharers(MS), InstanceCounts { all: 2, heard: 1 });
-    assert!(heard.note_direct(2 * MS, ADDR, &told(1, 1)));
+    assert!(heard.record_update(2 * MS, ADDR, &told(1, 1)));
     assert_eq!(heard.sharers(3 * MS), InstanceCounts { all: 2, heard: 2 });
 }
 
 #[test]
 fn a_silent_one_is_said_once_and_dropped_at_last() {
-    let mut heard = HeardInstances::default();
-    assert!(heard.note_direct(0, ADDR, &told(9, 1)));
+    let mut heard = PeerTable::default();
+    assert!(heard.record_update(0, ADDR, &told(9, 1)));
     assert!(heard.expire(2 * SECOND).is_empty());
     assert_eq!(heard.expire(3 * SECOND), vec![Incarnation(9)]);
     assert!(heard.expire(4 * SECOND).is_empty());
@@ -58,7 +58,7 @@
         heard.sharers(4 * SECOND),
         InstanceCounts { all: 2, heard: 1 }
     );
-    assert!(heard.note_direct(5 * SECOND, ADDR, &told(9, 2)));
+    assert!(heard.record_update(5 * SECOND, ADDR, &told(9, 2)));
     assert_eq!(
         heard.sharers(5 * SECOND),
         InstanceCounts { all: 2, heard: 2 }
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::{
-    freshness::bounds,
+    current_config::bounds,
     support::{MS, SECOND},
 };
 
--- a/tests/gateway/staleness.rs
+++ b/tests/gateway/staleness.rs
@@ -9,7 +9,7 @@
     clock::{Clock, TimeSource},
     gateway::{
         send_check::ENDPOINT_LEFT,
-        staleness::{Staleness, StalenessBound, Standing},
+        staleness::{Freshness, Staleness, StalenessBound},
         state::Gateway,
     },
     platform::headers::PlatformProtocol,
@@ -17,7 +17,7 @@
 use tokio::time;
 
 use crate::{
-    freshness::bounds,
+    current_config::bounds,
     support::{SECOND, ask, entry},
 };
 
@@ -26,20 +26,23 @@
 #[test]
 fn what_is_too_old_waits_for_the_store_and_no_longer_than_it_takes_to_answer() {
     let staleness = Staleness::default();
-    assert_eq!(staleness.standing(SECOND, BOUND), Standing::Unknown);
+    assert_eq!(staleness.freshness(SECOND, BOUND), Freshness::Unknown);
     staleness.confirm(SECOND);
-    assert_eq!(staleness.standing(2 * SECOND, BOUND), Standing::Fresh);
+    assert_eq!(staleness.freshness(2 * SECOND, BOUND), Freshness::Fresh);
     // 1.9 s of 2 s is too late for what is sent now.
     let late_us = SECOND + 1_900_000;
-    assert_eq!(staleness.standing(late_us, BOUND), Standing::Asking);
-    staleness.asks(late_us, BOUND, Duration::ZERO);
+    assert_eq!(staleness.freshness(late_us, BOUND), Freshness::Refreshing);
+    staleness.query_started(late_us, BOUND, Duration::ZERO);
     let soon_us = late_us + 250_000;
-    assert_eq!(staleness.standing(soon_us, BOUND), Standing::Asking);
+    assert_eq!(staleness.freshness(soon_us, BOUND), Freshness::Refreshing);
     let overdue_us = late_us + 300_000;
-    assert_eq!(staleness.standing(overdue_us, BOUND), Standing::Unreachable);
-    staleness.answered();
+    assert_eq!(
+        staleness.freshness(overdue_us, BOUND),
+        Freshness::Unreachable
+    );
+    staleness.query_answered();
     staleness.confirm(late_us);
-    assert_eq!(staleness.standing(overdue_us, BOUND), Standing::Fresh);
+    assert_eq!(staleness.freshness(overdue_us, BOUND), Freshness::Fresh);
 }
 
 #[test]
@@ -47,9 +50,12 @@
     let staleness = Staleness::default();
     staleness.confirm(SECOND);
     let asked_us = SECOND + 1_700_000;
-    staleness.asks(asked_us, BOUND, Duration::from_millis(500));
+    staleness.query_started(asked_us, BOUND, Duration::from_millis(500));
     let waiting_us = asked_us + 700_000;
-    assert_eq!(staleness.standing(waiting_us, BOUND), Standing::Asking);
+    assert_eq!(
+        staleness.freshness(waiting_us, BOUND),
+        Freshness::Refreshing
+    );
 }
 
 /// One that the store did not answer once, and that others told of the store since, does not act on what is old
@@ -58,11 +64,17 @@
 fn a_failure_says_nothing_of_the_store_once_others_have_heard_from_it() {
     let staleness = Staleness::default();
     staleness.confirm(SECOND);
-    staleness.failed(3 * SECOND);
-    assert_eq!(staleness.standing(4 * SECOND, BOUND), Standing::Unreachable);
+    staleness.query_failed(3 * SECOND);
+    assert_eq!(
+        staleness.freshness(4 * SECOND, BOUND),
+        Freshness::Unreachable
+    );
     staleness.confirm(5 * SECOND);
-    assert_eq!(staleness.standing(6 * SECOND, BOUND), Standing::Fresh);
-    assert_eq!(staleness.standing(7 * SECOND, BOUND), Standing::Asking);
+    assert_eq!(staleness.freshness(6 * SECOND, BOUND), Freshness::Fresh);
+    assert_eq!(
+        staleness.freshness(7 * SECOND, BOUND),
+        Freshness::Refreshing
+    );
 }
 
 /// A gateway that knows two endpoints, and knows them to be the store's since now.
@@ -89,12 +101,14 @@
     time::sleep(Duration::from_millis(1_900)).await;
     let asking = gateway.clone();
     let follower = tokio::spawn(async move {
-        asking.endpoints.wanted().await;
+        asking.endpoints.query_wanted().await;
         let now_us = asking.clock.now_us();
-        asking.endpoints.asks(now_us, BOUND, Duration::ZERO);
+        asking
+            .endpoints
+            .query_started(now_us, BOUND, Duration::ZERO);
         time::sleep(Duration::from_millis(100)).await;
         leave(&asking);
-        asking.endpoints.answered();
+        asking.endpoints.query_answered();
         asking.endpoints.confirm(now_us);
     });
     for _ in 0..3 {
@@ -113,9 +127,11 @@
     let began = time::Instant::now();
     let asking = gateway.clone();
     tokio::spawn(async move {
-        asking.endpoints.wanted().await;
+        asking.endpoints.query_wanted().await;
         let now_us = asking.clock.now_us();
-        asking.endpoints.asks(now_us, BOUND, Duration::ZERO);
+        asking
+            .endpoints
+            .query_started(now_us, BOUND, Duration::ZERO);
     });
     let placed = gateway
         .place(&ask(7, 100, 0, gateway.clock.now_us()), &[])
@@ -163,10 +179,10 @@
     #[test]
     fn the_store_is_asked_in_time_for_every_bound(bound_ms in 200_u64..60_000, before in 0_usize..400) {
         let bound = StalenessBound(bound_ms * 1_000);
-        let ask_us = bound.ask_age_us(before);
+        let ask_us = bound.store_query_age_us(before);
         let wait_us = bound.watch_wait().as_micros() as u64;
-        prop_assert!(ask_us + bound.0 / 20 <= bound.use_age_us());
-        prop_assert!(bound.use_age_us() < bound.0);
+        prop_assert!(ask_us + bound.0 / 20 <= bound.max_usable_age_us());
+        prop_assert!(bound.max_usable_age_us() < bound.0);
         prop_assert!(wait_us * 4 / 3 < ask_us);
     }
 }
