--- a/src/gateway/aggregators.rs
+++ b/src/gateway/aggregators.rs
@@ -1,14 +1,14 @@
-//! Which instances of a large group sum up what their hall does.
+//! Selects the aggregators of each hall in a large cluster.
 //!
-//! Everybody telling everybody grows with the square of a hall: with 49 instances a hall each spent
-//! .023 of a core on it, and links of 20 Mbit/s were full. Instead, each instance tells two
-//! aggregators of its hall, and they tell the hall and each other's halls in sums.
+//! All-to-all updates grow with the square of a hall's size: with 49 instances per hall they took .023 of a core on
+//! each instance and filled links of 20 Mbit/s. Instead, each instance reports to two aggregators of its hall, which
+//! send summaries to their hall and to the aggregators of other halls.
 //!
-//! Nothing is elected: each instance works out from its view whom it tells, and whoever is told is an
-//! aggregator. One that does not answer is passed over within a second, so the loss of any of them
-//! costs some words.
+//! There is no election: each instance selects aggregators from its own membership view, and an instance that gets
+//! reports acts as an aggregator. One that does not answer is skipped within a second, so the failure of an
+//! aggregator loses only a few updates.
 //!
-//! Free of clock and socket, so that tests drive it step by step.
+//! Uses neither clock nor socket, so that tests can drive it step by step.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -17,41 +17,40 @@
     prelude::{Incarnation, Micros, Name, short_hash},
 };
 
-/// Aggregators of a hall: one may be lost, and the other's sums still come.
+/// Aggregators per hall; if one fails, the summaries of the other still arrive.
 pub const AGGREGATORS: usize = 2;
-/// One of the own hall that was told for this long and did not answer is passed over: it answers in
-/// some 100 ms, and a datagram may be lost.
+/// An aggregator of this hall that has not answered for this long is skipped. It normally answers within about
+/// 100 ms; the margin allows for a lost datagram.
 const OWN_HALL_TIMEOUT_US: Micros = 700_000;
-/// The same for other halls, whose aggregators tell this one several times a second if they agree on
-/// who it is.
+/// The same for other halls, whose aggregators send to this instance several times a second if they also select it.
 const REMOTE_HALL_TIMEOUT_US: Micros = 2_200_000;
-/// One that was passed over is told again after this time.
+/// Time after which a skipped instance is tried again.
 const RETRY_AFTER_US: Micros = 5_000_000;
 
-/// Returns how a hall is named in updates.
+/// Returns the key that identifies a hall in updates.
 pub fn hall_key(hall: &Name) -> u32 {
     short_hash(hall)
 }
 
-/// The members of one hall, those first that are to be its aggregators.
+/// The members of a hall that can aggregate, in order of preference.
 #[derive(Clone, Debug)]
 struct Hall {
     name: Name,
     members: Vec<Member>,
 }
 
-/// Whom this instance tells, worked out from its view and from who answers.
+/// Selects aggregators from the membership view and from which instances answer.
 #[derive(Debug, Default)]
 pub struct Aggregators {
-    /// The view that `halls` are of.
+    /// The view from which `halls` was built.
     view: Arc<View>,
     halls: Vec<Hall>,
-    /// Since when those told have not answered.
+    /// When the oldest unanswered update to each instance was sent.
     unanswered: HashMap<Incarnation, Micros>,
 }
 
 impl Aggregators {
-    /// Takes a view; false if it is the one taken last, of which nothing is worked out anew.
+    /// Sets the view and rebuilds the halls; returns false and does nothing if the view is the current one.
     pub fn set_view(&mut self, view: &Arc<View>) -> bool {
         if Arc::ptr_eq(&self.view, view) {
             return false;
@@ -62,17 +61,17 @@
         true
     }
 
-    /// Notes that an instance was told something that it answers.
+    /// Records that an instance was sent an update that it is expected to answer.
     pub fn expect_answer(&mut self, now_us: Micros, incarnation: Incarnation) {
         self.unanswered.entry(incarnation).or_insert(now_us);
     }
 
-    /// Notes that an instance spoke.
+    /// Records that an instance sent an update.
     pub fn record_answer(&mut self, incarnation: Incarnation) {
         self.unanswered.remove(&incarnation);
     }
 
-    /// Returns the aggregators of a hall as this instance sees them, itself included.
+    /// Returns the aggregators of a hall that this instance selects, possibly including itself.
     pub fn of_hall(&mut self, now_us: Micros, hall: &Name, is_own: bool) -> Vec<Member> {
         let timeout_us = if is_own {
             OWN_HALL_TIMEOUT_US
@@ -92,20 +91,20 @@
         let chosen = hall.members.iter().filter(answers);
         let chosen: Vec<Member> = chosen.take(AGGREGATORS).cloned().collect();
         if chosen.is_empty() {
-            // None answers: those that the membership believes to run.
+            // None answers, so rely on the membership alone.
             return hall.members.iter().take(AGGREGATORS).cloned().collect();
         }
         chosen
     }
 
-    /// Returns how many instances a data centre has that may aggregate.
+    /// Returns the number of a hall's instances that can aggregate.
     pub fn members_of(&self, hall_name: &Name) -> usize {
         let known = self.halls.iter().find(|h| h.name == *hall_name);
         known.map_or(0, |h| h.members.len())
     }
 
-    /// Returns whom this instance tells of its hall, if it is one of its aggregators: of each other
-    /// hall the one of its own place, or all where it is alone in its hall.
+    /// Returns the aggregators of other halls that this instance sends its hall's summaries to; none if it is not
+    /// an aggregator. In each hall it selects the one of its own rank, or all if it is its hall's only aggregator.
     pub fn remote_peers(&mut self, now_us: Micros, my_hall: &Name) -> Vec<Member> {
         let me = self.view.me;
         let own = self.of_hall(now_us, my_hall, true);
@@ -125,7 +124,7 @@
         peers
     }
 
-    /// Returns the aggregators of all halls, this instance left out.
+    /// Returns the aggregators of all halls, without this instance.
     pub fn of_all_halls(&mut self, now_us: Micros, my_hall: &Name) -> Vec<Member> {
         let names: Vec<Name> = self.halls.iter().map(|h| h.name.clone()).collect();
         let me = self.view.me;
--- a/src/gateway/copies.rs
+++ b/src/gateway/copies.rs
@@ -1,8 +1,8 @@
-//! Copies of the configuration and of the endpoints between instances: a few of them watch the
-//! store, and the others learn from those.
+//! Transfers copies of the configuration and the endpoints between instances over TCP: a few instances watch the
+//! store, and the others fetch from them.
 //!
-//! Either may be large: it is asked for part by part, so that a slow link delays it and does not lose it, and given to
-//! a few at a time, so that it fills no link that smaller copies have to go through.
+//! Copies can be large. They are fetched in parts, so that a slow link delays a copy without losing it, and sent to a
+//! few instances at a time, so that they do not fill a link that smaller copies need.
 
 use std::{
     collections::VecDeque,
@@ -39,93 +39,94 @@
     prelude::Micros,
 };
 
-/// Time for a connection and for an answer, each.
+/// Timeout of a connection attempt, and of a call.
 const TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum concurrent calls on a connection.
 const MAX_CONCURRENT_CALLS: usize = 16;
-/// Bytes of a copy that go in one answer: 13 ms of a link of 10 Mbit/s.
+/// Bytes of a copy in one response, which take 13 ms on a link of 10 Mbit/s.
 const PART_BYTES: usize = 16 << 10;
-/// Takers that are given a copy of several parts at a time: what is on its way to them takes 52 ms of a link of
+/// Maximum concurrent transfers of copies with several parts; their parts in flight take 52 ms on a link of
 /// 10 Mbit/s.
 const MAX_TRANSFERS: usize = 4;
-/// Packed copies of the endpoints that are kept for those that ask for the same.
+/// Maximum packed copies of the endpoints in the cache, for instances that request the same one.
 const MAX_PACKED: usize = 4;
-/// A taker that asks for no more within this time has gone: it waits for [`TIMEOUT`] for each part.
+/// A transfer without a request for this long has ended: a client waits at most [`TIMEOUT`] for each part.
 const TRANSFER_IDLE_US: Micros = 1_000_000;
 
-/// Addresses of instances in one answer, at most: some 2 KB. Whoever asks several times, and hears from those that it
-/// met, learns of the others.
+/// Maximum instance addresses in one response, about 2 KB. An instance learns the others from further requests and
+/// from the instances that it then knows.
 const MAX_ADDRESSES: usize = 256;
 
-/// Why no copy came.
+/// Why a fetch failed.
 #[derive(Debug, Snafu)]
 pub enum CopyError {
-    /// The instance could not be reached.
+    /// The connection failed.
     #[snafu(display("cannot connect to {addr}: {source}"))]
     Connect {
-        /// The instance.
+        /// The instance's control address.
         addr: SocketAddr,
-        /// What the system said.
+        /// The cause.
         source: io::Error,
     },
-    /// The connection broke, or nothing came in time.
+    /// The connection was lost, or the call timed out.
     #[snafu(display("no copy came: {source}"))]
     NoAnswer {
-        /// What tarpc said.
+        /// The cause.
         source: client::RpcError,
     },
-    /// What came is no copy.
+    /// The received bytes are not a valid copy.
     #[snafu(display("{source}"))]
     Unreadable {
-        /// What is wrong with it.
+        /// The reason.
         source: UnpackError,
     },
 }
 
-/// What an instance says that is asked for something newer.
+/// Response to a request for a newer copy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CopyAnswer {
-    /// It has nothing newer.
+    /// The instance has nothing newer.
     NotNewer,
-    /// It is giving copies to others; whoever asks comes back later, or asks another.
+    /// The instance serves other transfers; the client retries later or with another instance.
     Busy,
-    /// A part of it.
+    /// A part of the copy.
     Part(CopyPart),
 }
 
 /// A part of a packed copy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CopyPart {
-    /// The configuration's version, or the store's revision that the endpoints are up to.
+    /// The configuration's version, or the store revision of the endpoints.
     pub version: u64,
-    /// How long all parts are together, in bytes.
+    /// Total length of all parts in bytes.
     pub total_bytes: u64,
-    /// For how long it has not been known to be the newest.
+    /// Time since the copy was last known to be the newest, if it was.
     pub age_us: Option<Micros>,
-    /// The part, from the place that was asked for.
+    /// The part, starting at the requested offset.
     pub bytes: Vec<u8>,
 }
 
-/// What an instance asks another for.
+/// Calls from one instance to another.
 #[tarpc::service]
 trait Copying {
-    /// Returns the configuration in force from `offset` on, if it is newer than `version`.
+    /// Returns the part at `offset` of the current configuration, if that is newer than `version`.
     async fn config_part(version: ConfigVersion, offset: u64) -> CopyAnswer;
-    /// Takes the address of the one who asks, and returns all that are known.
+    /// Adds the caller's address, and returns the known addresses, or a sample of them.
     async fn meet(me: SocketAddr) -> Vec<SocketAddr>;
-    /// Returns what has changed in the endpoints since a revision, from `offset` on, of the copy up to `requested` if that is
-    /// kept; 0 is the newest.
+    /// Returns the part at `offset` of the endpoint changes since a revision. The changes go up to revision `requested`
+    /// if that copy is cached, else to the newest; 0 requests the newest.
     async fn endpoints_part(since: Revision, requested: Revision, offset: u64) -> CopyAnswer;
 }
 
-/// Those that are being given a copy of several parts.
+/// The transfers in progress of copies with several parts.
 #[derive(Debug, Default)]
 pub struct Transfers {
-    /// The number of each one's connection, and when it asked last.
+    /// Each transfer's connection number and the time of its last request.
     last_request_us: Vec<(u64, Micros)>,
 }
 
 impl Transfers {
-    /// Returns whether a taker is given a part now.
+    /// Returns whether a connection may get a part now, and if so records its transfer.
     pub fn admit(&mut self, now_us: Micros, connection: u64) -> bool {
         let is_active = |at_us: Micros| now_us.saturating_sub(at_us) < TRANSFER_IDLE_US;
         self.last_request_us
@@ -137,14 +138,14 @@
         has_room
     }
 
-    /// Notes that a taker has been given all.
+    /// Removes the transfer of a connection that has been sent its last part.
     pub fn finish(&mut self, connection: u64) {
         self.last_request_us
             .retain(|(other, _)| *other != connection);
     }
 }
 
-/// What all connections to one that gives copies share.
+/// State shared by all connections to an instance that serves copies.
 struct CopySource<P: Protocol> {
     gateway: Arc<Gateway<P>>,
     transfers: Mutex<Transfers>,
@@ -152,7 +153,7 @@
     connections: AtomicU64,
 }
 
-/// What has changed in the endpoints between two revisions, packed.
+/// The changes of the endpoints between two revisions, packed.
 #[derive(Clone)]
 struct PackedEndpoints {
     since: Revision,
@@ -203,7 +204,7 @@
             Some(packed) => packed,
             None => self.pack(since)?,
         };
-        // Of an older copy it is not known whether it is as the store has it.
+        // An older copy is not known to match the store.
         let is_newest = packed.revision == newest;
         let age_us = known_age_us(gateway.endpoints_age_us()).filter(|_| is_newest);
         Ok(self.part(packed.revision, age_us, &packed.bytes, offset))
@@ -230,7 +231,7 @@
         Ok(packed)
     }
 
-    /// Returns a part of a copy, if its taker is among those that are given one now.
+    /// Returns a part of a copy, or `Busy` if the copy has several parts and the limit of transfers is reached.
     fn part(&self, version: u64, age_us: Option<Micros>, packed: &[u8], offset: u64) -> CopyAnswer {
         let gateway = &self.source.gateway;
         let from = usize::try_from(offset).map_or(packed.len(), |o| o.min(packed.len()));
@@ -256,11 +257,11 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // Every step leaves the list whole, so a poisoned lock is usable.
+    // Every update leaves the list consistent, so a poisoned lock remains usable.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Returns an age, if anything is known.
+/// Returns an age, or `None` for the age of state that was never confirmed.
 fn known_age_us(age_us: Micros) -> Option<Micros> {
     (age_us < Micros::MAX).then_some(age_us)
 }
@@ -293,7 +294,7 @@
     }
 }
 
-/// Returns some of the addresses, drawn if there are more.
+/// Returns all addresses, or a random sample of `max` if there are more.
 pub fn sample(mut addrs: Vec<SocketAddr>, max: usize) -> Vec<SocketAddr> {
     if addrs.len() > max {
         addrs.shuffle(&mut rand::rng());
@@ -302,10 +303,10 @@
     addrs
 }
 
-/// Gives copies to others until dropped.
+/// Serves copies to other instances until dropped.
 ///
 /// # Errors
-/// The listener cannot be used.
+/// Fails if the listener cannot be used.
 pub async fn serve<P: Protocol>(
     gateway: Arc<Gateway<P>>,
     listener: TcpListener,
@@ -336,20 +337,20 @@
     Ok(())
 }
 
-/// A copy that came from another instance.
+/// A copy fetched from another instance.
 #[derive(Debug)]
 pub struct Fetched<T> {
-    /// What came.
+    /// The unpacked copy.
     pub value: T,
-    /// When it was known to be the newest, by the clock of the one that asked.
+    /// When the copy was last known to be the newest, by the local clock.
     pub fresh_at_us: Option<Micros>,
 }
 
-/// Asks an instance for a configuration newer than `version`; none if it has none, or is busy giving copies to
-/// others.
+/// Fetches a configuration newer than `version` from an instance; returns `None` if it has none or is busy with other
+/// transfers.
 ///
 /// # Errors
-/// It did not come whole.
+/// Fails if the configuration is not received completely.
 pub async fn fetch_config(
     addr: SocketAddr,
     codec: SealedCodec,
@@ -368,10 +369,11 @@
     }
 }
 
-/// Asks an instance for what has changed in the endpoints since `revision`; none as for a configuration.
+/// Fetches the changes of the endpoints since `revision` from an instance; returns `None` if it has none or is busy
+/// with other transfers.
 ///
 /// # Errors
-/// It did not come whole.
+/// Fails if the changes are not received completely.
 pub async fn fetch_endpoints(
     addr: SocketAddr,
     codec: SealedCodec,
@@ -390,7 +392,7 @@
     }
 }
 
-/// The parts of a copy that have come.
+/// The parts of a copy received so far.
 #[derive(Debug, Default)]
 struct PartialCopy {
     version: u64,
@@ -398,13 +400,13 @@
 }
 
 impl PartialCopy {
-    /// Returns the place to go on from.
+    /// Returns the offset of the next part.
     fn offset(&self) -> u64 {
         self.bytes.len() as u64
     }
 
-    /// Takes an answer to a question that was sent at `asked_us`; none if more is to come, else the copy, if there
-    /// is one.
+    /// Appends the response to a call that was sent at `asked_us`. Returns `None` if more parts are needed, else the
+    /// copy, or `Some(None)` if the instance did not send one.
     fn append<T: DeserializeOwned>(
         &mut self,
         answer: CopyAnswer,
@@ -416,11 +418,11 @@
         let is_other_version = part.version != self.version && !self.bytes.is_empty();
         self.version = part.version;
         if is_other_version {
-            // A newer one came there meanwhile: this part does not belong to what is here.
+            // The source has a newer copy by now, and this part does not continue the one received so far.
             self.bytes.clear();
             return Ok(None);
         }
-        // Without more to come it is all there is, and unpacking it says whether that is whole.
+        // An empty part ends the copy; unpacking detects whether it is complete.
         let is_last = part.bytes.is_empty();
         self.bytes.extend(part.bytes);
         if !is_last && self.offset() < part.total_bytes {
@@ -432,10 +434,10 @@
     }
 }
 
-/// Tells an instance this one's address; returns those that it knows.
+/// Sends this instance's address to another instance, and returns the addresses that it knows.
 ///
 /// # Errors
-/// It did not answer.
+/// Fails if the instance does not answer.
 pub async fn exchange_addresses(
     addr: SocketAddr,
     codec: SealedCodec,
--- a/src/gateway/current_config.rs
+++ b/src/gateway/current_config.rs
@@ -1,8 +1,7 @@
-//! The configuration in force, and until when it is known to be the newest.
+//! Holds the current configuration, and when it was last known to be the newest.
 //!
-//! Freshness is a time of this process's steady clock: when the question was *sent* whose answer
-//! showed the configuration to be the newest. A configuration is never replaced by an older one
-//! within one process's life.
+//! Freshness is a time of this process's monotonic clock: when the query was *sent* whose response confirmed that the
+//! configuration is the newest. While a process runs, a configuration is never replaced by an older one.
 
 use std::sync::Arc;
 
@@ -17,27 +16,27 @@
     prelude::Micros,
 };
 
-/// Holds the configuration in force.
+/// The configuration in force, with its route table and its staleness.
 #[derive(Debug, Default)]
 pub struct CurrentConfig {
     table: ArcSwapOption<RouteTable>,
-    /// How fresh it is known to be.
+    /// Staleness of the configuration.
     pub staleness: Staleness,
 }
 
-/// What became of an offered configuration.
+/// The outcome of [`CurrentConfig::offer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OfferOutcome {
-    /// It is in force now.
+    /// The configuration is in force now.
     Applied,
-    /// It was in force already.
+    /// The configuration was already in force.
     Known,
-    /// A newer one is in force; nothing changed.
+    /// A newer configuration is in force; nothing changed.
     Older,
 }
 
 impl CurrentConfig {
-    /// Returns the configuration in force, if any is known.
+    /// Returns the route table of the configuration in force, if there is one.
     pub fn table(&self) -> Option<Arc<RouteTable>> {
         self.table.load_full()
     }
@@ -47,7 +46,7 @@
         self.table.load().as_ref().map_or(0, |t| t.config().version)
     }
 
-    /// Puts a configuration in force if it is newer than the one that is.
+    /// Puts a configuration in force if it is newer than the current one.
     pub fn offer(&self, config: GatewayConfig) -> OfferOutcome {
         match config.version.cmp(&self.version()) {
             std::cmp::Ordering::Less => OfferOutcome::Older,
@@ -59,16 +58,16 @@
         }
     }
 
-    /// Notes that `version` was the newest when a question was sent at `asked_us`.
+    /// Records that `version` was the newest when a query was sent at `asked_us`.
     ///
-    /// Says nothing if another version is in force.
+    /// Does nothing if another version is in force.
     pub fn confirm(&self, version: ConfigVersion, asked_us: Micros) {
         if version == self.version() {
             self.staleness.confirm(asked_us);
         }
     }
 
-    /// Returns for how long the configuration has not been known to be the newest.
+    /// Returns the time since the configuration was last known to be the newest.
     pub fn age_us(&self, now_us: Micros) -> Micros {
         self.staleness.age_us(now_us)
     }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -1,7 +1,7 @@
-//! Tells the other instances what this one has sent where, and takes what they tell.
+//! Exchanges load reports, summaries and freshness with the other instances over UDP.
 //!
-//! In a small group everybody tells everybody. In a large one instances report to the aggregators of
-//! their hall, and those tell the hall, and other halls', sums.
+//! In a small cluster every instance sends to every other one. In a large cluster instances report to
+//! the aggregators of their hall, which send summaries to that hall and to the aggregators of other halls.
 
 use std::{
     collections::VecDeque,
@@ -44,25 +44,26 @@
     prelude::{Incarnation, Micros, Name},
 };
 
-/// Shortest time between two rounds; several requests share a datagram under load.
+/// Minimum time between two rounds; under load, several requests share a datagram.
 const ROUND: Duration = Duration::from_millis(40);
-/// Up to this many instances everybody tells everybody each round; in larger groups they report to
+/// Up to this many instances, every instance sends to every other one each round; larger clusters use
 /// aggregators.
 const SMALL_CLUSTER: usize = 12;
-/// Instances that watch the store for all: two may be lost at once.
+/// Number of instances that watch the store on behalf of all; two may fail at once.
 pub const WATCHERS: usize = 3;
-/// An instance that is no seed watches the store for others only after this time: until then it knows
-/// few of them, and of 295 that start together most would believe to be among the first three.
+/// Time after the start before an instance that is not a seed may watch the store for others. Until then its
+/// view holds few members, and most of 295 instances that start together would rank themselves among the first three.
 const VIEW_SETTLING_US: Micros = 1_500_000;
-/// The longest datagram that is read: what UDP carries.
+/// Size of the receive buffer: the largest UDP datagram.
 const MAX_DATAGRAM: usize = 65_536;
-/// Rounds of which it is remembered what was sent: a second and more.
+/// Number of sent updates that are kept for matching echoes: more than a second of rounds.
 const SENT_UPDATES_KEPT: usize = 64;
-/// The seeds are asked for the others after these times from the start, one of them each time: 295
-/// instances are 6 KB, and three seeds told to all of them each 250 ms filled the seeds' links.
+/// Times after the start at which one seed, a different one each time, is asked for the addresses of the other
+/// instances. The list of 295 instances takes 6 KB; sending it to all of them every 250 ms filled the links of
+/// three seeds.
 const DISCOVERY_DELAYS_MS: [u64; 6] = [0, 150, 400, 800, 1_500, 3_000];
 
-/// What a round said of this instance alone.
+/// The loads of this instance alone, as sent in one update.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SentUpdate {
     pub(super) seq: u64,
@@ -79,25 +80,29 @@
     pub(super) hall_reports: HallBook,
     pub(super) remote_halls: FarBook,
     pub(super) aggregators: Aggregators,
-    /// How many instances the view knows, silent ones included.
+    /// Number of instances in the view, silent ones included.
     pub(super) instances_in_view: usize,
-    /// By its view this instance is one of those that watch the store for all.
+    /// Whether the view makes this instance one of the store watchers.
     pub(super) is_watcher: bool,
-    /// Where those are that watch the store for all.
+    /// Addresses of the other store watchers.
     pub(super) watchers: Vec<SocketAddr>,
-    /// When another instance was asked how fresh what it knows is.
+    /// When the last freshness query was sent to another instance.
     pub(super) freshness_query_us: Micros,
+    /// When the last report was due.
     pub(super) reported_at_us: Micros,
-    /// What is told of requests has changed since.
+    /// Whether loads or limits have changed since the last report.
     pub(super) has_changed: bool,
+    /// When the last summary was sent to this hall.
     pub(super) summary_at_us: Micros,
-    /// How long the last summary was.
+    /// Length of the last summary in bytes, over all its datagrams.
     pub(super) summary_bytes: usize,
-    /// When the peers in other halls were told of this one, and this one of other halls.
+    /// When this hall's summary was last sent to the aggregators of other halls.
     pub(super) summary_to_remote_at_us: Micros,
+    /// When the summary of the other halls was last sent to this hall.
     pub(super) remote_summary_at_us: Micros,
     pub(super) round_number: usize,
-    /// What was told last of the configuration, the endpoints and the evacuations: news goes out at once.
+    /// The configuration version, endpoints revision and evacuated data centres of the last round; a change is
+    /// sent at once.
     pub(super) last_sent_state: (u64, u64, Vec<Name>),
 }
 
@@ -119,18 +124,18 @@
     }
 }
 
-/// The addresses at which an exchange tells and asks, and what its link carries.
+/// The identity, seeds and link capacity of an instance's exchange.
 #[derive(Clone, Debug)]
 pub struct ExchangeSettings {
-    /// This instance, as the membership knows it.
+    /// This instance's entry in the membership.
     pub me: MemberInfo,
-    /// Control addresses of some instances, which may be gone.
+    /// Control addresses of some instances, which may no longer run.
     pub seeds: Vec<SocketAddr>,
-    /// Bytes a second that this instance's link carries.
+    /// Capacity of this instance's link in bytes per second.
     pub link_bytes_per_s: f64,
 }
 
-/// The exchange of one instance.
+/// Sends and receives the updates of one instance.
 pub struct Exchange<P: Protocol> {
     pub(super) gateway: Arc<Gateway<P>>,
     pub(super) gossip: Arc<Gossip>,
@@ -140,17 +145,17 @@
     pub(super) codec: SealedCodec,
     pub(super) settings: ExchangeSettings,
     pub(super) my_hall: u32,
-    /// The others ask it who is there, or there are none that would.
+    /// Whether this instance is a seed, or no seeds are configured.
     pub(super) is_seed: bool,
     pub(super) state: Mutex<State>,
     pub(super) fetching: ActiveFetches,
 }
 
 impl<P: Protocol> Exchange<P> {
-    /// Creates the exchange over a bound socket; every instance's has the same port.
+    /// Creates the exchange over a bound socket. All instances must use the same port.
     ///
     /// # Errors
-    /// The socket has no address.
+    /// Fails if the socket has no local address.
     pub fn new(
         gateway: Arc<Gateway<P>>,
         gossip: Arc<Gossip>,
@@ -165,7 +170,7 @@
         gateway.quota.join(settings.me.incarnation, my_addr.ip());
         let is_seed = settings.seeds.is_empty() || settings.seeds.contains(&my_addr);
         settings.seeds.retain(|seed| *seed != my_addr);
-        // The seeds are taken for instances until they had time to be heard.
+        // Seeds count as instances until they have had time to send an update.
         for seed in settings.seeds.iter().filter(|s| s.ip() != my_addr.ip()) {
             state.peer_table.add_unseen(now_us, seed.ip());
         }
@@ -184,7 +189,7 @@
         })
     }
 
-    /// Tells and listens until dropped.
+    /// Sends and receives updates until dropped.
     pub async fn run(self: Arc<Self>) {
         let mut round = time::interval(ROUND);
         round.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -201,8 +206,8 @@
         }
     }
 
-    /// Meets the others through the seeds for some seconds after the start, which is quicker than
-    /// hearing of each by probes when all of a large group start at once.
+    /// Fetches the addresses of other instances from the seeds during the first seconds. When a whole large cluster
+    /// starts at once, this is quicker than learning of each instance by probes.
     pub async fn discover_peers(self: Arc<Self>) {
         let started = time::Instant::now();
         let first = rand::rng().random_range(0..self.settings.seeds.len().max(1));
@@ -211,13 +216,13 @@
             time::sleep_until(started + Duration::from_millis(after_ms)).await;
             let answer =
                 copies::exchange_addresses(*seed, self.codec.clone(), self.settings.me.peer_addr);
-            // A seed may be long gone; the others are asked all the same.
+            // A seed may no longer run; the next one is asked regardless.
             let known = answer.await.unwrap_or_default();
             self.add_peers(&known);
         }
     }
 
-    /// Takes control addresses of instances: they are told of this one, and share limits with it.
+    /// Adds control addresses of instances, which then receive this instance's updates and share its limits.
     fn add_peers(&self, addrs: &[SocketAddr]) {
         let now_us = self.gateway.clock.now_us();
         let others = addrs.iter().filter(|a| **a != self.settings.me.peer_addr);
@@ -281,8 +286,8 @@
         }
     }
 
-    /// Returns how often this instance reports. Those that watch the store do so as in a small group: the others
-    /// know from them how fresh their configuration is.
+    /// Returns how often this instance reports. Store watchers report as often as in a small cluster, because the
+    /// others learn from them how fresh their configuration is.
     fn report_intervals(&self, state: &State) -> ReportIntervals {
         let instances = match state.is_watcher {
             true => 0,
@@ -291,8 +296,8 @@
         ReportIntervals { instances }
     }
 
-    /// Works out whom this instance asks for places at its hall's endpoints: the aggregators, the first of
-    /// them first. One that is the first itself asks nobody.
+    /// Sets the issuers of reservations at this hall's endpoints: the hall's aggregators ranked before this
+    /// instance, in order. The first aggregator itself has none.
     fn set_reservation_issuers(&self, now_us: Micros) {
         let (chosen, is_aggregator) = {
             let mut state = self.lock();
@@ -311,7 +316,7 @@
             .set_hall_aggregator(is_aggregator);
     }
 
-    /// Works out from a new view what this instance does for others.
+    /// Applies a membership view: derives the aggregators, the store watchers and this instance's own roles.
     fn apply_view(&self, view: &Arc<View>) {
         let now_us = self.gateway.clock.now_us();
         self.gateway.permits.set_view(view);
@@ -332,7 +337,7 @@
         self.gateway.set_watches_store(watches);
     }
 
-    /// Counts the sharers, and notes who fell silent.
+    /// Counts the instances that share limits, logs lost summaries and returns the cluster's size.
     fn count_sharers(&self, now_us: Micros, view: &View) -> ClusterSize {
         let (cluster_size, silent, sharers, known_sharers) = {
             let mut state = self.lock();
@@ -384,7 +389,7 @@
         cluster_size
     }
 
-    /// Returns where instances are, or were.
+    /// Returns the addresses of all known instances, including ones that may no longer run.
     fn addresses(&self, view: &View) -> Vec<IpAddr> {
         let state = self.lock();
         let added = state.peer_table.iter().map(|(ip, _)| *ip);
@@ -392,7 +397,7 @@
         added.chain(members).collect()
     }
 
-    /// Shows in the counters what the exchange believes.
+    /// Updates the gauges for the exchange's current state.
     fn update_metrics(&self, now_us: Micros, sharers: InstanceCounts) {
         let state = self.lock();
         let age_s = |hall: u32| {
@@ -407,7 +412,7 @@
         metrics.reporters.set(i64::from(reporters));
     }
 
-    /// Names in logs whose summaries are meant.
+    /// Returns the log value for the halls that a summary source covers.
     pub(super) fn summary_scope(&self, source: Incarnation) -> &'static str {
         if source == teller_of_hall(FAR_HALLS) {
             "other_halls"
@@ -417,7 +422,7 @@
     }
 
     pub(super) fn lock(&self) -> std::sync::MutexGuard<'_, State> {
-        // Every step leaves the state whole, so a poisoned lock is usable.
+        // Every update leaves the state consistent, so a poisoned lock remains usable.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/gateway/fetching.rs
+++ b/src/gateway/fetching.rs
@@ -1,8 +1,8 @@
-//! Fetches what another instance is said to have newer: the configuration and the endpoints, each by itself,
-//! so that neither waits for the other.
+//! Fetches newer configurations and endpoints from other instances, independently, so that neither waits for the
+//! other.
 //!
-//! Whoever gives a copy gives it to a few at a time. One that is put off asks another instance, which may have it by
-//! then, so the time until all have it grows as the logarithm of the group.
+//! An instance sends copies to a few others at a time. One that is refused tries another instance, which may have the
+//! copy by then, so the time until all have it grows with the logarithm of the cluster size.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -28,17 +28,18 @@
     peers::view::Member,
 };
 
-/// Instances that are asked for the same, one after the other.
+/// Maximum instances that are tried for the same copy, one after the other.
 const MAX_ATTEMPTS: usize = 12;
-/// Pause after one that gave nothing; spread, so that those that were put off together do not come together.
+/// Pause after a failed attempt; random, so that instances that were refused together do not retry together.
 const RETRY_PAUSE_MS: Range<u64> = 30..90;
-/// One in so many is asked in any data centre, the others in the own one.
+/// One attempt in this many may go to any hall; the others stay in this hall.
 const ANY_HALL_RATIO: u32 = 4;
-/// A process that starts asks others for this long, and this often.
+/// How long a process that starts tries to fetch from other instances.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause between the attempts of a process that starts.
 const START_RETRY_PAUSE: Duration = Duration::from_millis(60);
 
-/// What is to be copy, if nothing as new is known.
+/// What to fetch, unless the local state is as new.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Wanted {
     /// A configuration of this version or a later one.
@@ -56,7 +57,7 @@
     }
 }
 
-/// Which fetches are under way; one of each kind at a time.
+/// The fetches in progress, at most one of each kind.
 #[derive(Debug, Default)]
 pub(super) struct ActiveFetches {
     config: AtomicBool,
@@ -73,7 +74,7 @@
 }
 
 impl<P: Protocol> Exchange<P> {
-    /// Fetches what an instance is said to have, from it or from another one, unless one of the kind is being copy.
+    /// Starts to fetch what an instance announced, from it or from another one, unless a fetch of the kind is in progress.
     pub(super) fn fetch(self: &Arc<Self>, ip: IpAddr, wanted: Wanted) {
         if self.has(wanted) || self.fetching.flag(wanted).swap(true, Ordering::Relaxed) {
             return;
@@ -88,14 +89,14 @@
         });
     }
 
-    /// Fetches what this process lacks at its start, so that not each reads it from the store.
+    /// Fetches the missing state at the start, so that not every process reads it from the store.
     pub async fn fetch_at_start(self: Arc<Self>) {
         let config = self.fetch_missing(Wanted::Config(1));
         let endpoints = self.fetch_missing(Wanted::Endpoints(1));
         tokio::join!(config, endpoints);
     }
 
-    /// Asks seeds and others by turns until something is known.
+    /// Tries a seed and another instance alternately until something is fetched or the time is up.
     async fn fetch_missing(&self, wanted: Wanted) {
         let until = time::Instant::now() + START_TIMEOUT;
         let mut is_seed_due = true;
@@ -106,7 +107,7 @@
             if let Some(ip) = seed.or_else(|| self.random_peer())
                 && let Err(error) = self.fetch_once(ip, wanted).await
             {
-                // Many start beside this one, and some of them do not listen yet.
+                // Many instances may start together, and some of them do not listen yet.
                 let (what, reason) = (wanted.as_str(), error.to_string());
                 log::debug!(target: "ryevalve::process", what, reason; "copies_not_fetched");
             }
@@ -152,9 +153,7 @@
         let addr = self.copies_addr(ip);
         let version = gateway.config.version();
         let copy = copies::fetch_config(addr, self.codec.clone(), version, gateway.clock).await?;
-        let Some(copy) = copy else {
-            return Ok(());
-        };
+        let Some(copy) = copy else { return Ok(()) };
         let version = copy.value.version;
         gateway.offer(copy.value, "peer");
         if let Some(fresh_at_us) = copy.fresh_at_us {
@@ -174,7 +173,7 @@
         Ok(())
     }
 
-    /// Returns an instance to ask, in the own data centre more often than in another one.
+    /// Returns a random instance to fetch from, preferring this hall.
     fn random_peer(&self) -> Option<IpAddr> {
         let mut rng = rand::rng();
         let is_any_hall = rng.random_ratio(1, ANY_HALL_RATIO);
@@ -185,14 +184,14 @@
         if let Some(member) = member {
             return Some(member.info.peer_addr.ip());
         }
-        // Those that were met are not all in the view yet.
+        // Some known instances may not be in the view yet.
         let me = self.settings.me.peer_addr;
         let known = self.gateway.meet(&[]).into_iter();
         let other = known.filter(|addr| *addr != me).choose(&mut rng);
         other.map(|addr| addr.ip())
     }
 
-    /// Returns where an instance gives copies: all have the same port for that.
+    /// Returns the address at which an instance serves copies; all instances use the same port.
     fn copies_addr(&self, ip: IpAddr) -> SocketAddr {
         SocketAddr::new(ip, self.settings.me.peer_addr.port())
     }
--- a/src/gateway/freshness_checks.rs
+++ b/src/gateway/freshness_checks.rs
@@ -1,4 +1,4 @@
-//! What a gateway may act on, by how fresh what it knows of the store is.
+//! Decides from its freshness whether a gateway may use its local state of the store.
 
 use std::time::Duration;
 
@@ -11,69 +11,69 @@
     prelude::Micros,
 };
 
-/// How often what waits for the store's answer looks whether the store still is to be waited for.
+/// How often a task that waits for the store's response checks whether to keep waiting.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl<P: Protocol> Gateway<P> {
-    /// Returns for how long the configuration has not been known to be the newest.
+    /// Returns the time since the configuration was last known to be the newest.
     pub fn config_age_us(&self) -> Micros {
         self.config.age_us(self.clock.now_us())
     }
 
-    /// Returns for how long the endpoints have not been known to be as the store has them.
+    /// Returns the time since the endpoints were last known to match the store.
     pub fn endpoints_age_us(&self) -> Micros {
         self.endpoints.age_us(self.clock.now_us())
     }
 
-    /// Returns for how long the evacuations have not been known to be as the store has them.
+    /// Returns the time since the evacuations were last known to match the store.
     pub fn evacuations_age_us(&self) -> Micros {
         self.evacuations.staleness.age_us(self.clock.now_us())
     }
 
-    /// Returns the configuration's age in milliseconds, for logs; none if none was ever confirmed.
+    /// Returns the configuration's age in milliseconds, for logs; `None` if it was never confirmed.
     pub fn config_age_ms(&self) -> Option<u64> {
         known_ms(self.config_age_us())
     }
 
-    /// Returns the endpoints' age in milliseconds, for logs; none if none were ever confirmed.
+    /// Returns the endpoints' age in milliseconds, for logs; `None` if they were never confirmed.
     pub fn endpoints_age_ms(&self) -> Option<u64> {
         known_ms(self.endpoints_age_us())
     }
 
-    /// Returns whether the endpoints may be acted on.
+    /// Returns whether the endpoints are fresh enough to use.
     pub fn endpoints_freshness(&self) -> Freshness {
         self.freshness(&self.endpoints, self.bounds().drain)
     }
 
-    /// Returns whether the configuration may be acted on.
+    /// Returns whether the configuration is fresh enough to use.
     pub fn config_freshness(&self) -> Freshness {
         self.freshness(&self.config.staleness, self.bounds().config())
     }
 
     fn freshness(&self, staleness: &Staleness, bound: StalenessBound) -> Freshness {
         match staleness.freshness(self.clock.now_us(), bound) {
-            // The store had no time to answer: this machine was not there.
+            // The process or its machine was suspended, so the store had no time to answer.
             Freshness::Unreachable if self.clock.has_just_resumed() => Freshness::Refreshing,
             freshness => freshness,
         }
     }
 
-    /// Waits, while the store is being asked, until what is known of the endpoints may be acted on.
+    /// While the store is queried, waits until the endpoints are fresh enough to use.
     ///
-    /// An instance that nobody tells of changes would use endpoints that have left; one that gets no answer goes
-    /// on with what it knows, as all do in an outage.
+    /// Without this, an instance that gets no changes from others would use endpoints that have left. If the store
+    /// does not answer, the instance continues with the endpoints it has, as all instances do in an outage.
     pub async fn wait_for_fresh_endpoints(&self) {
         self.wait_until_fresh(&self.endpoints, self.bounds().drain)
             .await;
     }
 
-    /// The same for the configuration.
+    /// Like [`Self::wait_for_fresh_endpoints`], for the configuration.
     pub async fn wait_for_fresh_config(&self) {
         let bound = self.bounds().config();
         self.wait_until_fresh(&self.config.staleness, bound).await;
     }
 
-    /// Returns whether the evacuations may be acted on; they always may where there are none.
+    /// Returns whether the evacuations are fresh enough to use; always fresh if evacuations are not configured.
     pub fn evacuations_freshness(&self) -> Freshness {
         match self.bounds().evacuate {
             Some(bound) => self.freshness(&self.evacuations.staleness, bound),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Waits, while the store is being asked, until what is known of evacuations may be acted on.
+    /// While the store is queried, waits until the evacuations are fresh enough to use.
     pub async fn wait_for_fresh_evacuations(&self) {
         if let Some(bound) = self.bounds().evacuate {
             self.wait_until_fresh(&self.evacuations.staleness, bound)
@@ -100,25 +100,24 @@
         }
     }
 
-    /// Returns whether the configuration in force may deny what it does not have.
+    /// Returns whether requests may be refused because the configuration in force lacks their route or key.
     pub fn may_deny(&self) -> bool {
         self.is_config_fresh() && self.config_freshness() == Freshness::Fresh
     }
 
-    /// Returns whether the configuration is new enough to judge a key by.
+    /// Returns whether the configuration is fresh enough to check a key against.
     pub fn is_config_fresh(&self) -> bool {
         self.config_age_us() <= self.bounds().key_age_us()
     }
 
-    /// Returns whether a key that the configuration in force has may be used.
+    /// Returns whether keys in the configuration in force may be used.
     ///
-    /// Operators who do not ask for strict revocation are served by the last configuration known
-    /// while the store is away.
+    /// Without strict revocation, the last known configuration remains valid while the store is unreachable.
     pub fn may_use_keys(&self) -> bool {
         !self.bounds().is_revocation_strict || self.is_config_fresh()
     }
 
-    /// Returns whether callers are to be sent here.
+    /// Returns whether this instance is ready for callers' requests.
     pub fn is_ready(&self) -> bool {
         let serves = self.is_config_fresh() && self.balancer().endpoint_count() > 0;
         let knows_evacuations = self.evacuations_freshness() != Freshness::Unknown;
--- a/src/gateway/freshness_queries.rs
+++ b/src/gateway/freshness_queries.rs
@@ -1,8 +1,8 @@
-//! Asks other instances how fresh what they know of the store is, before the store has to be asked.
+//! Queries the freshness of other instances, before the store itself has to be queried.
 //!
-//! Summaries come less often the larger a data centre is, and what they say of freshness is as old as the report that
-//! they echo. An answer to a question is as old as a round trip, whatever the size: aggregators ask those that watch
-//! the store, the others ask an aggregator.
+//! Summaries are sent less often the larger a hall is, and the freshness in them is as old as the report that they
+//! echo. The response to a query is only as old as a round trip, whatever the size: aggregators query the store
+//! watchers, the other instances query an aggregator.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -22,7 +22,7 @@
 };
 
 impl<P: Protocol> Exchange<P> {
-    /// Notes who watches the store, in their turn, this instance left out.
+    /// Returns the addresses of the store watchers by rank, without this instance.
     pub(super) fn watchers(&self, in_turn: &[&Member]) -> Vec<SocketAddr> {
         let me = self.settings.me.incarnation;
         let watchers = in_turn.iter().take(WATCHERS);
@@ -30,7 +30,7 @@
         others.map(|m| self.addr_of(m)).collect()
     }
 
-    /// Asks one that should know better, if what this instance knows grows old.
+    /// Queries an instance with fresher state if this instance's state is becoming stale.
     pub(super) async fn query_if_stale(&self, now_us: Micros, view: &View) {
         if view.members.len() < 2 || self.gateway.watches_store() {
             return;
@@ -53,7 +53,7 @@
         self.send(addr, &mut question).await;
     }
 
-    /// Returns whether something is old enough to ask, `since_us` after the last question.
+    /// Returns whether any state is stale enough for a query, `since_us` after the last one.
     fn is_stale(&self, is_aggregator: bool, since_us: Micros) -> bool {
         let gateway = &self.gateway;
         let bounds = gateway.bounds();
@@ -87,7 +87,7 @@
         Some(self.addr_of(chosen))
     }
 
-    /// Answers a question at once.
+    /// Responds to a freshness query at once.
     pub(super) fn answer(self: &Arc<Self>, now_us: Micros, from: SocketAddr) {
         let mut answer = self.next_update(now_us, Purpose::Summary);
         answer.loads = Vec::new();
@@ -96,7 +96,7 @@
         self.gateway.metrics.updates_sent.inc();
         self.gateway.metrics.told_bytes.inc_by(bytes.len() as u64);
         if self.socket.try_send_to(&bytes, from).is_err() {
-            // As one lost on the way: whoever asked asks again.
+            // Equivalent to a lost datagram: the other instance repeats its query.
             self.gateway.metrics.updates_unsent.inc();
         }
     }
--- a/src/gateway/packed.rs
+++ b/src/gateway/packed.rs
@@ -1,4 +1,4 @@
-//! What goes from instance to instance in copies: encoded and compressed once, and given in parts.
+//! Packs values that instances copy from each other: encoded and compressed once, and sent in parts.
 
 use std::io::{self, Read};
 
@@ -6,30 +6,30 @@
 use serde::{Serialize, de::DeserializeOwned};
 use snafu::{ResultExt, Snafu};
 
-/// The longest that a copy may be once it is unpacked. What operators write is a megabyte at most.
+/// Maximum length of an unpacked copy. What operators write is at most a megabyte.
 const MAX_UNPACKED_BYTES: u64 = 16 << 20;
 
-/// Why what came is no copy.
+/// Why a copy cannot be unpacked.
 #[derive(Debug, Snafu)]
 pub enum UnpackError {
-    /// It cannot be decompressed, or is too long.
+    /// The bytes cannot be decompressed.
     #[snafu(display("a copy cannot be decompressed: {source}"))]
     Decompress {
-        /// What the decoder said.
+        /// The cause.
         source: io::Error,
     },
-    /// It cannot be decoded.
+    /// The decompressed bytes cannot be decoded, for example because they exceed the maximum length.
     #[snafu(display("a copy cannot be decoded: {source}"))]
     Decode {
-        /// What the decoder said.
+        /// The cause.
         source: postcard::Error,
     },
 }
 
-/// Packs a value: one of a few hundred kilobytes in some milliseconds, to a third or less.
+/// Packs a value. A few hundred kilobytes take some milliseconds and shrink to a third or less.
 ///
 /// # Errors
-/// It cannot be encoded.
+/// Fails if the value cannot be encoded.
 pub fn pack<T: Serialize>(value: &T) -> io::Result<Vec<u8>> {
     let encoded = postcard::to_stdvec(value).map_err(io::Error::other)?;
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
@@ -40,7 +40,7 @@
 /// Unpacks a value.
 ///
 /// # Errors
-/// The bytes are not those of one.
+/// Fails if the bytes are not a packed value.
 pub fn unpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, UnpackError> {
     let mut encoded = Vec::new();
     let decoder = DeflateDecoder::new(bytes);
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -1,6 +1,6 @@
-//! Which instances are heard from themselves, and when they were heard last.
+//! The peers that this instance gets updates from, and when each was last seen.
 //!
-//! Free of clock and socket, so that tests drive it step by step.
+//! Uses neither clock nor socket, so that tests can drive it step by step.
 
 use std::{collections::HashMap, net::IpAddr};
 
@@ -10,23 +10,23 @@
     prelude::{Incarnation, Micros},
 };
 
-/// An instance whose last word is older may use its share of a limit without being heard.
+/// A peer that was last seen longer ago counts as silent: it may use its share of a limit unobserved.
 pub const PEER_SILENT_US: Micros = 2_200_000;
-/// One that is silent for longer is no sharer any more.
+/// A peer that was last seen longer ago no longer shares limits and is dropped.
 pub const PEER_EXPIRY_US: Micros = 20_000_000;
 
-/// What is known of an instance from its words.
+/// The state of a peer, from its updates.
 #[derive(Clone, Copy, Debug)]
 pub struct Peer {
-    /// Its start; 0 until it spoke.
+    /// Its incarnation; 0 until its first update.
     pub incarnation: Incarnation,
-    /// Its newest round that came from itself.
+    /// The sequence number of its newest update.
     pub last_seq: u64,
-    /// Its hall, by its key; 0 until it spoke itself.
+    /// The key of its hall; 0 until its first update.
     pub hall: u32,
-    /// When it was heard last, or met.
+    /// When it was last seen or, before its first update, added.
     pub last_seen_us: Micros,
-    /// It fell silent, and its rate of use was forgotten.
+    /// Whether [`PeerTable::expire`] has returned it as silent.
     is_reported_silent: bool,
 }
 
@@ -47,20 +47,19 @@
     }
 }
 
-/// The instances that are heard, by address.
+/// Known peers by address.
 #[derive(Debug, Default)]
 pub struct PeerTable {
     by_addr: HashMap<IpAddr, Peer>,
 }
 
 impl PeerTable {
-    /// Notes an instance that was met or is a seed, and may have said nothing yet. It is taken to
-    /// share limits.
+    /// Adds a peer known by address only, such as a seed, unless it is present. It counts as sharing limits.
     pub fn add_unseen(&mut self, now_us: Micros, addr: IpAddr) {
         self.by_addr.entry(addr).or_insert(Peer::unseen(now_us));
     }
 
-    /// Notes a datagram; false if it is older than one that came before.
+    /// Records an update from a peer; returns false if it is no newer than the last one.
     pub fn record_update(&mut self, now_us: Micros, addr: IpAddr, update: &Update) -> bool {
         let unseen = Peer::unseen(now_us);
         let peer = self.by_addr.entry(addr).or_insert(unseen);
@@ -76,28 +75,27 @@
         true
     }
 
-    /// Returns the newest round that came from an address itself, or 0.
+    /// Returns the sequence number of the newest update from an address, or 0.
     pub fn last_seq(&self, addr: IpAddr) -> u64 {
         self.by_addr.get(&addr).map_or(0, |p| p.last_seq)
     }
 
-    /// Returns all that were heard or met of late.
+    /// Returns all peers that have not expired.
     pub fn iter(&self) -> impl Iterator<Item = (&IpAddr, &Peer)> {
         self.by_addr.iter()
     }
 
-    /// Returns their number.
+    /// Returns the number of peers that have not expired.
     pub fn len(&self) -> usize {
         self.by_addr.len()
     }
 
-    /// Returns whether nobody was heard or met of late.
+    /// Returns whether there are no peers.
     pub fn is_empty(&self) -> bool {
         self.by_addr.is_empty()
     }
 
-    /// Drops those that were silent for long; returns those that fell silent since this was asked
-    /// last, whose use is not known any more.
+    /// Drops expired peers and returns the ones that became silent since the last call, whose usage is now unknown.
     pub fn expire(&mut self, now_us: Micros) -> Vec<Incarnation> {
         let age = |p: &Peer| now_us.saturating_sub(p.last_seen_us);
         self.by_addr.retain(|_, p| age(p) < PEER_EXPIRY_US);
@@ -110,8 +108,7 @@
         newly_silent.collect()
     }
 
-    /// Counts the sharers, and those of them that are heard, this instance
-    /// included.
+    /// Counts the instances that share limits and those that are not silent, this instance included.
     pub fn sharers(&self, now_us: Micros) -> InstanceCounts {
         let is_heard = |p: &&Peer| now_us.saturating_sub(p.last_seen_us) < PEER_SILENT_US;
         InstanceCounts {
@@ -120,7 +117,7 @@
         }
     }
 
-    /// The same without those that were met and never heard: a seed may be long gone.
+    /// Like [`Self::sharers`], without peers that never sent an update: a seed may no longer run.
     pub fn seen_sharers(&self, now_us: Micros) -> InstanceCounts {
         InstanceCounts {
             all: self.seen().count() + 1,
--- a/src/gateway/receiving.rs
+++ b/src/gateway/receiving.rs
@@ -1,4 +1,4 @@
-//! What is taken from the updates of other instances.
+//! Applies the updates that other instances send.
 
 use std::{
     collections::HashMap,
@@ -57,14 +57,14 @@
         self.gateway.reconsider();
     }
 
-    /// Takes an update of another instance of a small group.
+    /// Applies an update from another instance of a small cluster.
     fn apply_direct(&self, now_us: Micros, update: &Update) {
         self.apply_observations(now_us, update);
         let mut balancer = self.gateway.balancer();
         balancer.apply_peer_update(now_us, update.from, &update.loads, &[], &[]);
     }
 
-    /// Takes a report of an instance of the own hall.
+    /// Applies a report from an instance of this hall; reports from other halls are ignored.
     fn apply_report(&self, now_us: Micros, update: Update, from: IpAddr) {
         if update.hall != self.my_hall {
             return;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes what an aggregator said.
+    /// Applies the summaries in an aggregator's update.
     fn apply_summaries(&self, now_us: Micros, update: Update, echo: u64) {
         let is_own_hall = update.hall == self.my_hall;
         if is_own_hall {
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Takes a summary of another hall that the own hall was not told: it is summed up by an aggregator,
-    /// and handed on by others.
+    /// Applies a summary of another hall. An aggregator merges it into its own summary of the other halls; any other
+    /// instance forwards it to its aggregators.
     fn apply_remote_summary(&self, now_us: Micros, summary: HallSummary) {
         if summary.hall == self.my_hall || summary.hall == FAR_HALLS {
             return;
@@ -111,23 +111,21 @@
         }
     }
 
-    /// Takes a summary; `echo` is the newest round of this instance that is in it.
+    /// Applies a summary; `echo` is the sequence number of this instance's newest update that it includes.
     pub(super) fn apply_summary(&self, now_us: Micros, summary: &HallSummary, echo: u64) {
         let is_own = summary.hall == self.my_hall;
         let noted = {
             let mut state = self.lock();
             let sent = state.sent_update(echo).cloned();
             if is_own && sent.is_none() {
-                // What of it is this instance's own is not known.
+                // This instance's own share of the summary is unknown, so it cannot be subtracted.
                 return;
             }
             let sent = sent.filter(|_| is_own).unwrap_or_default();
             let noted = state.halls.note(now_us, summary);
             noted.map(|noted| (noted, sent))
         };
-        let Some((noted, sent)) = noted else {
-            return;
-        };
+        let Some((noted, sent)) = noted else { return };
         let source = teller_of_hall(summary.hall);
         if noted.is_regained {
             let whose = self.summary_scope(source);
@@ -156,8 +154,8 @@
             .apply_unaccounted_load(now_us, &update.reports);
     }
 
-    /// Takes what the sender knows of the store. What it told is no older than the sending of the
-    /// number that it echoes.
+    /// Applies the sender's freshness. Its state is no older than the time at which this instance sent the
+    /// echoed update, less the age that the sender reports.
     fn apply_freshness(self: &Arc<Self>, update: &Update, echo: u64, from: SocketAddr) {
         let version = self.gateway.config.version();
         let revision = self.gateway.balancer().endpoints_revision();
@@ -184,7 +182,7 @@
     }
 }
 
-/// Returns loads without this instance's own.
+/// Subtracts this instance's own loads from `loads`.
 fn subtract_own(
     loads: &[(EndpointKey, InFlight)],
     own: &[(EndpointKey, InFlight)],
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -1,4 +1,4 @@
-//! What a round of the exchange tells, and whom.
+//! Sends reports, summaries and state changes to the other instances.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -26,29 +26,30 @@
     prelude::Micros,
 };
 
-/// The share of an instance's link that its summaries take at most; beyond it they come less often.
-/// The rest is for answers: at 20 Mbit/s and 49 instances a hall a summary of 1.5 KB goes out each
-/// 100 ms.
+/// Maximum share of the link for summaries; larger summaries are sent less often. The rest is left for responses:
+/// at 20 Mbit/s and 49 instances per hall, a summary of 1.5 KB is sent every 100 ms.
 const SUMMARY_LINK_SHARE: f64 = 0.3;
-/// An aggregator tells its peers in other halls its sums this often: with two of them, each 200 ms in
-/// the mean. In between it tells them how fresh its configuration is.
+/// Interval between an aggregator's summaries to other halls; with two aggregators, one arrives every 200 ms on
+/// average. In between, an aggregator sends only the freshness of its configuration.
 const REMOTE_SUMMARY_US: Micros = 400_000;
-/// Endpoints of which one summary tells the load; about 9 bytes each. More go into several.
+/// Maximum endpoint loads in one summary, at about 9 bytes each; more are split over several summaries.
 const LOADS_PER_SUMMARY: usize = 400;
-/// Summaries of other halls that one that is no aggregator hands on at a time; about 1 KB each.
+/// Maximum summaries of other halls that a non-aggregator forwards at a time, at about 1 KB each.
 const FORWARDED_SUMMARIES: usize = 4;
-/// A summary goes out to so many at a time, with pauses that leave half of the link free: sent at once
-/// to 49, those at the end of a full link's queue lost it each time.
+/// Number of instances that a summary is sent to at a time, with pauses that leave half of the link free. When it was
+/// sent to 49 at once, the ones at the end of a full link's queue lost it every time.
 const SEND_BATCH: usize = 6;
+/// Share of the link that is used to send a summary.
 const SEND_LINK_SHARE: f64 = 0.5;
+/// Maximum cached prefix chains in an update.
 const CHAINS_PER_UPDATE: usize = 48;
-/// Endpoints of which a round tells how fast they were seen to be; about 15 bytes each.
+/// Maximum endpoints whose speed samples are sent in a round, at about 15 bytes each.
 const SPEED_SAMPLES_PER_UPDATE: usize = 4;
-/// Endpoints of which a word to another hall tells the speed; about 11 bytes each.
+/// Maximum endpoints whose speeds are sent in a summary to another hall, at about 11 bytes each.
 const SPEEDS_PER_SUMMARY: usize = 5;
-/// One that was met or heard and is not in the view is told for this long.
+/// How long an instance outside the view is sent updates after it was added or last seen.
 const UNADMITTED_US: Micros = 4_000_000;
-/// A configuration's age beyond this is of no use to anybody.
+/// Ages from here on are not sent: no receiver can use a configuration that old.
 const MAX_AGE_MS: u64 = 60_000;
 
 fn sent_age_ms(age_us: Micros) -> Option<u32> {
@@ -57,7 +58,7 @@
 }
 
 impl<P: Protocol> Exchange<P> {
-    /// Returns whether the configuration, the endpoints or the evacuations changed since they were told last.
+    /// Returns whether the configuration, the endpoints or the evacuations have changed since the last call.
     pub(super) fn take_state_changed(&self) -> bool {
         let revision = self.gateway.balancer().endpoints_revision();
         let evacuated = self.gateway.evacuations.known().data_centres;
@@ -68,7 +69,7 @@
         has_changed
     }
 
-    /// Tells every instance of a small group, and those met that the membership has not admitted.
+    /// Sends an update to every instance of a small cluster, and to known ones that the membership has not admitted.
     pub(super) async fn send_to_all(&self, now_us: Micros, view: &View, is_due: bool) {
         let targets = self.targets(now_us, view, is_due);
         if targets.is_empty() {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Returns whom a small group's update is for.
+    /// Returns the addresses that an update is sent to in a small cluster.
     fn targets(&self, now_us: Micros, view: &View, is_due: bool) -> Vec<SocketAddr> {
         let state = self.lock();
         let known: Vec<IpAddr> = view.others().map(|m| m.info.peer_addr.ip()).collect();
@@ -91,7 +92,7 @@
         if is_due {
             targets.extend(known.iter().map(|ip| SocketAddr::new(*ip, self.port)));
         }
-        // Met, and not yet admitted by the membership.
+        // Known instances that the membership has not admitted yet.
         for (ip, peer) in state.peer_table.iter() {
             let is_late = now_us.saturating_sub(peer.last_seen_us) >= UNADMITTED_US;
             let is_me = *ip == self.settings.me.peer_addr.ip();
@@ -102,7 +103,7 @@
         targets
     }
 
-    /// Reports to the aggregators of the own hall.
+    /// Reports to the aggregators of this hall.
     pub(super) async fn report(&self, now_us: Micros) {
         let (aggregators, is_aggregator, round_number) = {
             let mut state = self.lock();
@@ -118,7 +119,7 @@
         let aggregators = aggregators.iter().filter(|m| m.info.incarnation != me);
         let aggregators: Vec<&Member> = aggregators.collect();
         let observations = match (is_aggregator, aggregators.is_empty()) {
-            // It goes into this instance's own summary.
+            // An aggregator's observations go into its own summary.
             (true, _) => {
                 let observations = self.take_own_observations();
                 let mut state = self.lock();
@@ -146,7 +147,7 @@
         let mut with_observations = plain.clone();
         self.add_observations(&mut with_observations, observations);
         for (index, member) in aggregators.iter().enumerate() {
-            // News adds up, so it goes to one of them.
+            // Observations are additive, so only one aggregator gets them.
             let has_observations = index == round_number % aggregators.len();
             let report = if has_observations {
                 &mut with_observations
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Tells the hall its sums, if this instance is one of its aggregators and it is time; and its
+    /// If this instance is an aggregator and a summary is due, sends summaries to its hall and to its
     /// peers in other halls.
     pub(super) async fn send_hall_summaries(
         self: &Arc<Self>,
@@ -173,7 +174,7 @@
             state.remote_halls.expire(now_us);
             let since_us = now_us.saturating_sub(state.summary_at_us);
             let reporters = state.hall_reports.reporters(now_us);
-            let interval_us = self.interval_us(reporters.len(), state.summary_bytes);
+            let interval_us = self.summary_interval_us(reporters.len(), state.summary_bytes);
             if since_us < interval_us && !has_state_change {
                 return;
             }
@@ -201,8 +202,8 @@
             .await;
     }
 
-    /// Returns how long to wait between two summaries.
-    fn interval_us(&self, reporters: usize, summary_bytes: usize) -> Micros {
+    /// Returns the time between two summaries.
+    fn summary_interval_us(&self, reporters: usize, summary_bytes: usize) -> Micros {
         let bytes = (reporters * summary_bytes) as f64;
         let carried = self.settings.link_bytes_per_s * SUMMARY_LINK_SHARE;
         let min_us = ReportIntervals {
@@ -212,7 +213,7 @@
         min_us.max((bytes / carried.max(1.0) * 1e6) as Micros)
     }
 
-    /// Returns the sums of the own hall, of all endpoints together.
+    /// Returns the summaries of this hall, which together cover all endpoints.
     fn own_summaries(&self, now_us: Micros, update: &mut Update) -> Vec<HallSummary> {
         let state = self.lock();
         let headcount = state.hall_reports.headcount(now_us);
@@ -232,7 +233,7 @@
         summaries.collect()
     }
 
-    /// Returns the sums of all other halls, of all endpoints together, now and then.
+    /// Returns the summaries of all other halls, which together cover all endpoints; none before they are due.
     fn remote_summaries(&self, now_us: Micros, update: &Update) -> Vec<HallSummary> {
         let mut state = self.lock();
         let is_due = now_us.saturating_sub(state.remote_summary_at_us) >= REMOTE_SUMMARY_US;
@@ -262,7 +263,8 @@
         parts
     }
 
-    /// Sends the hall its sums and those of the others, with what its instances saw, a datagram a sum.
+    /// Sends the summaries of this hall and of the others to this hall, with its instances' observations. Each
+    /// summary takes one datagram.
     fn send_summaries(
         self: &Arc<Self>,
         mut reporters: Vec<IpAddr>,
@@ -288,13 +290,13 @@
         }
         let bytes: usize = datagrams.iter().map(Vec::len).sum();
         self.lock().summary_bytes = bytes;
-        // Nobody is the last each time.
+        // The order varies so that no instance is always the last.
         reporters.shuffle(&mut rand::rng());
         let exchange = self.clone();
         tokio::spawn(async move { exchange.send_paced(&reporters, &datagrams).await });
     }
 
-    /// Sends all the same, with pauses in which the link can carry it.
+    /// Sends the same datagrams to all targets, in batches with pauses that limit the use of the link.
     async fn send_paced(&self, targets: &[IpAddr], datagrams: &[Vec<u8>]) {
         let bytes: usize = datagrams.iter().map(Vec::len).sum();
         let carried = self.settings.link_bytes_per_s * SEND_LINK_SHARE;
@@ -310,7 +312,7 @@
         }
     }
 
-    /// Tells the peers in other halls the sums of this one, or only how fresh its configuration is.
+    /// Sends this hall's summaries to the peers in other halls; before they are due, only its configuration's freshness.
     async fn send_to_remote_halls(
         &self,
         now_us: Micros,
@@ -355,8 +357,7 @@
         }
     }
 
-    /// Tells the aggregators of all halls at once that there is a newer configuration, or newer
-    /// endpoints.
+    /// Announces a newer configuration or newer endpoints to the aggregators of all halls at once.
     pub(super) async fn announce_state_change(&self, now_us: Micros) {
         let aggregators = {
             let mut state = self.lock();
@@ -375,7 +376,7 @@
         SocketAddr::new(member.info.peer_addr.ip(), self.port)
     }
 
-    /// Sends one an update with the newest number from it.
+    /// Sends an update that echoes the recipient's newest sequence number.
     pub(super) async fn send(&self, addr: SocketAddr, update: &mut Update) {
         update.echo = self.lock().peer_table.last_seq(addr.ip());
         let bytes = update::encode(&self.authenticator, update);
@@ -386,7 +387,7 @@
         self.gateway.metrics.updates_sent.inc();
         self.gateway.metrics.told_bytes.inc_by(bytes.len() as u64);
         if self.socket.send_to(bytes, addr).await.is_err() {
-            // As one lost on the way; the next one makes it good.
+            // Equivalent to a lost datagram; the next update replaces it.
             self.gateway.metrics.updates_unsent.inc();
         }
     }
@@ -397,11 +398,10 @@
         state.seq
     }
 
-    /// Returns an update with what this instance alone has under way and used, and how fresh what it
-    /// knows is.
+    /// Returns an update with this instance's own in-flight loads and the freshness of its state.
     pub(super) fn next_update(&self, now_us: Micros, purpose: Purpose) -> Update {
         let seq = self.next_seq();
-        // Before the loads are read: those that are settled are in them.
+        // Read before the loads, so that the loads include all settled reservations.
         let settled = self.gateway.reserver.settled();
         let loads = self.gateway.balancer().load_view().own_loads();
         self.lock().record_sent(SentUpdate {
@@ -426,7 +426,7 @@
         }
     }
 
-    /// Returns what this instance saw since it was told last.
+    /// Returns this instance's observations since the last call.
     fn take_own_observations(&self) -> News {
         let round_number = self.lock().round_number;
         let mut balancer = self.gateway.balancer();
@@ -438,7 +438,7 @@
         }
     }
 
-    /// Adds what an audience is to know for as long as it stands.
+    /// Adds the suspects and endpoint announcements that are due for an audience.
     fn add_due_updates(&self, now_us: Micros, update: &mut Update, audience: Audience) {
         update.suspects = self.gateway.suspects().take_due_updates(now_us, audience);
         update.standings = self
--- a/src/gateway/staleness.rs
+++ b/src/gateway/staleness.rs
@@ -1,20 +1,20 @@
-//! How old what is known of the store is, how old it may be, and when the store is to be asked.
+//! Tracks how stale the local state of the store is, how stale it may be, and when the store is queried.
 //!
-//! Operators bound how long after the store has taken a change an instance may act as before it. An instance
-//! learns of changes from others, which may be slow or lost, so it is never enough that nothing was heard: what is
-//! acted on has to be *known to have been the newest* at a time within the bound. Every time here is one of
-//! this process's steady clock, and freshness counts from when the question was sent.
+//! Operators bound how long after a change in the store an instance may still act on the old state. An instance
+//! learns of changes from others, which may be slow or fail, so the absence of changes proves nothing: state may only
+//! be used if it is *known to have been the newest* at a time within the bound. All times are of this process's
+//! monotonic clock, and freshness counts from when the query was sent.
 //!
 //! Ages in order, as shares of a bound:
 //!
 //! | share | what |
 //! | --- | --- |
-//! | 1/4 | a watch waits this long before it says that nothing has changed |
-//! | 7/20 | an aggregator asks those that watch |
-//! | 10/20 | an instance that others tell of changes asks an aggregator |
-//! | 13/20 | an instance that others tell of changes asks the store itself; the first in turn |
-//! | 16/20 | the last in turn |
-//! | 18/20 | requests wait for the answer, unless the store does not answer this instance |
+//! | 1/4 | a watch without changes returns |
+//! | 7/20 | an aggregator queries a store watcher |
+//! | 10/20 | any other instance that does not watch the store queries an aggregator |
+//! | 13/20 | the first instance that does not watch the store queries it |
+//! | 16/20 | the last such instance queries the store |
+//! | 18/20 | requests wait for the response, unless the store does not answer this instance |
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -25,43 +25,45 @@
 
 use crate::prelude::Micros;
 
-/// The longest that a watch waits; a connection that is cut without a sign is noticed by then.
+/// Maximum wait of a watch; a connection that was silently cut is detected after this time.
 const MAX_WATCH_US: Micros = 1_000_000;
-/// Three watches with ends spread over a wait, and the time until others are told, make what is known at most
-/// 1.4 waits and 300 ms old: 1.0 s of a bound of 2 s.
+/// Share of the bound that a watch waits. With three watches whose ends are spread over one wait, plus propagation to
+/// the other instances, state is at most 1.4 waits and 300 ms old: 1.0 s of a bound of 2 s.
 const WATCH_SHARE: f64 = 0.25;
-/// An instance learns what a watcher knows within this time: in a group of 78 the last one did after 200 to 310 ms.
+/// Time in which a watcher's state reaches all instances: in a cluster of 78 the last one had it after 200 to 310 ms.
 const PROPAGATION_US: Micros = 300_000;
-/// At these ages others are asked, which takes a round trip.
+/// Age at which an aggregator queries a store watcher, which takes a round trip.
 const AGGREGATOR_QUERY_SHARE: f64 = 0.35;
+/// Age at which other instances query an aggregator, which also takes a round trip.
 const PEER_QUERY_SHARE: f64 = 0.5;
-/// Shortest time between two questions to others.
+/// Minimum time between two queries to other instances.
 const PEER_QUERY_INTERVAL_SHARE: f64 = 0.05;
-/// Leaves a quarter of the bound for the answer, and is more than what is known by watches becomes.
+/// Age at which the first instance queries the store itself: it leaves a quarter of the bound for the response, and
+/// state that is kept fresh by watches does not reach it.
 const STORE_QUERY_SHARE: f64 = 0.65;
-/// The time over which those that would ask do so by turns, so that the first can tell the others.
+/// Period over which the instances' queries to the store are staggered, so that the first can inform the others.
 const STAGGER_SHARE: f64 = 0.15;
-/// Between two turns. All of 295 instances at once made some 800 calls in an outage of 8 s, of which none
-/// brought anything.
+/// Delay between the queries of consecutive instances. Without it, 295 instances made about 800 calls in an outage of
+/// 8 s, all in vain.
 const STAGGER_US: Micros = 50_000;
-/// What is acted on is no older than this; the rest of the bound is for the way to the endpoint.
+/// Maximum age of state that may be used; the rest of the bound covers the time until the request reaches the endpoint.
 const MAX_USABLE_SHARE: f64 = 0.9;
-/// The store answers within this time, which is 300 ms of a bound of 2 s, or does not answer this instance. In an
-/// outage the first in turn know by the time that requests would wait, and the last hold them up for a twentieth of
-/// the bound. With a quarter a request with a target of 800 ms was held so long that it was refused.
+/// Timeout of a query to the store, after which the store counts as unreachable: 300 ms of a bound of 2 s. In an
+/// outage the first instances to query detect this before requests have to wait, and the last ones delay requests for
+/// a twentieth of the bound. With a quarter, a request with a target of 800 ms waited so long that it was refused.
 const ANSWER_TIMEOUT_SHARE: f64 = 0.15;
 
-/// How long after a change an instance may act as before it.
+/// Maximum time after a change in which an instance may act on the old state, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StalenessBound(pub Micros);
 
 impl StalenessBound {
-    /// Returns how long a watch waits for a change.
+    /// Returns how long a watch waits for a change before it returns.
     pub fn watch_wait(self) -> Duration {
         Duration::from_micros(self.share_us(WATCH_SHARE).min(MAX_WATCH_US))
     }
 
-    /// Returns the age at which another instance is asked how fresh what it knows is.
+    /// Returns the age at which another instance's freshness is queried.
     pub fn peer_query_age_us(self, is_aggregator: bool) -> Micros {
         match is_aggregator {
             true => self.share_us(AGGREGATOR_QUERY_SHARE),
@@ -69,29 +71,29 @@
         }
     }
 
-    /// Returns the shortest time between two questions to other instances.
+    /// Returns the minimum time between two queries to other instances.
     pub fn peer_query_interval_us(self) -> Micros {
         self.share_us(PEER_QUERY_INTERVAL_SHARE)
     }
 
-    /// Returns the age at which the store is asked where `before` others go first.
+    /// Returns the age at which an instance queries the store if `before` others query first.
     pub fn store_query_age_us(self, before: usize) -> Micros {
         let stagger_us = (before as Micros).saturating_mul(STAGGER_US);
         self.share_us(STORE_QUERY_SHARE) + stagger_us.min(self.share_us(STAGGER_SHARE))
     }
 
-    /// Returns the age up to which what is known may be acted on.
+    /// Returns the maximum age of state that may be used.
     pub fn max_usable_age_us(self) -> Micros {
         self.share_us(MAX_USABLE_SHARE)
     }
 
-    /// Returns the age that what is known reaches only if the store answers none of those that watch it: a
-    /// single one makes it two waits old, and the time until the others are told.
+    /// Returns the age that state reaches only if the store answers none of its watchers: with a single working
+    /// watcher, it is at most two waits old, plus the propagation time.
     pub fn outage_age_us(self) -> Micros {
         2 * self.share_us(WATCH_SHARE).min(MAX_WATCH_US) + PROPAGATION_US
     }
 
-    /// Returns how long the store is given to answer.
+    /// Returns the timeout of a query to the store.
     pub fn answer_timeout_us(self) -> Micros {
         self.share_us(ANSWER_TIMEOUT_SHARE)
     }
@@ -101,43 +103,42 @@
     }
 }
 
-/// Whether what is known of the store may be acted on.
+/// Whether the local state of the store may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// It is known to have been the newest within its bound.
+    /// The state was the newest at a time within the bound.
     Fresh,
-    /// It may be too old, and the store is being asked, or about to be.
+    /// The state may be too old; a query to the store is in flight or about to be sent.
     Refreshing,
-    /// It may be too old, and the store does not answer this instance: nothing newer can be had.
+    /// The state may be too old, but the store does not answer this instance, so nothing newer is available.
     Unreachable,
-    /// Nothing has ever been known.
+    /// No state has been received since the start.
     Unknown,
 }
 
-/// What is known of one kind of objects: how fresh it is, and what came of asking.
+/// Freshness of the local state of one kind of stored objects, and the outcome of the latest queries.
 #[derive(Debug, Default)]
 pub struct Staleness {
-    /// When the question was sent whose answer is the newest known; 0 before there is one.
+    /// When the query with the newest response was sent; 0 before the first one.
     fresh_at_us: AtomicU64,
-    /// Until when this instance's question is to be answered; 0 while none is open.
+    /// Deadline of this instance's query in flight; 0 if there is none.
     answer_due_us: AtomicU64,
-    /// When a question of this instance failed last.
+    /// When a query of this instance last failed.
     failed_at_us: AtomicU64,
-    /// Wakes what waits for an answer.
+    /// Wakes tasks that wait for a response.
     updated: Notify,
-    /// Wakes whoever asks the store.
+    /// Wakes the task that queries the store.
     wanted: Notify,
 }
 
 impl Staleness {
-    /// Notes that what is known was the newest when a question was sent at `asked_us`.
+    /// Records that the local state was the newest when a query was sent at `asked_us`.
     pub fn confirm(&self, asked_us: Micros) {
         self.fresh_at_us.fetch_max(asked_us, Ordering::Relaxed);
         self.updated.notify_waiters();
     }
 
-    /// Returns for how long what is known has not been known to be the newest; the highest age if nothing
-    /// is known.
+    /// Returns the time since the local state was last known to be the newest; `Micros::MAX` if it never was.
     pub fn age_us(&self, now_us: Micros) -> Micros {
         match self.fresh_at_us.load(Ordering::Relaxed) {
             0 => Micros::MAX,
@@ -145,32 +146,32 @@
         }
     }
 
-    /// Notes that this instance asks the store, which may wait for `wait` before it answers.
+    /// Records that this instance sent a query to the store, which may wait for `wait` before it responds.
     pub fn query_started(&self, now_us: Micros, bound: StalenessBound, wait: Duration) {
         let due_us = now_us + wait.as_micros() as Micros + bound.answer_timeout_us();
         self.answer_due_us.store(due_us, Ordering::Relaxed);
     }
 
-    /// Notes that the store has answered this instance.
+    /// Records that the store answered this instance's query.
     pub fn query_answered(&self) {
         self.answer_due_us.store(0, Ordering::Relaxed);
         self.updated.notify_waiters();
     }
 
-    /// Notes that this instance does not wait for its open question any more, and will ask another: that
-    /// nothing came says nothing of the store.
+    /// Records that this instance abandons its query in flight and will send another. The missing response does not
+    /// mean that the store is unreachable.
     pub fn query_abandoned(&self) {
         self.answer_due_us.store(0, Ordering::Relaxed);
     }
 
-    /// Notes that the store did not answer this instance.
+    /// Records that this instance's query failed.
     pub fn query_failed(&self, now_us: Micros) {
         self.answer_due_us.store(0, Ordering::Relaxed);
         self.failed_at_us.store(now_us, Ordering::Relaxed);
         self.updated.notify_waiters();
     }
 
-    /// Returns whether what is known may be acted on.
+    /// Returns whether the local state may be used.
     pub fn freshness(&self, now_us: Micros, bound: StalenessBound) -> Freshness {
         let age_us = self.age_us(now_us);
         if age_us == Micros::MAX {
@@ -181,7 +182,7 @@
         }
         let due_us = self.answer_due_us.load(Ordering::Relaxed);
         let is_overdue = due_us > 0 && due_us <= now_us;
-        // One that failed before others told what is known now says nothing of the store as it is.
+        // A failure before the state was last confirmed, by whichever instance, no longer counts.
         let failed_at_us = self.failed_at_us.load(Ordering::Relaxed);
         let has_failed = failed_at_us > self.fresh_at_us.load(Ordering::Relaxed);
         match is_overdue || has_failed {
@@ -190,15 +191,15 @@
         }
     }
 
-    /// Asks for the store to be asked, and waits until something has come of it, for `timeout` at most.
+    /// Requests a query to the store and waits for its outcome, for `timeout` at most.
     pub async fn wait_for_answer(&self, timeout: Duration) {
         let updated = self.updated.notified();
         self.wanted.notify_one();
-        // Whoever waits looks at what there is then, whether or not something has come.
+        // The caller checks the state again in either case.
         let _ = tokio::time::timeout(timeout, updated).await;
     }
 
-    /// Waits until an answer is wanted.
+    /// Waits until a query is requested by [`Self::wait_for_answer`].
     pub async fn query_wanted(&self) {
         self.wanted.notified().await;
     }
