--- a/src/gateway/copies.rs
+++ b/src/gateway/copies.rs
@@ -69,7 +69,7 @@
         source: io::Error,
     },
     /// The connection was lost, or the call timed out.
-    #[snafu(display("no copy came: {source}"))]
+    #[snafu(display("cannot fetch a copy: {source}"))]
     NoAnswer {
         /// The cause.
         source: client::RpcError,
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -324,13 +324,13 @@
         let mut state = self.lock();
         if state.aggregators.set_view(view) {
             state.instances_in_view = view.instances();
-            let in_turn = view.chosen("store", usize::MAX, Member::can_lead);
+            let by_rank = view.chosen("store", usize::MAX, Member::can_lead);
             let me = self.settings.me.incarnation;
-            let position = in_turn.iter().position(|m| m.info.incarnation == me);
+            let position = by_rank.iter().position(|m| m.info.incarnation == me);
             state.is_watcher = position.is_some_and(|p| p < WATCHERS);
-            state.watchers = self.watchers(&in_turn);
+            state.watchers = self.watchers(&by_rank);
             self.gateway
-                .set_place_to_watch(position.unwrap_or(in_turn.len()));
+                .set_place_to_watch(position.unwrap_or(by_rank.len()));
         }
         let is_settled = self.is_seed || self.gateway.clock.now_us() >= VIEW_SETTLING_US;
         let watches = state.is_watcher && is_settled;
--- a/src/gateway/freshness_queries.rs
+++ b/src/gateway/freshness_queries.rs
@@ -23,9 +23,9 @@
 
 impl<P: Protocol> Exchange<P> {
     /// Returns the addresses of the store watchers by rank, without this instance.
-    pub(super) fn watchers(&self, in_turn: &[&Member]) -> Vec<SocketAddr> {
+    pub(super) fn watchers(&self, by_rank: &[&Member]) -> Vec<SocketAddr> {
         let me = self.settings.me.incarnation;
-        let watchers = in_turn.iter().take(WATCHERS);
+        let watchers = by_rank.iter().take(WATCHERS);
         let others = watchers.filter(|m| m.info.incarnation != me);
         others.map(|m| self.addr_of(m)).collect()
     }
--- a/tests/edge/change_propagation.rs
+++ b/tests/edge/change_propagation.rs
@@ -1,16 +1,11 @@
-//! What operators and endpoints say reaches every instance within its bound, also where those that
-//! bring the news are slow or lost.
+//! Changes of the configuration and of endpoints reach every instance within their bound, even if the instances that
+//! pass them on are slow or have failed.
 //!
-//! The story: on a site of 78 instances requests reached an endpoint 3.27 s after it had said that it
-//! leaves, where 3 s are allowed. While endpoints were replaced one by one, the configuration had grown by
-//! 1,400 routes, twice. Copies of it filled the links of the instances that gave them; news of
-//! endpoints waited behind them, and the instances that waited asked the store themselves too late, or
-//! got its answer too late.
-//!
-//! The evidence, from a day played with a release and two such configurations: the late instance logged
-//! `copies_not_fetched` ("the request exceeded its deadline") 1.7 and 3.1 s after the endpoint's word, sent to
-//! it at 3.22 s, and knew at 3.24 s. Of 78 instances half knew 2.2 s after the first, the last 3.6 s; with no
-//! new configuration all knew within 0.3 s.
+//! Guards against requests to an endpoint after its drain bound: with 78 instances, some arrived 3.27 s after the
+//! endpoint announced that it leaves, where 3 s are allowed. Copies of a configuration that had grown by 1,400 routes
+//! filled the links of the instances that sent them. Endpoint changes waited behind these copies: the last instance
+//! had them 3.6 s after the first, compared with 0.3 s without a new configuration. The waiting instances logged
+//! `copies_not_fetched` and queried the store too late, or got its response too late.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -31,15 +26,15 @@
 use tokio::{net::TcpListener, time};
 
 use crate::{
-    group::{BOUNDS, DRAIN, Instance, InstanceSpec, address, endpoint, free_port, until},
+    cluster::{BOUNDS, DRAIN, Instance, InstanceSpec, address, endpoint, free_port, until},
     support::config,
 };
 
-/// A configuration of this many routes takes some seconds on the slow link.
-const MANY_ROUTES: usize = 5_000;
-const SLOW_LINK: u32 = 100_000;
+/// Routes of a configuration that takes some seconds on the slow link.
+const LARGE_CONFIG_ROUTES: usize = 5_000;
+const SLOW_BYTES_PER_S: u32 = 100_000;
 
-/// A configuration whose routes have names that nothing can be saved of.
+/// Returns a configuration whose route names do not compress.
 fn large_config(version: u64, routes: usize) -> GatewayConfig {
     let route = |number: usize| {
         let digest = hex::encode(Sha256::digest(number.to_le_bytes()));
@@ -68,48 +63,52 @@
     }
 }
 
-/// One that gives copies through a link that the test slows down, and one that gets them.
-struct Pair {
-    giver: Instance,
-    taker: Instance,
+/// An instance that serves copies over a link that the test can slow down, and one that fetches them.
+struct CopyPair {
+    source: Instance,
+    receiver: Instance,
     link: Proxy,
 }
 
-impl Pair {
+impl CopyPair {
     async fn start(net: u8) -> Self {
         let port = free_port(net).await;
         let seeds = [SocketAddr::new(address(net, 0), port)];
-        let place = |number| InstanceSpec {
+        let spec = |number| InstanceSpec {
             net,
             number,
             hall: "a",
             port,
             seeds: &seeds,
         };
-        let mut giver = Instance::start(place(0)).await;
+        let mut source = Instance::start(spec(0)).await;
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let link = Proxy::start_at(seeds[0], listener.local_addr().unwrap()).await;
-        giver.serve_copies(listener);
-        giver.gateway.offer(large_config(1, 1), "test");
+        source.serve_copies(listener);
+        source.gateway.offer(large_config(1, 1), "test");
         {
-            let mut balancer = giver.gateway.balancer();
+            let mut balancer = source.gateway.balancer();
             balancer.upsert_endpoint(endpoint("leaving"), 1);
             balancer.upsert_endpoint(endpoint("staying"), 2);
             balancer.advance_endpoints_revision(2);
         }
-        let taker = Instance::start(place(1)).await;
-        until("the taker to know all", || {
-            taker.gateway.config.version() == 1
-                && taker.gateway.balancer().endpoints_revision() == 2
+        let receiver = Instance::start(spec(1)).await;
+        until("the receiver to have both copies", || {
+            receiver.gateway.config.version() == 1
+                && receiver.gateway.balancer().endpoints_revision() == 2
         })
         .await;
-        Self { giver, taker, link }
+        Self {
+            source,
+            receiver,
+            link,
+        }
     }
 
-    /// The configuration grows, and at once an endpoint says that it leaves.
-    fn grow_and_leave(&self) {
-        let gateway = &self.giver.gateway;
-        gateway.offer(large_config(2, MANY_ROUTES), "test");
+    /// Applies a large configuration, and immediately afterwards drains an endpoint.
+    fn grow_config_and_drain(&self) {
+        let gateway = &self.source.gateway;
+        gateway.offer(large_config(2, LARGE_CONFIG_ROUTES), "test");
         let mut leaving = endpoint("leaving");
         leaving.draining = true;
         let mut balancer = gateway.balancer();
@@ -119,27 +118,35 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn news_of_an_endpoint_does_not_wait_for_a_large_configuration() {
-    let pair = Pair::start(8).await;
-    pair.link.set(Mode::Slow(SLOW_LINK));
-    pair.grow_and_leave();
+async fn endpoint_changes_do_not_wait_for_a_large_configuration() {
+    let pair = CopyPair::start(8).await;
+    pair.link.set(Mode::Slow(SLOW_BYTES_PER_S));
+    pair.grow_config_and_drain();
     time::sleep(DRAIN).await;
-    let balancer = pair.taker.gateway.balancer();
+    let balancer = pair.receiver.gateway.balancer();
     let leaving = balancer.entry(EndpointKey::of("leaving"));
-    assert!(leaving.is_none_or(|e| e.draining), "it still is in use");
+    assert!(
+        leaving.is_none_or(|e| e.draining),
+        "the endpoint is still in use"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_configuration_comes_through_a_slow_link_however_long_it_takes() {
-    let pair = Pair::start(9).await;
-    pair.link.set(Mode::Slow(SLOW_LINK));
-    pair.grow_and_leave();
+async fn a_large_configuration_arrives_over_a_slow_link() {
+    let pair = CopyPair::start(9).await;
+    pair.link.set(Mode::Slow(SLOW_BYTES_PER_S));
+    pair.grow_config_and_drain();
     until("the configuration", || {
-        pair.taker.gateway.config.version() == 2
+        pair.receiver.gateway.config.version() == 2
     })
     .await;
-    let table = pair.taker.gateway.config.table().expect("a configuration");
-    assert_eq!(*table.config(), large_config(2, MANY_ROUTES));
+    let table = pair
+        .receiver
+        .gateway
+        .config
+        .table()
+        .expect("a configuration");
+    assert_eq!(*table.config(), large_config(2, LARGE_CONFIG_ROUTES));
 }
 
 fn entry(state: &str, warmup_left_ms: u64) -> Value {
@@ -147,7 +154,7 @@
         "state": state, "warmupLeftMs": warmup_left_ms, "sequence": 1})
 }
 
-/// Starts instances that give copies and follow the store, each with its own way there.
+/// Starts instances that serve copies and follow the store, each through its own proxy.
 async fn start_followers(net: u8, count: usize, store: SocketAddr) -> Vec<(Instance, Proxy)> {
     let port = free_port(net).await;
     let seeds: Vec<SocketAddr> = (0..count.min(3))
@@ -155,35 +162,38 @@
         .collect();
     let mut all = Vec::new();
     for number in 0..count {
-        let place = InstanceSpec {
+        let spec = InstanceSpec {
             net,
             number,
             hall: "a",
             port,
             seeds: &seeds,
         };
-        let mut instance = Instance::start(place).await;
+        let mut instance = Instance::start(spec).await;
         let listener = TcpListener::bind((address(net, number), port)).await;
         instance.serve_copies(listener.expect("a port"));
-        let path = Proxy::start(store).await;
-        instance.follow(path.addr);
-        all.push((instance, path));
+        let store_proxy = Proxy::start(store).await;
+        instance.follow(store_proxy.addr);
+        all.push((instance, store_proxy));
     }
-    until("all to hear of all", || {
+    until("all instances to see each other", || {
         let heard = |i: &Instance| i.gateway.sharers().heard;
         all.iter().all(|(i, _)| heard(i) == all.len())
     })
     .await;
-    until("as many as there are, or three, to watch", || {
-        let watching = all.iter().filter(|(i, _)| i.gateway.watches_store());
-        watching.count() == count.min(3)
-    })
+    until(
+        "three instances, or all if there are fewer, to watch the store",
+        || {
+            let watching = all.iter().filter(|(i, _)| i.gateway.watches_store());
+            watching.count() == count.min(3)
+        },
+    )
     .await;
     all
 }
 
-/// All watchers are cut off from the store, and an endpoint leaves: the others find out within `drain`.
-async fn all_watchers_are_cut_off(net: u8, drain: Duration) {
+/// Cuts all watchers off from the store and drains an endpoint; the other instances must avoid it within `drain`.
+async fn drain_while_watchers_are_cut_off(net: u8, drain: Duration) {
     let platform = Platform::start().await;
     platform.set("servers", "leaving", entry("ready", 0));
     platform.set("servers", "staying", entry("ready", 0));
@@ -198,7 +208,7 @@
         .into_iter()
         .partition(|(i, _)| i.gateway.watches_store());
 
-    // They are cut off from the store just after the others were told: these have no reason to ask yet.
+    // The watchers are cut off right after the others got fresh state and have no reason to query the store yet.
     let fresh_us = drain.as_micros() as u64 / 8;
     let are_fresh = || {
         let age_us = |i: &Instance| i.gateway.endpoints_age_us();
@@ -214,8 +224,8 @@
             }
         }
     }
-    for (_, path) in &watchers {
-        path.set(Mode::Silent);
+    for (_, store_proxy) in &watchers {
+        store_proxy.set(Mode::Silent);
     }
     platform.set("servers", "leaving", entry("draining", 0));
     time::sleep(drain).await;
@@ -228,44 +238,43 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_endpoint_that_leaves_is_left_alone_in_time_though_all_watchers_are_cut_off() {
-    all_watchers_are_cut_off(10, DRAIN).await;
+async fn a_draining_endpoint_is_avoided_in_time_if_all_watchers_are_cut_off() {
+    drain_while_watchers_are_cut_off(10, DRAIN).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_holds_where_the_bound_is_shorter() {
-    all_watchers_are_cut_off(12, Duration::from_millis(1_000)).await;
+async fn a_draining_endpoint_is_avoided_in_time_with_a_shorter_bound() {
+    drain_while_watchers_are_cut_off(12, Duration::from_millis(1_000)).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_holds_where_the_bound_is_longer() {
-    all_watchers_are_cut_off(13, Duration::from_millis(4_000)).await;
+async fn a_draining_endpoint_is_avoided_in_time_with_a_longer_bound() {
+    drain_while_watchers_are_cut_off(13, Duration::from_millis(4_000)).await;
 }
 
-/// An instance whose own connection to the store had broken for a moment took an endpoint that went soon after for
-/// one whose entry had lapsed while the store was away, and used it for up to 1.8 s more, as did all that copied
-/// from it. Others had heard from the store all the while, so nothing lapsed. Found by reading, while the cause of
-/// the late news was looked for elsewhere; with every failed call taken for an outage this test fails.
+/// Guards against treating a broken connection of one instance as an outage of the store. An endpoint removed soon
+/// after it then counted as one whose entry had expired during the outage, and was used for up to 1.8 s more by this
+/// instance and all that copied from it, although other instances had reached the store throughout.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_connection_is_no_outage_of_the_store() {
+async fn a_broken_connection_does_not_count_as_a_store_outage() {
     let platform = Platform::start().await;
     platform.set("servers", "leaving", entry("ready", 0));
     platform.set("servers", "staying", entry("ready", 0));
     let both = start_followers(11, 2, platform.addr()).await;
-    until("both to know", || {
+    until("both instances to have the endpoints", || {
         let known = |i: &Instance| i.gateway.balancer().endpoint_count();
         both.iter().all(|(i, _)| known(i) == 2)
     })
     .await;
-    let [(_, sound_path), (broken, broken_path)] = &both[..] else {
+    let [(_, healthy_proxy), (broken, broken_proxy)] = &both[..] else {
         panic!("two instances");
     };
-    broken_path.set(Mode::Reset);
+    broken_proxy.set(Mode::Reset);
     time::sleep(Duration::from_millis(300)).await;
-    broken_path.set(Mode::Pass);
+    broken_proxy.set(Mode::Pass);
     time::sleep(Duration::from_millis(500)).await;
-    // The other learns of it later, so that the one that was cut off takes the store's word, not a copy.
-    sound_path.set(Mode::Delay(Duration::from_millis(500)));
+    // The other instance gets the change later, so that the one that was cut off reads it from the store, not a copy.
+    healthy_proxy.set(Mode::Delay(Duration::from_millis(500)));
     platform.remove("servers", "leaving");
     time::sleep(DRAIN / 2).await;
     for _ in 0..20 {
@@ -274,8 +283,8 @@
     }
 }
 
-/// Returns the calls to the store in some calm seconds of a group in which freshness is told late for its bound.
-async fn calls_of_calm_seconds(net: u8, count: usize) -> u64 {
+/// Returns the calls to the store during 3 s of an idle cluster whose bound is short for its freshness updates.
+async fn idle_store_calls(net: u8, count: usize) -> u64 {
     const BOUND_US: u64 = 600_000;
     let platform = Platform::start().await;
     platform.set("config", "main", config(1, &["key-of-the-tests"]));
@@ -294,13 +303,13 @@
     platform.counts().reads - before
 }
 
-/// Guards against calls to the store that grow with the group, since reports and summaries come less often in it.
+/// Guards against calls to the store that grow with the cluster because reports and summaries are less frequent.
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_to_the_store_do_not_grow_with_a_calm_group() {
-    let few = calls_of_calm_seconds(83, 13).await;
-    let many = calls_of_calm_seconds(84, 39).await;
+async fn idle_store_calls_do_not_grow_with_the_cluster() {
+    let few = idle_store_calls(83, 13).await;
+    let many = idle_store_calls(84, 39).await;
     assert!(
         many <= few + few / 4,
-        "{few} calls of 13 instances, {many} of 39"
+        "{few} calls by 13 instances, {many} by 39"
     );
 }
--- a/tests/edge/group.rs
+++ b/tests/edge/cluster.rs
@@ -1,4 +1,4 @@
-//! Instances in this process that are connected over real sockets, for tests of what they tell each other.
+//! Runs instances in the test process that exchange updates over real sockets.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -34,10 +34,10 @@
 use tokio_util::sync::CancellationToken;
 
 const KEY: &[u8] = b"a key of sixteen and more";
-/// Far more callers' connections than any test opens.
-const MAX_CALLERS: usize = 100;
-const PATIENCE: Duration = Duration::from_secs(20);
-/// How long an endpoint that leaves may be sent requests.
+/// Limit of callers' connections, far above what any test opens.
+const MAX_CONNECTIONS: usize = 100;
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// How long requests may be sent to an endpoint after it announces that it leaves.
 pub const DRAIN: Duration = Duration::from_secs(2);
 pub const BOUNDS: GatewayBounds = GatewayBounds {
     revoke_us: 5_000_000,
@@ -61,10 +61,10 @@
     },
 };
 
-/// Where an instance stands, and what it does beside telling and listening.
+/// Identity and addresses of an instance.
 #[derive(Clone, Copy)]
 pub struct InstanceSpec<'p> {
-    /// The network of the group, so that tests beside each other do not meet.
+    /// The third byte of the instances' addresses, which separates concurrent tests.
     pub net: u8,
     pub number: usize,
     pub hall: &'p str,
@@ -82,17 +82,17 @@
 }
 
 impl Instance {
-    /// Starts an instance that tells and listens, and neither gives copies nor reads the store.
-    pub async fn start(place: InstanceSpec<'_>) -> Self {
-        Self::start_with_clock(place, Clock::default()).await
+    /// Starts an instance that exchanges updates, but neither serves copies nor reads the store.
+    pub async fn start(spec: InstanceSpec<'_>) -> Self {
+        Self::start_with_clock(spec, Clock::default()).await
     }
 
-    /// The same by a clock that the test may move on.
-    pub async fn start_with_clock(place: InstanceSpec<'_>, clock: Clock) -> Self {
+    /// Like [`Self::start`], with a clock that the test may advance.
+    pub async fn start_with_clock(spec: InstanceSpec<'_>, clock: Clock) -> Self {
         let InstanceSpec {
             net, number, port, ..
-        } = place;
-        let hall = Name::from(place.hall);
+        } = spec;
+        let hall = Name::from(spec.hall);
         let gateway = Gateway::with_clock(PlatformProtocol, hall.clone(), BOUNDS, true, clock);
         let gateway = Arc::new(gateway);
         let control = SocketAddr::new(address(net, number), port);
@@ -105,18 +105,18 @@
             beat: 1,
             leaving: false,
         };
-        let membership = Membership::new(me.clone(), place.seeds.to_vec(), number as u64);
+        let membership = Membership::new(me.clone(), spec.seeds.to_vec(), number as u64);
         let gossip = Gossip::bind(control, membership, KEY, gateway.clock).await;
         let gossip = Arc::new(gossip.expect("a socket"));
-        let told = SocketAddr::new(control.ip(), port + 1);
-        let socket = UdpSocket::bind(told).await.expect("a socket");
-        let places = SocketAddr::new(control.ip(), port + 2);
-        let places = UdpSocket::bind(places).await.expect("a socket");
+        let update_addr = SocketAddr::new(control.ip(), port + 1);
+        let socket = UdpSocket::bind(update_addr).await.expect("a socket");
+        let reservations = SocketAddr::new(control.ip(), port + 2);
+        let reservations = UdpSocket::bind(reservations).await.expect("a socket");
         let codec = SealedCodec::new(KEY, Arc::default());
         let incarnation = me.incarnation;
-        let place = ExchangeSettings {
+        let settings = ExchangeSettings {
             me,
-            seeds: place.seeds.to_vec(),
+            seeds: spec.seeds.to_vec(),
             link_bytes_per_s: 1_250_000.0,
         };
         let exchange = Exchange::new(
@@ -125,18 +125,20 @@
             socket,
             KEY,
             codec.clone(),
-            place,
+            settings,
         );
         let exchange = Arc::new(exchange.expect("an exchange"));
-        let probing = gossip.clone();
-        let giving = gateway.clone();
+        let probing_gossip = gossip.clone();
+        let reservation_gateway = gateway.clone();
         let tasks = vec![
-            tokio::spawn(async move { probing.run(CancellationToken::new()).await }),
+            tokio::spawn(async move { probing_gossip.run(CancellationToken::new()).await }),
             tokio::spawn(exchange.clone().run()),
             tokio::spawn(clock.watch_for_suspensions()),
             tokio::spawn(async move {
-                // It gives places until the test ends.
-                let _ = reservation_server::run(giving, places, KEY, incarnation).await;
+                // Serves reservations until the test ends.
+                let _ =
+                    reservation_server::run(reservation_gateway, reservations, KEY, incarnation)
+                        .await;
             }),
         ];
         Self {
@@ -149,41 +151,41 @@
         }
     }
 
-    /// Asks others for what it lacks, as one that is started and is no seed.
+    /// Fetches missing state from other instances, as a non-seed does at its start.
     pub fn fetch_at_start(&mut self) {
         self.gateway.fetch_at_start();
         let fetching = self.exchange.clone().fetch_at_start();
         self.tasks.push(tokio::spawn(fetching));
     }
 
-    /// Gives copies to the others through `listener`.
+    /// Serves copies to other instances on `listener`.
     pub fn serve_copies(&mut self, listener: TcpListener) {
         let (gateway, codec) = (self.gateway.clone(), self.codec.clone());
         self.tasks.push(tokio::spawn(async move {
-            // It serves until the test ends.
+            // Serves until the test ends.
             let _ = copies::serve(gateway, listener, codec).await;
         }));
     }
 
-    /// Serves callers through `listener`.
+    /// Serves callers on `listener`.
     pub fn serve(&mut self, listener: TcpListener) {
         let serving = caller_listener::serve(
             self.gateway.clone(),
             listener,
-            MAX_CALLERS,
+            MAX_CONNECTIONS,
             ListenerStop::default(),
         );
         self.tasks.push(tokio::spawn(serving));
     }
 
-    /// Keeps the blocked requests in the store at `addr`, as one that is started when others have run.
+    /// Syncs the block list with the store at `addr`, as an instance that is not the first to start.
     pub fn sync_block_list(&mut self, addr: SocketAddr) {
         let list = PlatformStore::new(addr);
-        let keeping = block_list::run(self.gateway.clone(), list, false);
-        self.tasks.push(tokio::spawn(keeping));
+        let syncing = block_list::run(self.gateway.clone(), list, false);
+        self.tasks.push(tokio::spawn(syncing));
     }
 
-    /// Follows the store at `addr`.
+    /// Follows the endpoints and the configuration in the store at `addr`.
     pub fn follow(&mut self, addr: SocketAddr) {
         let gateway = self.gateway.clone();
         let client = ObjectClient::new(addr);
@@ -194,7 +196,7 @@
             .push(tokio::spawn(follow::configuration(gateway, client)));
     }
 
-    /// Follows the store's evacuations, which are to be in force within `bound`.
+    /// Follows the store's evacuations, which must take effect within `bound`.
     pub fn follow_evacuations(&mut self, addr: SocketAddr, bound: Duration) {
         let gateway = self.gateway.clone();
         let bound_us = bound.as_micros() as Micros;
@@ -207,14 +209,14 @@
             .push(tokio::spawn(follow::evacuations(gateway, client)));
     }
 
-    /// Ends all that it does, as a kill would.
+    /// Aborts all tasks, as if the process were killed.
     pub fn stop(&mut self) {
         for task in self.tasks.drain(..) {
             task.abort();
         }
     }
 
-    /// Returns the id of the endpoint that a request is sent to now, if it is sent.
+    /// Places a request and returns the id of its endpoint, if one was selected.
     pub async fn place_one(&self) -> Option<Name> {
         let request = placement_request(self.gateway.clock.now_us());
         match self.gateway.place(&request, &[]).await {
@@ -233,7 +235,7 @@
     }
 }
 
-/// A request that any endpoint of the service may take.
+/// Returns a request that any endpoint of the service can serve.
 pub fn placement_request(now_us: Micros) -> PlacementRequest {
     PlacementRequest {
         service: "plain".into(),
@@ -273,7 +275,7 @@
     }
 }
 
-/// Returns a port that is free, with the two after it, on the first instance's address.
+/// Returns the first of three consecutive free ports on the first instance's address.
 pub async fn free_port(net: u8) -> u16 {
     loop {
         let first = UdpSocket::bind((address(net, 0), 0)).await.expect("a port");
@@ -292,7 +294,7 @@
 pub async fn until(what: &str, holds: impl Fn() -> bool) {
     let started = time::Instant::now();
     while !holds() {
-        assert!(started.elapsed() < PATIENCE, "waited in vain for {what}");
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting for {what}");
         time::sleep(Duration::from_millis(5)).await;
     }
 }
--- a/tests/edge/endpoint_limits.rs
+++ b/tests/edge/endpoint_limits.rs
@@ -22,7 +22,7 @@
 use serde_json::Value;
 
 use crate::{
-    group::{DRAIN, Instance, InstanceSpec, address, endpoint, free_port, key, until},
+    cluster::{DRAIN, Instance, InstanceSpec, address, endpoint, free_port, key, until},
     load_generator::{Demand, send_load},
     site::Site,
     support::Edge,
--- a/tests/edge/evacuations.rs
+++ b/tests/edge/evacuations.rs
@@ -10,7 +10,7 @@
 use tokio::time;
 
 use crate::{
-    group::until,
+    cluster::until,
     load_generator::{Demand, send_load},
     site::{EVACUATE, Site, entry},
     support::{Edge, config},
--- a/tests/edge/large_group.rs
+++ b/tests/edge/large_cluster.rs
@@ -1,4 +1,4 @@
-//! Instances of a large group tell each other through aggregators, over real sockets.
+//! Instances of a large cluster exchange loads through aggregators over real sockets.
 
 use std::net::SocketAddr;
 
@@ -9,16 +9,16 @@
     prelude::{Incarnation, Name},
 };
 
-use crate::group::{
+use crate::cluster::{
     Instance, InstanceSpec, address, endpoint, free_port, key, placement_request, until,
 };
 
 const HALLS: [&str; 3] = ["a", "b", "c"];
-const IN_HALL: usize = 6;
-const ALL: usize = HALLS.len() * IN_HALL;
+const HALL_SIZE: usize = 6;
+const INSTANCES: usize = HALLS.len() * HALL_SIZE;
 const NET: u8 = 7;
 
-/// Returns the requests that an instance believes to be at the endpoint.
+/// Returns an instance's estimate of the requests at the endpoint.
 fn estimated_requests(instance: &Instance) -> f64 {
     let now_us = instance.gateway.clock.now_us();
     let balancer = instance.gateway.balancer();
@@ -39,68 +39,79 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_group_hears_of_all_requests_and_outlives_its_aggregators() {
+async fn a_large_cluster_shares_loads_and_survives_the_loss_of_its_aggregators() {
     let port = free_port(NET).await;
     let seeds: Vec<SocketAddr> = (0..3)
         .map(|n| SocketAddr::new(address(NET, n), port))
         .collect();
     let mut all = Vec::new();
-    for number in 0..ALL {
-        let place = InstanceSpec {
+    for number in 0..INSTANCES {
+        let spec = InstanceSpec {
             net: NET,
             number,
             hall: HALLS[number % HALLS.len()],
             port,
             seeds: &seeds,
         };
-        let instance = Instance::start(place).await;
+        let instance = Instance::start(spec).await;
         instance
             .gateway
             .balancer()
             .upsert_endpoint(endpoint("one"), 1);
         all.push(instance);
     }
-    let heard = |all: &[Instance], heard: usize| {
-        let expected = InstanceCounts { all: ALL, heard };
+    let all_see = |all: &[Instance], heard: usize| {
+        let expected = InstanceCounts {
+            all: INSTANCES,
+            heard,
+        };
         all.iter().all(|i| i.gateway.sharers() == expected)
     };
-    until("all to hear of all", || heard(&all, ALL)).await;
+    until("all instances to see each other", || {
+        all_see(&all, INSTANCES)
+    })
+    .await;
     send_one(&all[0]);
-    until("all to know of a request", || {
+    until("all instances to know the first request", || {
         all.iter().all(|i| estimated_requests(i) == 1.0)
     })
     .await;
     send_one(&all[1]);
-    until("all to know of both", || {
+    until("all instances to know both requests", || {
         all.iter().all(|i| estimated_requests(i) == 2.0)
     })
     .await;
 
-    // Both aggregators of a hall are lost.
+    // Both aggregators of a hall fail.
     let hall = all[2].hall.clone();
     let now_us = all[2].gateway.clock.now_us();
     let mut aggregators = Aggregators::default();
     aggregators.set_view(&all[2].gossip.view());
-    let lost = aggregators.of_hall(now_us, &hall, true);
-    let lost: Vec<Incarnation> = lost.iter().map(|m| m.info.incarnation).collect();
-    let mut kept = Vec::new();
+    let failed = aggregators.of_hall(now_us, &hall, true);
+    let failed: Vec<Incarnation> = failed.iter().map(|m| m.info.incarnation).collect();
+    let mut survivors = Vec::new();
     for (number, mut instance) in all.into_iter().enumerate() {
-        if lost.contains(&Incarnation(number as u64 + 1)) {
+        if failed.contains(&Incarnation(number as u64 + 1)) {
             instance.stop();
         } else {
-            kept.push(instance);
+            survivors.push(instance);
         }
     }
-    assert_eq!(kept.len(), ALL - 2);
-    until("the others to hear of each other", || heard(&kept, ALL - 2)).await;
-    let of_hall = kept
+    assert_eq!(survivors.len(), INSTANCES - 2);
+    until("the survivors to see each other", || {
+        all_see(&survivors, INSTANCES - 2)
+    })
+    .await;
+    let survivor = survivors
         .iter()
         .find(|i| i.hall == hall)
-        .expect("one of the hall");
-    let before = estimated_requests(of_hall);
-    send_one(of_hall);
-    until("all to know of its request", || {
-        kept.iter().all(|i| estimated_requests(i) == before + 1.0)
+        .expect("a survivor in the hall");
+    let before = estimated_requests(survivor);
+    send_one(survivor);
+    until("all survivors to know its request", || {
+        survivors
+            .iter()
+            .all(|i| estimated_requests(i) == before + 1.0)
     })
     .await;
 }
--- a/tests/edge/leaving_endpoints.rs
+++ b/tests/edge/leaving_endpoints.rs
@@ -16,7 +16,7 @@
 use tokio::time;
 
 use crate::{
-    group::until,
+    cluster::until,
     load_generator::{Demand, send_load},
     site::{DOWN, Site},
 };
--- a/tests/edge/main.rs
+++ b/tests/edge/main.rs
@@ -2,13 +2,13 @@
 
 mod answers;
 mod change_propagation;
+mod cluster;
 mod control;
 mod endpoint_limits;
 mod evacuations;
-mod group;
 mod homes;
+mod large_cluster;
 mod large_copies;
-mod large_group;
 mod leaving_endpoints;
 mod load_generator;
 mod other_writers;
--- a/tests/edge/poison_requests.rs
+++ b/tests/edge/poison_requests.rs
@@ -17,7 +17,7 @@
 use tokio::{task::JoinSet, time};
 
 use crate::{
-    group::until,
+    cluster::until,
     site::{DOWN, Site, entry},
     support::{Edge, exchange, request},
 };
--- a/tests/edge/reservations.rs
+++ b/tests/edge/reservations.rs
@@ -12,14 +12,14 @@
 };
 use tokio::time::{self, Instant};
 
-use crate::group::{self, Instance, InstanceSpec, address, endpoint, free_port, until};
+use crate::cluster::{self, Instance, InstanceSpec, address, endpoint, free_port, until};
 
 const INSTANCES: usize = 18;
 const ENDPOINTS: usize = 12;
 const SLOTS: u32 = 3;
 
 fn stream(instance: &Instance, number: u64) -> PlacementRequest {
-    let ask = group::placement_request(instance.gateway.clock.now_us());
+    let ask = cluster::placement_request(instance.gateway.clock.now_us());
     PlacementRequest {
         is_stream: true,
         output_events: 20.0,
--- a/tests/edge/site.rs
+++ b/tests/edge/site.rs
@@ -7,7 +7,7 @@
 use tokio::{net::TcpListener, task::JoinHandle, time};
 
 use crate::{
-    group::{Instance, InstanceSpec, address, free_port, until},
+    cluster::{Instance, InstanceSpec, address, free_port, until},
     support::{Got, config, exchange, request},
 };
 
--- a/tests/edge/store_lists.rs
+++ b/tests/edge/store_lists.rs
@@ -1,9 +1,9 @@
-//! Lists of the store that take many pages, while calls are refused and entries change.
+//! Reading of lists of many pages from the store, while calls are refused and entries change.
 //!
-//! The story: after the loss of all 300 instances, some of the sweeps served again only after 30 s, others after 9. By reading: a list
-//! of 3,000 endpoints is 60 pages and more, and one refused page throws all pages away; where 300 processes list at once the store
-//! refuses calls, and all begin anew. What is shown here is that one instance alone never comes to the end of
-//! such a list; that the sweeps' 30 s have this cause is not shown.
+//! Guards against lists that never complete: a list of 3,000 endpoints takes 60 pages or more, and when one refused
+//! page discarded all pages read so far, even a single instance never reached the end. After the loss of all 300
+//! instances, the processes list at once and the store refuses calls; some restarts then took 30 s to serve again and
+//! others 9 s, but these tests do not show that this was the cause.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 use standins::platform::Platform;
 
 use crate::{
-    group::{Instance, InstanceSpec, endpoint, free_port, until},
+    cluster::{Instance, InstanceSpec, endpoint, free_port, until},
     support::config,
 };
 
-/// Eight pages of the stand-in.
+/// Endpoints in the store, which take eight pages.
 pub const ENDPOINTS: usize = 400;
 
 fn entry(state: &str) -> Value {
@@ -39,18 +39,18 @@
 
 async fn start_instance(net: u8) -> Instance {
     let port = free_port(net).await;
-    let place = InstanceSpec {
+    let spec = InstanceSpec {
         net,
         number: 0,
         hall: "a",
         port,
         seeds: &[],
     };
-    Instance::start(place).await
+    Instance::start(spec).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_list_goes_on_after_a_page_that_was_refused() {
+async fn a_list_continues_after_a_refused_page() {
     let platform = start_store().await;
     platform.fault(|f| f.refuses_each = 4);
     let mut instance = start_instance(60).await;
@@ -61,15 +61,15 @@
     .await;
 }
 
-/// An endpoint says that it leaves after the page it is on was read and before the last one was.
+/// An endpoint announces that it leaves after its page has been read, but before the last one.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_changes_while_a_list_is_read_is_not_missed() {
+async fn changes_during_a_list_are_not_missed() {
     let platform = start_store().await;
     platform.fault(|f| f.delay = Duration::from_millis(60));
     let mut instance = start_instance(61).await;
     instance.follow(platform.addr());
     let before = platform.counts().reads;
-    // The configuration's list and two pages of the endpoints' at least, and not all.
+    // The list of configurations and at least two pages of the endpoints, but not all.
     until("two pages to be read", || {
         platform.counts().reads >= before + 4
     })
@@ -78,7 +78,7 @@
     assert_eq!(
         instance.gateway.balancer().endpoint_count(),
         0,
-        "the list is not whole yet"
+        "the list is not complete yet"
     );
     platform.fault(|f| f.delay = Duration::ZERO);
     let draining = || {
@@ -86,10 +86,10 @@
         let entry = balancer.key_of(&id(0)).and_then(|key| balancer.entry(key));
         entry.is_some_and(|e| e.draining)
     };
-    until("the endpoint to be known as leaving", draining).await;
+    until("the endpoint to be draining", draining).await;
 }
 
-/// Returns whether an endpoint is known as leaving.
+/// Returns whether an instance knows that an endpoint is draining.
 fn is_draining(instance: &Instance, number: usize) -> bool {
     let balancer = instance.gateway.balancer();
     let key = balancer.key_of(&id(number));
@@ -97,8 +97,8 @@
     entry.is_some_and(|e| e.draining)
 }
 
-/// Lets an instance know all endpoints as they are, from another one.
-fn bring_all(platform: &Platform, instance: &Instance) {
+/// Applies all endpoints to an instance, as a copy from another instance would.
+fn apply_all_endpoints(platform: &Platform, instance: &Instance) {
     let copy = EndpointsDelta {
         revision: platform.set("servers", &id(0), entry("ready")),
         entries: (0..ENDPOINTS)
@@ -110,36 +110,30 @@
     instance.gateway.take_endpoints(copy, None);
 }
 
-/// Guards against calls that grow with instances times endpoints: each instance that nobody tells of changes asks the
-/// store for what changed, not for all.
+/// Guards against calls that grow with instances times endpoints: an instance that gets no changes from others must
+/// read only the changes from the store, not the whole list.
 #[tokio::test(flavor = "multi_thread")]
-async fn one_that_knows_the_endpoints_asks_for_what_changed_only() {
+async fn an_instance_with_endpoints_reads_only_changes() {
     let platform = start_store().await;
     let mut instance = start_instance(62).await;
-    bring_all(&platform, &instance);
+    apply_all_endpoints(&platform, &instance);
     platform.set("servers", &id(1), entry("draining"));
     let before = platform.counts().reads;
     instance.follow(platform.addr());
-    until("the endpoint to be known as leaving", || {
-        is_draining(&instance, 1)
-    })
-    .await;
+    until("the endpoint to be draining", || is_draining(&instance, 1)).await;
     let calls = platform.counts().reads - before;
-    assert!(calls <= 4, "{calls} calls, and a list alone takes eight");
+    assert!(calls <= 4, "{calls} calls, while a list alone takes eight");
 }
 
-/// Guards against an instance that waits for others for ever once the store has forgotten what changed.
+/// Guards against an instance that waits for peers forever once the store no longer has the history of changes.
 #[tokio::test(flavor = "multi_thread")]
-async fn one_to_which_nobody_brings_what_changed_lists_anew() {
+async fn an_instance_lists_again_if_the_history_is_gone_and_no_peer_helps() {
     let platform = start_store().await;
     let mut instance = start_instance(63).await;
     instance.gateway.fetch_at_start();
-    bring_all(&platform, &instance);
+    apply_all_endpoints(&platform, &instance);
     platform.set("servers", &id(1), entry("draining"));
     platform.forget_history();
     instance.follow(platform.addr());
-    until("the endpoint to be known as leaving", || {
-        is_draining(&instance, 1)
-    })
-    .await;
+    until("the endpoint to be draining", || is_draining(&instance, 1)).await;
 }
--- a/tests/edge/suspension.rs
+++ b/tests/edge/suspension.rs
@@ -19,7 +19,7 @@
 use tokio::{net::TcpListener, time};
 
 use crate::{
-    group::{DRAIN, Instance, InstanceSpec, address, free_port, until},
+    cluster::{DRAIN, Instance, InstanceSpec, address, free_port, until},
     support::{config, exchange, request},
 };
 
--- a/tests/gateway/copies.rs
+++ b/tests/gateway/copies.rs
@@ -1,4 +1,4 @@
-//! Who is given a configuration when many ask at once.
+//! Limits of copies between instances when many request them at once.
 
 use std::net::SocketAddr;
 
@@ -6,36 +6,36 @@
 
 use crate::support::MS;
 
-const AT_ONCE: u64 = 4;
+const MAX_TRANSFERS: u64 = 4;
 
 #[test]
-fn a_few_are_given_a_configuration_at_a_time_and_the_others_after_them() {
+fn transfers_are_limited_and_others_follow() {
     let mut transfers = Transfers::default();
-    for connection in 0..AT_ONCE {
+    for connection in 0..MAX_TRANSFERS {
         assert!(transfers.admit(0, connection));
     }
-    assert!(!transfers.admit(MS, 9), "the link is taken");
+    assert!(!transfers.admit(MS, 9), "all transfers are in use");
     assert!(
         transfers.admit(2 * MS, 0),
-        "one that is being given it goes on"
+        "a transfer in progress continues"
     );
     transfers.finish(0);
     assert!(transfers.admit(3 * MS, 9));
 }
 
 #[test]
-fn a_taker_that_has_gone_takes_no_place() {
+fn an_idle_transfer_frees_its_slot() {
     let mut transfers = Transfers::default();
-    for connection in 0..AT_ONCE {
+    for connection in 0..MAX_TRANSFERS {
         assert!(transfers.admit(0, connection));
     }
     assert!(!transfers.admit(900 * MS, 9));
     assert!(transfers.admit(1_100 * MS, 9));
 }
 
-/// Guards against answers of seeds that grow with the group, while all of it asks them.
+/// Guards against responses of seeds that grow with the cluster while all of it queries them.
 #[test]
-fn a_seeds_answer_is_bounded_and_differs_each_time() {
+fn address_samples_are_bounded_and_random() {
     let addrs: Vec<SocketAddr> = (0..2_000_u16).map(|n| ([127, 0, 0, 1], n).into()).collect();
     let first = sample(addrs.clone(), 256);
     assert_eq!(first.len(), 256);
--- a/tests/gateway/current_config.rs
+++ b/tests/gateway/current_config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force never goes back, and its freshness is never guessed.
+//! The current configuration never reverts to an older version, and its freshness is always confirmed.
 
 use proptest::prelude::*;
 use ryevalve::{
@@ -14,7 +14,7 @@
 use crate::support::{SECOND, config};
 
 #[test]
-fn an_older_configuration_changes_nothing() {
+fn ignores_an_older_configuration() {
     let current = CurrentConfig::default();
     assert_eq!(
         current.offer(config(7, vec![], vec![])),
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn freshness_counts_from_the_question_and_only_for_the_version_in_force() {
+fn freshness_counts_from_the_query_and_only_for_the_current_version() {
     let current = CurrentConfig::default();
     assert_eq!(current.age_us(5 * SECOND), u64::MAX);
     current.offer(config(7, vec![], vec![]));
     assert_eq!(current.age_us(5 * SECOND), u64::MAX);
     current.confirm(7, 2 * SECOND);
     assert_eq!(current.age_us(5 * SECOND), 3 * SECOND);
-    // An answer that was long on its way takes nothing back, nor does one on another version.
+    // A late response does not lower the freshness, and one for another version does not raise it.
     current.confirm(7, SECOND);
     current.confirm(8, 4 * SECOND);
     assert_eq!(current.age_us(5 * SECOND), 3 * SECOND);
@@ -75,19 +75,19 @@
 }
 
 #[test]
-fn keys_are_not_judged_by_a_configuration_that_may_be_older_than_a_revocation() {
+fn a_configuration_that_may_predate_a_revocation_does_not_authorise_keys() {
     let bounds = GatewayBounds {
         revoke_us: SECOND / 1_000,
         ..bounds(true)
     };
     let gateway = Gateway::new(PlatformProtocol, "hall".into(), bounds, true);
     gateway.offer(config(7, vec![], vec![]), "test");
-    assert!(!gateway.is_config_fresh(), "nothing has confirmed it yet");
+    assert!(!gateway.is_config_fresh(), "it was never confirmed");
     std::thread::sleep(std::time::Duration::from_millis(5));
     gateway.config.confirm(7, 1);
     assert!(
         !gateway.is_config_fresh(),
-        "confirmed longer ago than a key may be used"
+        "the confirmation is older than the bound on keys"
     );
     assert!(!gateway.may_use_keys());
     gateway.set_bounds(GatewayBounds {
@@ -95,22 +95,27 @@
         ..bounds
     });
     assert!(gateway.may_use_keys() && !gateway.is_config_fresh());
-    let long = GatewayBounds {
+    let long_bounds = GatewayBounds {
         revoke_us: 60 * SECOND,
         ..bounds
     };
-    gateway.set_bounds(long);
+    gateway.set_bounds(long_bounds);
     assert!(gateway.is_config_fresh());
 }
 
-/// With a fixed 1.2 s taken off, a bound of 1 s left nothing, and calm instances would have refused every key.
+/// Guards against a fixed margin in the age limit of keys: with 1.2 s, a bound of 1 s left no time, and idle instances
+/// refused every key.
 #[test]
-fn a_short_bound_on_keys_leaves_time_to_use_them() {
+fn keys_are_usable_with_a_short_revocation_bound() {
     let bounds = GatewayBounds {
         revoke_us: SECOND,
         ..bounds(true)
     };
-    assert_eq!(bounds.config(), StalenessBound(SECOND), "the shorter holds");
+    assert_eq!(
+        bounds.config(),
+        StalenessBound(SECOND),
+        "the shorter bound applies"
+    );
     let gateway = Gateway::new(PlatformProtocol, "hall".into(), bounds, true);
     gateway.offer(config(7, vec![], vec![]), "test");
     gateway.config.confirm(7, 1);
@@ -119,7 +124,7 @@
 
 proptest! {
     #[test]
-    fn no_order_of_offers_takes_a_version_back(versions in prop::collection::vec(1_u64..50, 1..40)) {
+    fn the_version_never_decreases(versions in prop::collection::vec(1_u64..50, 1..40)) {
         let current = CurrentConfig::default();
         let mut highest = 0;
         for version in versions {
--- a/tests/gateway/growth.rs
+++ b/tests/gateway/growth.rs
@@ -1,4 +1,4 @@
-//! Work that must not grow faster than the fleet does. Times are compared with each other, never with a clock's figure.
+//! Work that must not grow faster than the fleet. Durations are compared with each other, never with absolute values.
 
 use std::time::{Duration, Instant};
 
@@ -14,32 +14,32 @@
     support::{MS, SECOND, entry},
 };
 
-/// Eight times as many may take this many times as long: a square takes sixty-four.
-const MOST_TIMES: f64 = 24.0;
+/// Maximum ratio of the durations for eight times as many items; quadratic work has a ratio of 64.
+const MAX_RATIO: f64 = 24.0;
 const SMALL: usize = 500;
 const LARGE: usize = 4_000;
 
-/// Returns the shortest of some tries.
+/// Returns the shortest duration of several runs.
 fn shortest(mut work: impl FnMut() -> usize) -> Duration {
-    let tries = (0..5).map(|_| {
+    let runs = (0..5).map(|_| {
         let started = Instant::now();
         assert!(work() > 0);
         started.elapsed()
     });
-    tries.min().unwrap_or_default()
+    runs.min().unwrap_or_default()
 }
 
 fn check(what: &str, work: impl Fn(usize) -> usize) {
     let (small, large) = (shortest(|| work(SMALL)), shortest(|| work(LARGE)));
-    let times = large.as_secs_f64() / small.as_secs_f64();
-    println!("{what}: {small:?} and {large:?}, {times:.0} times");
+    let ratio = large.as_secs_f64() / small.as_secs_f64();
+    println!("{what}: {small:?} and {large:?}, ratio {ratio:.0}");
     assert!(
-        times < MOST_TIMES,
-        "{what}: {times:.0} times for 8 times as many"
+        ratio < MAX_RATIO,
+        "{what}: ratio {ratio:.0} for 8 times as many"
     );
 }
 
-fn listed(count: usize) -> Balancer {
+fn balancer_with(count: usize) -> Balancer {
     let mut balancer = Balancer::new("a".into());
     for number in 0..count {
         let id = format!("i-{number:05}");
@@ -49,34 +49,34 @@
     balancer
 }
 
-/// Guards against a list of endpoints that takes the square of their number, at each process that reads it.
+/// Guards against quadratic work in every process that reads a list of endpoints.
 #[test]
-fn the_work_of_taking_a_list_of_endpoints_grows_as_the_list_does() {
-    check("a list", |count| listed(count).endpoint_count());
+fn reading_a_list_of_endpoints_takes_linear_time() {
+    check("a list", |count| balancer_with(count).endpoint_count());
 }
 
-/// Guards against the same where a whole copy comes from another instance.
+/// Guards against quadratic work when a whole copy is fetched from another instance.
 #[test]
-fn the_work_of_taking_a_copy_of_the_endpoints_grows_as_the_copy_does() {
+fn applying_a_copy_of_the_endpoints_takes_linear_time() {
     check("a copy", |count| {
-        let mut giver = Discovery::default();
+        let mut source = Discovery::default();
         for number in 0..count {
-            giver.upsert(entry(&format!("i-{number:05}"), "a", 8), number as u64 + 1);
+            source.upsert(entry(&format!("i-{number:05}"), "a", 8), number as u64 + 1);
         }
-        giver.advance_to(count as u64 + 1);
-        let mut taker = Discovery::default();
-        taker.upsert(entry("i-gone", "a", 8), 1);
-        taker.apply_delta(0, giver.delta_since(0));
-        assert!(taker.get("i-gone").is_none());
-        taker.len()
+        source.advance_to(count as u64 + 1);
+        let mut target = Discovery::default();
+        target.upsert(entry("i-gone", "a", 8), 1);
+        target.apply_delta(0, source.delta_since(0));
+        assert!(target.get("i-gone").is_none());
+        target.len()
     });
 }
 
-/// Guards against the loss of a data centre that takes the square of its endpoints.
+/// Guards against quadratic work when all endpoints of a data centre are lost.
 #[test]
-fn the_work_of_dropping_endpoints_grows_as_their_number_does() {
+fn removing_endpoints_takes_linear_time() {
     check("a loss", |count| {
-        let mut balancer = listed(count);
+        let mut balancer = balancer_with(count);
         for number in 0..count {
             let id = format!("i-{number:05}");
             balancer.remove_endpoint(0, &id, (2 * count) as u64);
@@ -86,12 +86,12 @@
     });
 }
 
-/// Guards against an aggregator whose datagrams grow with its data centre until its processor is full.
+/// Guards against datagrams that grow with the hall until an aggregator's processor is saturated.
 #[test]
-fn an_aggregators_datagrams_a_second_are_bounded_whatever_its_data_centre() {
+fn an_aggregators_datagrams_per_second_are_bounded_for_any_hall_size() {
     for instances in [1, 12, 49, 164, 656, 2_624] {
         let intervals = ReportIntervals { instances };
-        let per_second = |each_us: u64| instances as f64 * 1e6 / each_us as f64;
+        let per_second = |interval_us: u64| instances as f64 * 1e6 / interval_us as f64;
         let (least, most) = (
             per_second(intervals.max_report_us()),
             per_second(intervals.min_report_us()),
@@ -105,8 +105,8 @@
     }
 }
 
-/// Returns the messages that a quota server gets a second, once all in a group of `count` lease to it.
-fn leases_a_second(count: u32) -> f64 {
+/// Returns the leases that a quota server gets per second if all of `count` instances lease to it.
+fn leases_per_second(count: u32) -> f64 {
     let mut node = Node::new(0, Incarnation(1), TOLERANCE);
     node.join(Incarnation(1), 0);
     node.mark_first_start();
@@ -130,18 +130,18 @@
     f64::from(count) * f64::from(leases) / 40.0
 }
 
-/// Guards against quota servers whose processors are full of renewals.
+/// Guards against quota servers whose processors are saturated by renewals.
 #[test]
-fn a_quota_servers_renewals_a_second_are_few_up_to_twice_the_fleet() {
+fn a_quota_servers_renewals_per_second_are_bounded_up_to_twice_the_fleet() {
     for count in [7, 78, 295, 985, 1_970] {
-        let leases = leases_a_second(count);
-        assert!(leases <= 520.0, "{leases} a second: {count}");
+        let leases = leases_per_second(count);
+        assert!(leases <= 520.0, "{leases} per second: {count}");
     }
 }
 
-/// Guards against a log line for each of thousands of endpoints at each process that starts.
+/// Guards against thousands of log lines, one per endpoint, in every process that starts.
 #[test]
-fn lines_on_endpoints_are_bounded_and_those_left_out_are_counted() {
+fn endpoint_log_lines_are_bounded_and_omitted_ones_counted() {
     let mut budget = LineBudget::default();
     let written = (0..3_000).filter(|n| budget.ask(SECOND + n * 10).is_written);
     assert_eq!(written.count(), 200);
--- a/tests/gateway/staleness.rs
+++ b/tests/gateway/staleness.rs
@@ -1,4 +1,4 @@
-//! How old what is known may be, and when the store is asked, for any bound.
+//! Staleness of the local state, and when the store is queried, for any bound.
 
 use std::{sync::Arc, time::Duration};
 
@@ -24,12 +24,12 @@
 const BOUND: StalenessBound = StalenessBound(2 * SECOND);
 
 #[test]
-fn what_is_too_old_waits_for_the_store_and_no_longer_than_it_takes_to_answer() {
+fn stale_state_waits_for_the_store_until_the_answer_times_out() {
     let staleness = Staleness::default();
     assert_eq!(staleness.freshness(SECOND, BOUND), Freshness::Unknown);
     staleness.confirm(SECOND);
     assert_eq!(staleness.freshness(2 * SECOND, BOUND), Freshness::Fresh);
-    // 1.9 s of 2 s is too late for what is sent now.
+    // State that is 1.9 s old is too old to use with a bound of 2 s.
     let late_us = SECOND + 1_900_000;
     assert_eq!(staleness.freshness(late_us, BOUND), Freshness::Refreshing);
     staleness.query_started(late_us, BOUND, Duration::ZERO);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_watch_is_given_its_wait_before_the_store_is_taken_not_to_answer() {
+fn the_answer_timeout_starts_after_a_watchs_wait() {
     let staleness = Staleness::default();
     staleness.confirm(SECOND);
     let asked_us = SECOND + 1_700_000;
@@ -58,10 +58,10 @@
     );
 }
 
-/// One that the store did not answer once, and that others told of the store since, does not act on what is old
-/// again by then: it asks anew.
+/// Guards against a single failed query that makes an instance use stale state later on, although peers have confirmed
+/// the state since: the instance must query the store again.
 #[test]
-fn a_failure_says_nothing_of_the_store_once_others_have_heard_from_it() {
+fn a_failure_is_void_once_another_instance_has_reached_the_store() {
     let staleness = Staleness::default();
     staleness.confirm(SECOND);
     staleness.query_failed(3 * SECOND);
@@ -77,9 +77,9 @@
     );
 }
 
-/// A gateway that knows two endpoints, and knows them to be the store's since now.
+/// Returns a gateway with two endpoints that have just been confirmed.
 fn gateway() -> Arc<Gateway<PlatformProtocol>> {
-    // By the runtime's time, which these tests pause.
+    // Uses the runtime's clock, which these tests pause.
     let clock = Clock::new(TimeSource::steered());
     let gateway = Gateway::with_clock(PlatformProtocol, "h".into(), bounds(true), true, clock);
     for id in ["leaving", "staying"] {
@@ -89,27 +89,27 @@
     gateway.into()
 }
 
-fn leave(gateway: &Gateway<PlatformProtocol>) {
+fn drain_leaving(gateway: &Gateway<PlatformProtocol>) {
     let mut leaving = entry("leaving", "h", 4);
     leaving.draining = true;
     gateway.balancer().upsert_endpoint(leaving, 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_waits_for_the_answer_where_what_is_known_is_too_old() {
+async fn a_request_waits_for_the_stores_answer_if_endpoints_are_stale() {
     let gateway = gateway();
     time::sleep(Duration::from_millis(1_900)).await;
-    let asking = gateway.clone();
+    let querying = gateway.clone();
     let follower = tokio::spawn(async move {
-        asking.endpoints.query_wanted().await;
-        let now_us = asking.clock.now_us();
-        asking
+        querying.endpoints.query_wanted().await;
+        let now_us = querying.clock.now_us();
+        querying
             .endpoints
             .query_started(now_us, BOUND, Duration::ZERO);
         time::sleep(Duration::from_millis(100)).await;
-        leave(&asking);
-        asking.endpoints.query_answered();
-        asking.endpoints.confirm(now_us);
+        drain_leaving(&querying);
+        querying.endpoints.query_answered();
+        querying.endpoints.confirm(now_us);
     });
     for _ in 0..3 {
         let placed = gateway
@@ -117,19 +117,19 @@
             .await;
         assert_matches!(placed, Placement::Send(choice) if &*choice.id == "staying");
     }
-    follower.await.expect("it was asked");
+    follower.await.expect("the store was queried");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_store_that_does_not_answer_holds_a_request_up_once_and_not_for_long() {
+async fn an_unreachable_store_delays_only_one_request_and_briefly() {
     let gateway = gateway();
     time::sleep(Duration::from_millis(1_900)).await;
-    let began = time::Instant::now();
-    let asking = gateway.clone();
+    let started = time::Instant::now();
+    let querying = gateway.clone();
     tokio::spawn(async move {
-        asking.endpoints.query_wanted().await;
-        let now_us = asking.clock.now_us();
-        asking
+        querying.endpoints.query_wanted().await;
+        let now_us = querying.clock.now_us();
+        querying
             .endpoints
             .query_started(now_us, BOUND, Duration::ZERO);
     });
@@ -137,52 +137,52 @@
         .place(&ask(7, 100, 0, gateway.clock.now_us()), &[])
         .await;
     assert_matches!(placed, Placement::Send(_));
-    let held = began.elapsed();
-    assert!(held <= Duration::from_millis(340), "{held:?}");
-    let again = time::Instant::now();
+    let delay = started.elapsed();
+    assert!(delay <= Duration::from_millis(340), "{delay:?}");
+    let second_started = time::Instant::now();
     let placed = gateway
         .place(&ask(7, 100, 0, gateway.clock.now_us()), &[])
         .await;
     assert_matches!(placed, Placement::Send(_));
-    assert_eq!(again.elapsed(), Duration::ZERO);
+    assert_eq!(second_started.elapsed(), Duration::ZERO);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_goes_on_though_nobody_asks_the_store() {
+async fn a_request_proceeds_if_no_task_queries_the_store() {
     let gateway = gateway();
     time::sleep(Duration::from_millis(1_900)).await;
-    let began = time::Instant::now();
+    let started = time::Instant::now();
     let placed = gateway
         .place(&ask(7, 100, 0, gateway.clock.now_us()), &[])
         .await;
     assert_matches!(placed, Placement::Send(_));
-    assert!(began.elapsed() <= Duration::from_millis(340));
+    assert!(started.elapsed() <= Duration::from_millis(340));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_chosen_endpoint_is_not_sent_to_once_it_has_left_or_may_have() {
+async fn a_selected_endpoint_is_rejected_if_it_has_left_or_may_have() {
     let gateway = gateway();
     let key = EndpointKey::of("leaving");
     assert_eq!(gateway.check_before_send(key), Ok(()));
-    leave(&gateway);
+    drain_leaving(&gateway);
     assert_eq!(gateway.check_before_send(key), Err(ENDPOINT_LEFT));
     let key = EndpointKey::of("staying");
     assert_eq!(gateway.check_before_send(key), Ok(()));
-    // A process that stood still since it chose.
+    // The process was suspended after it selected the endpoint.
     time::sleep(Duration::from_secs(5)).await;
     assert_eq!(gateway.check_before_send(key), Err(ENDPOINT_LEFT));
 }
 
 proptest! {
-    /// Whatever the bound, the store is asked before what is known is too old to act on, with time for the
-    /// answer of one that answers at all, and later than those that watch make it in any case.
+    /// For every bound, the store is queried early enough that it can answer before the state becomes too old, but
+    /// not at ages that the state reaches while watches work.
     #[test]
-    fn the_store_is_asked_in_time_for_every_bound(bound_ms in 200_u64..60_000, before in 0_usize..400) {
+    fn the_store_is_queried_in_time_for_every_bound(bound_ms in 200_u64..60_000, before in 0_usize..400) {
         let bound = StalenessBound(bound_ms * 1_000);
-        let ask_us = bound.store_query_age_us(before);
+        let query_us = bound.store_query_age_us(before);
         let wait_us = bound.watch_wait().as_micros() as u64;
-        prop_assert!(ask_us + bound.0 / 20 <= bound.max_usable_age_us());
+        prop_assert!(query_us + bound.0 / 20 <= bound.max_usable_age_us());
         prop_assert!(bound.max_usable_age_us() < bound.0);
-        prop_assert!(wait_us * 4 / 3 < ask_us);
+        prop_assert!(wait_us * 4 / 3 < query_us);
     }
 }
