--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -58,9 +58,8 @@
 const MAX_DATAGRAM: usize = 65_536;
 /// Number of sent updates that are kept for matching echoes: more than a second of rounds.
 const SENT_UPDATES_KEPT: usize = 64;
-/// Times after the start at which one seed, a different one each time, is asked for the addresses of the other
-/// instances. The list of 295 instances takes 6 KB; sending it to all of them every 250 ms filled the links of
-/// three seeds.
+/// Times after the start at which a seed, each in turn, is queried for the addresses of the other instances. The list
+/// of 295 instances takes 6 KB; sending it to all of them every 250 ms filled the links of three seeds.
 const DISCOVERY_DELAYS_MS: [u64; 6] = [0, 150, 400, 800, 1_500, 3_000];
 
 /// The loads of this instance alone, as sent in one update.
@@ -71,6 +70,7 @@
     pub(super) loads: Arc<Vec<(EndpointKey, InFlight)>>,
 }
 
+/// The mutable state of an exchange.
 #[derive(Debug, Default)]
 pub(super) struct State {
     pub(super) seq: u64,
@@ -297,7 +297,7 @@
     }
 
     /// Sets the issuers of reservations at this hall's endpoints: the hall's aggregators ranked before this
-    /// instance, in order. The first aggregator itself has none.
+    /// instance, in order. The first aggregator itself has none. Also sets whether this instance is an aggregator.
     fn set_reservation_issuers(&self, now_us: Micros) {
         let (chosen, is_aggregator) = {
             let mut state = self.lock();
@@ -392,9 +392,9 @@
     /// Returns the addresses of all known instances, including ones that may no longer run.
     fn addresses(&self, view: &View) -> Vec<IpAddr> {
         let state = self.lock();
-        let added = state.peer_table.iter().map(|(ip, _)| *ip);
+        let peer_ips = state.peer_table.iter().map(|(ip, _)| *ip);
         let members = view.members.iter().map(|m| m.info.peer_addr.ip());
-        added.chain(members).collect()
+        peer_ips.chain(members).collect()
     }
 
     /// Updates the gauges for the exchange's current state.
--- a/tests/edge/change_propagation.rs
+++ b/tests/edge/change_propagation.rs
@@ -177,8 +177,8 @@
         all.push((instance, store_proxy));
     }
     until("all instances to see each other", || {
-        let heard = |i: &Instance| i.gateway.sharers().heard;
-        all.iter().all(|(i, _)| heard(i) == all.len())
+        let seen_instances = |i: &Instance| i.gateway.sharers().heard;
+        all.iter().all(|(i, _)| seen_instances(i) == all.len())
     })
     .await;
     until(
--- a/tests/gateway/aggregators.rs
+++ b/tests/gateway/aggregators.rs
@@ -70,10 +70,10 @@
 
 #[test]
 fn all_instances_of_a_hall_select_the_same_two_aggregators() {
-    for (place, hall) in HALLS.iter().enumerate() {
+    for (index, hall) in HALLS.iter().enumerate() {
         let name = Name::from(*hall);
         let selected: HashSet<Vec<Incarnation>> = (0..HALL_SIZE)
-            .map(|n| n * 4 + place as u64)
+            .map(|n| n * 4 + index as u64)
             .map(|n| ids(&aggregators(n, &[]).of_hall(SECOND, &name, true)))
             .collect();
         assert_eq!(selected.len(), 1, "{selected:?}");
