--- a/src/gateway/fetching.rs
+++ b/src/gateway/fetching.rs
@@ -74,7 +74,8 @@
 }
 
 impl<P: Protocol> Exchange<P> {
-    /// Starts to fetch what an instance announced, from it or from another one, unless a fetch of the kind is in progress.
+    /// Starts to fetch what an instance announced, from it or from another one, unless a fetch of this kind is in
+    /// progress.
     pub(super) fn fetch(self: &Arc<Self>, ip: IpAddr, wanted: Wanted) {
         if self.has(wanted) || self.fetching.flag(wanted).swap(true, Ordering::Relaxed) {
             return;
--- a/src/gateway/freshness_queries.rs
+++ b/src/gateway/freshness_queries.rs
@@ -47,10 +47,10 @@
             return;
         };
         self.lock().freshness_query_us = now_us;
-        let mut question = self.next_update(now_us, Purpose::Question);
-        question.loads = Vec::new();
+        let mut query = self.next_update(now_us, Purpose::Question);
+        query.loads = Vec::new();
         self.gateway.metrics.freshness_asked.inc();
-        self.send(addr, &mut question).await;
+        self.send(addr, &mut query).await;
     }
 
     /// Returns whether any state is stale enough for a query, `since_us` after the last one.
--- a/src/gateway/receiving.rs
+++ b/src/gateway/receiving.rs
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Applies a summary of another hall. An aggregator merges it into its own summary of the other halls; any other
-    /// instance forwards it to its aggregators.
+    /// Applies a summary of another hall, unless a newer one is known. An aggregator merges it into its own summary of
+    /// the other halls; any other instance forwards it to its aggregators.
     fn apply_remote_summary(&self, now_us: Micros, summary: HallSummary) {
         if summary.hall == self.my_hall || summary.hall == FAR_HALLS {
             return;
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -312,7 +312,8 @@
         }
     }
 
-    /// Sends this hall's summaries to the peers in other halls; before they are due, only its configuration's freshness.
+    /// Sends this hall's summaries to the peers in other halls, or only its configuration's freshness while no summary
+    /// is due.
     async fn send_to_remote_halls(
         &self,
         now_us: Micros,
