--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -1,7 +1,7 @@
-//! Tells the other instances what this one has sent where, and takes what they tell.
+//! Exchanges load reports, summaries and freshness with the other instances over UDP.
 //!
-//! In a small group everybody tells everybody. In a large one instances report to the aggregators of
-//! their hall, and those tell the hall, and other halls', sums.
+//! In a small cluster every instance sends to every other one. In a large cluster instances report to
+//! the aggregators of their hall, which send summaries to that hall and to the aggregators of other halls.
 
 use std::{
     collections::VecDeque,
@@ -25,13 +25,13 @@
         aggregators::{Aggregators, hall_key},
         copies,
         far_book::{FAR_HALLS, FarBook},
-        fetching::Fetching,
+        fetching::ActiveFetches,
         hall_book::HallBook,
         halls::{Halls, teller_of_hall},
-        heard::HeardInstances,
-        pace::Pace,
+        peer_table::PeerTable,
         protocol::Protocol,
         quota,
+        report_intervals::ReportIntervals,
         state::Gateway,
     },
     limits::instance_counts::InstanceCounts,
@@ -44,93 +44,98 @@
     prelude::{Incarnation, Micros, Name},
 };
 
-/// Shortest time between two rounds; several requests share a datagram under load.
+/// Minimum time between two rounds; under load, several requests share a datagram.
 const ROUND: Duration = Duration::from_millis(40);
-/// Up to this many instances everybody tells everybody each round; in larger groups they report to
+/// Up to this many instances, every instance sends to every other one each round; larger clusters use
 /// aggregators.
-const SMALL_GROUP: usize = 12;
-/// Instances that watch the store for all: two may be lost at once.
+const SMALL_CLUSTER: usize = 12;
+/// Number of instances that watch the store on behalf of all; two may fail at once.
 pub const WATCHERS: usize = 3;
-/// An instance that is no seed watches the store for others only after this time: until then it knows
-/// few of them, and of 295 that start together most would believe to be among the first three.
-const SETTLED_US: Micros = 1_500_000;
-/// The longest datagram that is read: what UDP carries.
+/// Time after the start before an instance that is not a seed may watch the store for others. Until then its
+/// view holds few members, and most of 295 instances that start together would rank themselves among the first three.
+const VIEW_SETTLING_US: Micros = 1_500_000;
+/// Size of the receive buffer: the largest UDP datagram.
 const MAX_DATAGRAM: usize = 65_536;
-/// Rounds of which it is remembered what was sent: a second and more.
-const SENT_KEPT: usize = 64;
-/// The seeds are asked for the others after these times from the start, one of them each time: 295
-/// instances are 6 KB, and three seeds told to all of them each 250 ms filled the seeds' links.
-const MEETINGS_MS: [u64; 6] = [0, 150, 400, 800, 1_500, 3_000];
+/// Number of sent updates that are kept for matching echoes: more than a second of rounds.
+const SENT_UPDATES_KEPT: usize = 64;
+/// Times after the start at which a seed, each in turn, is queried for the addresses of the other instances. The list
+/// of 295 instances takes 6 KB; sending it to all of them every 250 ms filled the links of three seeds.
+const DISCOVERY_DELAYS_MS: [u64; 6] = [0, 150, 400, 800, 1_500, 3_000];
 
-/// What a round said of this instance alone.
+/// The loads of this instance alone, as sent in one update.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Sent {
+pub(super) struct SentUpdate {
     pub(super) seq: u64,
     pub(super) at_us: Micros,
     pub(super) loads: Arc<Vec<(EndpointKey, InFlight)>>,
 }
 
+/// The mutable state of an exchange.
 #[derive(Debug, Default)]
 pub(super) struct State {
     pub(super) seq: u64,
-    pub(super) sent: VecDeque<Sent>,
-    pub(super) heard: HeardInstances,
+    pub(super) sent_updates: VecDeque<SentUpdate>,
+    pub(super) peer_table: PeerTable,
     pub(super) halls: Halls,
-    pub(super) book: HallBook,
-    pub(super) far_book: FarBook,
+    pub(super) hall_reports: HallBook,
+    pub(super) remote_halls: FarBook,
     pub(super) aggregators: Aggregators,
-    /// How many instances the view knows, silent ones included.
+    /// Number of instances in the view, silent ones included.
     pub(super) instances_in_view: usize,
-    /// By its view this instance is one of those that watch the store for all.
+    /// Whether the view makes this instance one of the store watchers.
     pub(super) is_watcher: bool,
-    /// Where those are that watch the store for all.
+    /// Addresses of the other store watchers.
     pub(super) watchers: Vec<SocketAddr>,
-    /// When another instance was asked how fresh what it knows is.
-    pub(super) asked_us: Micros,
-    pub(super) told_at_us: Micros,
-    /// What is told of requests has changed since.
+    /// When the last freshness query was sent to another instance.
+    pub(super) freshness_query_us: Micros,
+    /// When the last report was due.
+    pub(super) reported_at_us: Micros,
+    /// Whether loads or limits have changed since the last report.
     pub(super) has_changed: bool,
+    /// When the last summary was sent to this hall.
     pub(super) summary_at_us: Micros,
-    /// How long the last summary was.
+    /// Length of the last summary in bytes, over all its datagrams.
     pub(super) summary_bytes: usize,
-    /// When the peers in other halls were told of this one, and this one of other halls.
-    pub(super) far_summary_at_us: Micros,
-    pub(super) far_told_at_us: Micros,
-    pub(super) turn: usize,
-    /// What was told last of the configuration, the endpoints and the evacuations: news goes out at once.
-    pub(super) told_state: (u64, u64, Vec<Name>),
+    /// When this hall's summary was last sent to the aggregators of other halls.
+    pub(super) summary_to_remote_at_us: Micros,
+    /// When the summary of the other halls was last sent to this hall.
+    pub(super) remote_summary_at_us: Micros,
+    pub(super) round_number: usize,
+    /// The configuration version, endpoints revision and evacuated data centres of the last round; a change is
+    /// sent at once.
+    pub(super) last_sent_state: (u64, u64, Vec<Name>),
 }
 
 impl State {
-    fn known(&self, now_us: Micros, view: &View) -> usize {
-        let others = view.others().count().max(self.heard.len());
+    fn known_peers(&self, now_us: Micros, view: &View) -> usize {
+        let others = view.others().count().max(self.peer_table.len());
         others.max(self.halls.sharers(now_us).all.saturating_sub(1))
     }
 
-    pub(super) fn remember(&mut self, sent: Sent) {
-        self.sent.push_back(sent);
-        if self.sent.len() > SENT_KEPT {
-            self.sent.pop_front();
+    pub(super) fn record_sent(&mut self, sent: SentUpdate) {
+        self.sent_updates.push_back(sent);
+        if self.sent_updates.len() > SENT_UPDATES_KEPT {
+            self.sent_updates.pop_front();
         }
     }
 
-    pub(super) fn sent(&self, seq: u64) -> Option<&Sent> {
-        self.sent.iter().find(|s| s.seq == seq)
+    pub(super) fn sent_update(&self, seq: u64) -> Option<&SentUpdate> {
+        self.sent_updates.iter().find(|s| s.seq == seq)
     }
 }
 
-/// The addresses at which an exchange tells and asks, and what its link carries.
+/// The identity, seeds and link capacity of an instance's exchange.
 #[derive(Clone, Debug)]
-pub struct ExchangePlace {
-    /// This instance, as the membership knows it.
+pub struct ExchangeSettings {
+    /// This instance's entry in the membership.
     pub me: MemberInfo,
-    /// Control addresses of some instances, which may be gone.
+    /// Control addresses of some instances, which may no longer run.
     pub seeds: Vec<SocketAddr>,
-    /// Bytes a second that this instance's link carries.
+    /// Capacity of this instance's link in bytes per second.
     pub link_bytes_per_s: f64,
 }
 
-/// The exchange of one instance.
+/// Sends and receives the updates of one instance.
 pub struct Exchange<P: Protocol> {
     pub(super) gateway: Arc<Gateway<P>>,
     pub(super) gossip: Arc<Gossip>,
@@ -138,36 +143,36 @@
     pub(super) port: u16,
     pub(super) authenticator: Authenticator,
     pub(super) codec: SealedCodec,
-    pub(super) place: ExchangePlace,
+    pub(super) settings: ExchangeSettings,
     pub(super) my_hall: u32,
-    /// The others ask it who is there, or there are none that would.
+    /// Whether this instance is a seed, or no seeds are configured.
     pub(super) is_seed: bool,
     pub(super) state: Mutex<State>,
-    pub(super) fetching: Fetching,
+    pub(super) fetching: ActiveFetches,
 }
 
 impl<P: Protocol> Exchange<P> {
-    /// Creates the exchange over a bound socket; every instance's has the same port.
+    /// Creates the exchange over a bound socket. All instances must use the same port.
     ///
     /// # Errors
-    /// The socket has no address.
+    /// Fails if the socket has no local address.
     pub fn new(
         gateway: Arc<Gateway<P>>,
         gossip: Arc<Gossip>,
         socket: UdpSocket,
         cluster_key: &[u8],
         codec: SealedCodec,
-        mut place: ExchangePlace,
+        mut settings: ExchangeSettings,
     ) -> std::io::Result<Self> {
         let mut state = State::default();
         let now_us = gateway.clock.now_us();
-        let my_addr = place.me.peer_addr;
-        gateway.quota.join(place.me.incarnation, my_addr.ip());
-        let is_seed = place.seeds.is_empty() || place.seeds.contains(&my_addr);
-        place.seeds.retain(|seed| *seed != my_addr);
-        // The seeds are taken for instances until they had time to be heard.
-        for seed in place.seeds.iter().filter(|s| s.ip() != my_addr.ip()) {
-            state.heard.meet(now_us, seed.ip());
+        let my_addr = settings.me.peer_addr;
+        gateway.quota.join(settings.me.incarnation, my_addr.ip());
+        let is_seed = settings.seeds.is_empty() || settings.seeds.contains(&my_addr);
+        settings.seeds.retain(|seed| *seed != my_addr);
+        // Seeds count as instances until they have had time to send an update.
+        for seed in settings.seeds.iter().filter(|s| s.ip() != my_addr.ip()) {
+            state.peer_table.add_unseen(now_us, seed.ip());
         }
         Ok(Self {
             gateway,
@@ -176,22 +181,22 @@
             socket,
             authenticator: Authenticator::new(cluster_key, "ryevalve update"),
             codec,
-            my_hall: hall_key(&place.me.hall),
+            my_hall: hall_key(&settings.me.hall),
             is_seed,
-            place,
+            settings,
             state: Mutex::new(state),
-            fetching: Fetching::default(),
+            fetching: ActiveFetches::default(),
         })
     }
 
-    /// Tells and listens until dropped.
+    /// Sends and receives updates until dropped.
     pub async fn run(self: Arc<Self>) {
         let mut round = time::interval(ROUND);
         round.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
             tokio::select! {
-                _ = round.tick() => self.tell().await,
+                _ = round.tick() => self.run_round().await,
                 received = self.socket.recv_from(&mut buffer) => {
                     if let Ok((len, from)) = received {
                         self.receive(&buffer[..len], from);
@@ -201,25 +206,26 @@
         }
     }
 
-    /// Meets the others through the seeds for some seconds after the start, which is quicker than
-    /// hearing of each by probes when all of a large group start at once.
-    pub async fn meet(self: Arc<Self>) {
+    /// Fetches the addresses of other instances from the seeds during the first seconds. When a whole large cluster
+    /// starts at once, this is quicker than learning of each instance by probes.
+    pub async fn discover_peers(self: Arc<Self>) {
         let started = time::Instant::now();
-        let first = rand::rng().random_range(0..self.place.seeds.len().max(1));
-        let seeds = self.place.seeds.iter().cycle().skip(first);
-        for (after_ms, seed) in MEETINGS_MS.into_iter().zip(seeds) {
+        let first = rand::rng().random_range(0..self.settings.seeds.len().max(1));
+        let seeds = self.settings.seeds.iter().cycle().skip(first);
+        for (after_ms, seed) in DISCOVERY_DELAYS_MS.into_iter().zip(seeds) {
             time::sleep_until(started + Duration::from_millis(after_ms)).await;
-            let asked = copies::meet(*seed, self.codec.clone(), self.place.me.peer_addr);
-            // A seed may be long gone; the others are asked all the same.
-            let known = asked.await.unwrap_or_default();
-            self.take_met(&known);
+            let answer =
+                copies::exchange_addresses(*seed, self.codec.clone(), self.settings.me.peer_addr);
+            // A seed may no longer run; the next one is asked regardless.
+            let known = answer.await.unwrap_or_default();
+            self.add_peers(&known);
         }
     }
 
-    /// Takes control addresses of instances: they are told of this one, and share limits with it.
-    fn take_met(&self, addrs: &[SocketAddr]) {
+    /// Adds control addresses of instances, which then receive this instance's updates and share its limits.
+    fn add_peers(&self, addrs: &[SocketAddr]) {
         let now_us = self.gateway.clock.now_us();
-        let others = addrs.iter().filter(|a| **a != self.place.me.peer_addr);
+        let others = addrs.iter().filter(|a| **a != self.settings.me.peer_addr);
         let others: Vec<SocketAddr> = others.copied().collect();
         if others.is_empty() {
             return;
@@ -227,121 +233,123 @@
         let known = self.gateway.meet(&others);
         let mut state = self.lock();
         for addr in others {
-            state.heard.meet(now_us, addr.ip());
+            state.peer_table.add_unseen(now_us, addr.ip());
         }
         drop(state);
         self.gossip.set_listed(known);
     }
 
-    async fn tell(self: &Arc<Self>) {
+    async fn run_round(self: &Arc<Self>) {
         let now_us = self.gateway.clock.now_us();
         let view = self.gossip.view();
-        self.take_view(&view);
+        self.apply_view(&view);
         quota::tick(&self.gateway).await;
-        let group = self.count_sharers(now_us, &view);
-        let has_news = self.take_state_news();
+        let cluster_size = self.count_sharers(now_us, &view);
+        let has_state_change = self.take_state_changed();
         let is_suspected = self.gateway.suspects().take_has_changes();
         let has_limits = self.gateway.balancer().take_standings_changed();
         let changed = self.gateway.balancer().take_changed() || is_suspected || has_limits;
         let is_due = {
             let mut state = self.lock();
-            state.turn += 1;
+            state.round_number += 1;
             state.has_changed |= changed;
-            let since_us = now_us.saturating_sub(state.told_at_us);
-            let pace = self.pace(&state);
-            let has_changed = state.has_changed && since_us >= pace.report_us();
-            let is_due = has_news || has_changed || since_us >= pace.quiet_us();
+            let since_us = now_us.saturating_sub(state.reported_at_us);
+            let intervals = self.report_intervals(&state);
+            let has_changed = state.has_changed && since_us >= intervals.min_report_us();
+            let is_due = has_state_change || has_changed || since_us >= intervals.max_report_us();
             if is_due {
-                state.told_at_us = now_us;
+                state.reported_at_us = now_us;
                 state.has_changed = false;
             }
             is_due
         };
-        match group {
+        match cluster_size {
             ClusterSize::Small => {
                 self.gateway
                     .balancer()
                     .load_view_mut()
                     .set_hall_aggregator(false);
                 self.gateway.reserver.set_issuers(Vec::new());
-                self.tell_all(now_us, &view, is_due).await;
+                self.send_to_all(now_us, &view, is_due).await;
             }
             ClusterSize::Large => {
-                self.appoint_ledger(now_us);
-                self.ask_if_old(now_us, &view).await;
+                self.set_reservation_issuers(now_us);
+                self.query_if_stale(now_us, &view).await;
                 if is_due {
                     self.report(now_us).await;
                 }
-                self.tell_hall(now_us, has_news).await;
-                if has_news && self.gateway.watches_store() {
-                    self.tell_of_news(now_us).await;
+                self.send_hall_summaries(now_us, has_state_change).await;
+                if has_state_change && self.gateway.watches_store() {
+                    self.announce_state_change(now_us).await;
                 }
             }
         }
     }
 
-    /// Returns how often this instance reports. Those that watch the store do so as in a small group: the others
-    /// know from them how fresh their configuration is.
-    fn pace(&self, state: &State) -> Pace {
+    /// Returns how often this instance reports. Store watchers report as often as in a small cluster, because the
+    /// others learn from them how fresh their configuration is.
+    fn report_intervals(&self, state: &State) -> ReportIntervals {
         let instances = match state.is_watcher {
             true => 0,
-            false => state.aggregators.members_of(&self.place.me.hall),
+            false => state.aggregators.members_of(&self.settings.me.hall),
         };
-        Pace { instances }
+        ReportIntervals { instances }
     }
 
-    /// Works out whom this instance asks for places at its hall's endpoints: the aggregators, the first of
-    /// them first. One that is the first itself asks nobody.
-    fn appoint_ledger(&self, now_us: Micros) {
+    /// Sets the issuers of reservations at this hall's endpoints: the hall's aggregators ranked before this
+    /// instance, in order. The first aggregator itself has none. Also sets whether this instance is an aggregator.
+    fn set_reservation_issuers(&self, now_us: Micros) {
         let (chosen, is_aggregator) = {
             let mut state = self.lock();
-            let chosen = state.aggregators.of_hall(now_us, &self.place.me.hall, true);
-            (chosen, state.book.is_aggregator(now_us))
+            let chosen = state
+                .aggregators
+                .of_hall(now_us, &self.settings.me.hall, true);
+            (chosen, state.hall_reports.is_aggregator(now_us))
         };
-        let me = self.place.me.incarnation;
+        let me = self.settings.me.incarnation;
         let before_me = chosen.iter().take_while(|m| m.info.incarnation != me);
-        let ledgers = before_me.map(|m| m.info.peer_addr.ip()).collect();
-        self.gateway.reserver.set_issuers(ledgers);
+        let issuers = before_me.map(|m| m.info.peer_addr.ip()).collect();
+        self.gateway.reserver.set_issuers(issuers);
         self.gateway
             .balancer()
             .load_view_mut()
             .set_hall_aggregator(is_aggregator);
     }
 
-    /// Works out from a new view what this instance does for others.
-    fn take_view(&self, view: &Arc<View>) {
+    /// Applies a membership view: derives the aggregators, the store watchers and this instance's own roles.
+    fn apply_view(&self, view: &Arc<View>) {
         let now_us = self.gateway.clock.now_us();
         self.gateway.permits.set_view(view);
         self.gateway.quota.set_view(now_us, view);
         let mut state = self.lock();
         if state.aggregators.set_view(view) {
             state.instances_in_view = view.instance_count();
-            let in_turn = view.rank_members("store", usize::MAX, Member::can_lead);
-            let me = self.place.me.incarnation;
-            let place = in_turn.iter().position(|m| m.info.incarnation == me);
-            state.is_watcher = place.is_some_and(|p| p < WATCHERS);
-            state.watchers = self.watchers(&in_turn);
+            let by_rank = view.rank_members("store", usize::MAX, Member::can_lead);
+            let me = self.settings.me.incarnation;
+            let position = by_rank.iter().position(|m| m.info.incarnation == me);
+            state.is_watcher = position.is_some_and(|p| p < WATCHERS);
+            state.watchers = self.watchers(&by_rank);
             self.gateway
-                .set_place_to_watch(place.unwrap_or(in_turn.len()));
+                .set_place_to_watch(position.unwrap_or(by_rank.len()));
         }
-        let is_settled = self.is_seed || self.gateway.clock.now_us() >= SETTLED_US;
+        let is_settled = self.is_seed || self.gateway.clock.now_us() >= VIEW_SETTLING_US;
         let watches = state.is_watcher && is_settled;
         self.gateway.set_watches_store(watches);
     }
 
-    /// Counts the sharers, and notes who fell silent.
+    /// Counts the instances that share limits, logs lost summaries and returns the cluster's size.
     fn count_sharers(&self, now_us: Micros, view: &View) -> ClusterSize {
-        let (group, silent, sharers, known_sharers) = {
+        let (cluster_size, silent, sharers, known_sharers) = {
             let mut state = self.lock();
-            let silent = state.heard.expire(now_us);
+            let silent = state.peer_table.expire(now_us);
             let silent_halls = state.halls.expire(now_us);
-            let known = state.known(now_us, view);
-            if known < SMALL_GROUP {
-                let known = state.heard.spoken_sharers(now_us);
+            let known = state.known_peers(now_us, view);
+            if known < SMALL_CLUSTER {
+                let known = state.peer_table.seen_sharers(now_us);
                 (
                     ClusterSize::Small,
                     silent,
-                    state.heard.sharers(now_us),
+                    state.peer_table.sharers(now_us),
                     known,
                 )
             } else {
@@ -362,9 +370,9 @@
                 .quota
                 .add_addresses(self.addresses(view).into_iter());
         }
-        for teller in silent {
-            if group == ClusterSize::Large {
-                let whose = self.whose(teller);
+        for source in silent {
+            if cluster_size == ClusterSize::Large {
+                let whose = self.summary_scope(source);
                 log::warn!(
                     target: "ryevalve::process",
                     whose, instances = sharers.all, instances_heard = sharers.heard;
@@ -372,25 +380,25 @@
                 );
             }
         }
-        self.show(now_us, sharers);
+        self.update_metrics(now_us, sharers);
         self.gateway.set_sharers(sharers);
         self.gateway
             .balancer()
             .load_view_mut()
-            .set_cluster_size(group);
-        group
+            .set_cluster_size(cluster_size);
+        cluster_size
     }
 
-    /// Returns where instances are, or were.
+    /// Returns the addresses of all known instances, including ones that may no longer run.
     fn addresses(&self, view: &View) -> Vec<IpAddr> {
         let state = self.lock();
-        let met = state.heard.iter().map(|(ip, _)| *ip);
+        let peer_ips = state.peer_table.iter().map(|(ip, _)| *ip);
         let members = view.members.iter().map(|m| m.info.peer_addr.ip());
-        met.chain(members).collect()
+        peer_ips.chain(members).collect()
     }
 
-    /// Shows in the counters what the exchange believes.
-    fn show(&self, now_us: Micros, sharers: InstanceCounts) {
+    /// Updates the gauges for the exchange's current state.
+    fn update_metrics(&self, now_us: Micros, sharers: InstanceCounts) {
         let state = self.lock();
         let age_s = |hall: u32| {
             let age_us = state.halls.age_us(now_us, hall);
@@ -400,13 +408,13 @@
         metrics.instances.set(sharers.all as i64);
         metrics.hall_summary_age_seconds.set(age_s(self.my_hall));
         metrics.far_summary_age_seconds.set(age_s(FAR_HALLS));
-        let reporters = state.book.headcount(now_us).heard.saturating_sub(1);
+        let reporters = state.hall_reports.headcount(now_us).heard.saturating_sub(1);
         metrics.reporters.set(i64::from(reporters));
     }
 
-    /// Names in logs whose summaries are meant.
-    pub(super) fn whose(&self, teller: Incarnation) -> &'static str {
-        if teller == teller_of_hall(FAR_HALLS) {
+    /// Returns the log value for the halls that a summary source covers.
+    pub(super) fn summary_scope(&self, source: Incarnation) -> &'static str {
+        if source == teller_of_hall(FAR_HALLS) {
             "other_halls"
         } else {
             "own_hall"
@@ -414,7 +422,7 @@
     }
 
     pub(super) fn lock(&self) -> std::sync::MutexGuard<'_, State> {
-        // Every step leaves the state whole, so a poisoned lock is usable.
+        // Every update leaves the state consistent, so a poisoned lock remains usable.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/platform/store_watch.rs
+++ b/src/platform/store_watch.rs
@@ -157,7 +157,9 @@
             Some(_) if is_watcher && !was_suspended => watch_wait(gateway, &handler, had_changes),
             _ => Duration::ZERO,
         };
-        handler.staleness().asks(sent_us, handler.bound(), wait);
+        handler
+            .staleness()
+            .query_started(sent_us, handler.bound(), wait);
         let call = async {
             match revision {
                 None => list(gateway, &mut store, &mut handler, &mut progress, sent_us).await,
@@ -167,14 +169,14 @@
         let Some(result) = gateway.clock.unless_suspended(call).await else {
             // The answer was sent while the machine was suspended; it may arrive seconds later.
             store.close();
-            handler.staleness().abandoned();
+            handler.staleness().query_abandoned();
             was_suspended = true;
             continue;
         };
         was_suspended = false;
         match result {
             Ok(answer) => {
-                handler.staleness().answered();
+                handler.staleness().query_answered();
                 revision = Some(answer.revision);
                 has_history = true;
                 had_changes = answer.has_changes;
@@ -189,7 +191,7 @@
                 }
             }
             Err(CallError::HistoryGone) => {
-                handler.staleness().answered();
+                handler.staleness().query_answered();
                 log::info!(target: "ryevalve::process", kind = H::KIND; "store_history_gone");
                 has_history = false;
                 revision = None;
@@ -200,7 +202,7 @@
                     log::warn!(target: "ryevalve::process", kind = H::KIND, reason; "store_lost");
                 }
                 gateway.metrics.store_failures.inc();
-                handler.staleness().failed(gateway.clock.now_us());
+                handler.staleness().query_failed(gateway.clock.now_us());
                 handler.call_failed();
                 pause_until_wanted(&handler, retry_pause(gateway, handler.bound())).await;
             }
@@ -236,7 +238,7 @@
     };
     let left_us = handler
         .bound()
-        .ask_age_us(turns_before)
+        .store_query_age_us(turns_before)
         .checked_sub(age_us)?;
     let pause_us = left_us.clamp(1_000, POLL_US);
     Some(Duration::from_micros(pause_us))
@@ -245,7 +247,7 @@
 /// Sleeps for `pause`, or until a request waits for an answer of the store.
 async fn pause_until_wanted<H: KindHandler>(handler: &H, pause: Duration) {
     // After either end the caller checks again what there is to do.
-    let _ = time::timeout(pause, handler.staleness().wanted()).await;
+    let _ = time::timeout(pause, handler.staleness().query_wanted()).await;
 }
 
 /// Returns how long a watch waits. A change ends the watches of all watchers at once, so that the next ones get
@@ -324,13 +326,13 @@
         return None;
     }
     let within_us = match handler.known_revision() {
-        Some(_) => handler.bound().answer_us(),
+        Some(_) => handler.bound().answer_timeout_us(),
         None => PEER_FETCH_TIMEOUT_US,
     };
     let until_us = gateway.clock.now_us() + within_us;
     loop {
         let now_us = gateway.clock.now_us();
-        let is_fresh = handler.staleness().age_us(now_us) < handler.bound().ask_age_us(0);
+        let is_fresh = handler.staleness().age_us(now_us) < handler.bound().store_query_age_us(0);
         if is_fresh && let Some(revision) = handler.known_revision() {
             return Some(revision);
         }
