--- a/benches/exchange.rs
+++ b/benches/exchange.rs
@@ -9,7 +9,7 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use ryevalve::{
     balance::load::{EndpointKey, InFlight, KeyRange},
-    gateway::{aggregators::Aggregators, hall_book::HallBook, halls::Halls},
+    gateway::{aggregators::Aggregators, hall_aggregate::HallAggregate, halls::Halls},
     peers::{
         datagram::{Authenticator, Digest, Liveness, MemberInfo},
         update::{self, HallSummary, Update},
@@ -44,17 +44,17 @@
     }
 }
 
-fn book(members: usize) -> HallBook {
-    let mut book = HallBook::default();
+fn book(members: usize) -> HallAggregate {
+    let mut book = HallAggregate::default();
     for number in 0..members {
         let addr = IpAddr::from([10, 1, (number / 250) as u8, (number % 250) as u8]);
-        book.note(0, addr, &report(number));
+        book.apply_report(0, addr, &report(number));
     }
     book
 }
 
-fn summary(book: &HallBook) -> HallSummary {
-    let headcount = book.headcount(0);
+fn summary(book: &HallAggregate) -> HallSummary {
+    let headcount = book.instance_counts(0);
     HallSummary {
         hall: 1,
         by: Incarnation(1),
@@ -120,7 +120,7 @@
             b.iter(|| {
                 let update = update::decode(&authenticator, black_box(&bytes));
                 let update = update.expect("an update");
-                halls.note(0, &update.halls[0])
+                halls.apply_summary(0, &update.halls[0])
             });
         });
         group.bench_function(id("choose aggregators"), |b| {
--- a/benches/placing.rs
+++ b/benches/placing.rs
@@ -33,9 +33,9 @@
 }
 
 /// A balancer that knows of requests of others at all endpoints.
-fn balancer(endpoints: usize, group: ClusterSize) -> Balancer {
+fn balancer(endpoints: usize, cluster_size: ClusterSize) -> Balancer {
     let mut balancer = Balancer::new("hall-0".into());
-    balancer.load_view_mut().set_cluster_size(group);
+    balancer.load_view_mut().set_cluster_size(cluster_size);
     for number in 0..endpoints {
         balancer.upsert_endpoint(entry(number), 1);
     }
@@ -49,7 +49,7 @@
     balancer
 }
 
-fn ask(number: u64, now_us: u64) -> PlacementRequest {
+fn placement_request(number: u64, now_us: u64) -> PlacementRequest {
     PlacementRequest {
         service: "model".into(),
         is_stream: true,
@@ -62,7 +62,7 @@
         deadline_us: now_us + 15_000_000,
         rank: 0,
         other_hall_cost: 0.05,
-        homes: AllowedRegions::default(),
+        allowed_regions: AllowedRegions::default(),
         draw: number,
     }
 }
@@ -70,16 +70,16 @@
 fn placing(c: &mut Criterion) {
     let mut benches = c.benchmark_group("placing");
     for endpoints in SIZES {
-        for group in [ClusterSize::Small, ClusterSize::Large] {
-            let mut balancer = balancer(endpoints, group);
+        for cluster_size in [ClusterSize::Small, ClusterSize::Large] {
+            let mut balancer = balancer(endpoints, cluster_size);
             let (mut number, mut now_us) = (0, APART_US);
-            let id = BenchmarkId::new(format!("{group:?}"), endpoints);
+            let id = BenchmarkId::new(format!("{cluster_size:?}"), endpoints);
             benches.bench_function(id, |b| {
                 b.iter(|| {
                     number += 1;
                     now_us += APART_US;
                     if let Placement::Send(choice) =
-                        balancer.place(now_us, &ask(number, now_us), &[])
+                        balancer.place(now_us, &placement_request(number, now_us), &[])
                     {
                         balancer.end(choice.key, choice.expected.uncached_tokens, None);
                     }
--- a/src/balance/balancer.rs
+++ b/src/balance/balancer.rs
@@ -168,8 +168,8 @@
     pub(super) unsent_chains: Vec<(ChainKey, EndpointKey)>,
     /// Endpoints found to be gone, not sent to peers yet.
     dead: Vec<EndpointKey>,
-    pub(super) standings: EndpointAnnouncements,
-    pub(super) rests: BackOffs,
+    pub(super) announcements: EndpointAnnouncements,
+    pub(super) back_offs: BackOffs,
     pub(super) cold: ColdEndpoints,
     /// Data centres whose endpoints get no requests.
     pub(super) evacuated: HashSet<Name>,
@@ -197,8 +197,8 @@
             holders: PrefixHolders::default(),
             unsent_chains: Vec::new(),
             dead: Vec::new(),
-            standings: EndpointAnnouncements::default(),
-            rests: BackOffs::default(),
+            announcements: EndpointAnnouncements::default(),
+            back_offs: BackOffs::default(),
             cold: ColdEndpoints::default(),
             evacuated: HashSet::new(),
             regions: HashMap::new(),
@@ -226,7 +226,7 @@
         let previous = self.keys.insert(entry.id.clone(), key);
         if let Some(previous) = previous.filter(|previous| *previous != key) {
             self.remove_state(previous);
-            self.standings.remove_endpoint(previous);
+            self.announcements.remove_endpoint(previous);
         }
         self.cold.set_from_entry(key, entry.warmup_left_ms * 1_000);
         let same_hall = entry.hall == self.hall;
@@ -347,7 +347,7 @@
             self.load_view
                 .release_grant(grant.key, grant.uncached_tokens);
         }
-        self.expire_standings(now_us);
+        self.expire_announcements(now_us);
         self.cold.tick(now_us);
         let silent = self.load_view.expire(now_us);
         (expired, silent)
--- a/src/balance/cold.rs
+++ b/src/balance/cold.rs
@@ -97,7 +97,7 @@
 
     /// Returns the rate limit of an endpoint, for all instances together; `None` if it has none.
     pub fn rate(&self, now_us: Micros, key: EndpointKey) -> Option<RequestRate> {
-        let announced = self.standings.rate(key);
+        let announced = self.announcements.rate(key);
         let cold = self.cold_rate(now_us, key);
         match (announced, cold) {
             (Some(announced), Some(cold)) => Some(announced.min(cold)),
@@ -116,7 +116,7 @@
     /// Returns whether any endpoint may need permits.
     pub(super) fn has_limits(&self) -> bool {
         let has_cold = !self.cold.rates.is_empty() && !self.cold.by_endpoint.is_empty();
-        has_cold || self.standings.has_limits()
+        has_cold || self.announcements.has_limits()
     }
 
     /// Returns whether a data centre is evacuated.
@@ -126,7 +126,7 @@
 
     /// Applies a change of the set of evacuated data centres.
     pub fn apply_evacuation_change(&mut self, now_us: Micros, change: &EvacuationChange) {
-        self.evacuated.extend(change.begun.iter().cloned());
+        self.evacuated.extend(change.started.iter().cloned());
         for data_centre in &change.ended {
             self.evacuated.remove(data_centre);
             self.mark_data_centre_cold(now_us, data_centre);
--- a/src/balance/cost.rs
+++ b/src/balance/cost.rs
@@ -53,7 +53,7 @@
     /// Cost of sending the request to another hall, as a share of its value.
     pub other_hall_cost: f64,
     /// The regions in which the request may be served.
-    pub homes: AllowedRegions,
+    pub allowed_regions: AllowedRegions,
     /// A random number; determines which endpoints are considered.
     pub draw: u64,
 }
--- a/src/balance/delegation.rs
+++ b/src/balance/delegation.rs
@@ -61,7 +61,7 @@
         expected: Expected,
     ) -> Option<Placement> {
         match self.readiness(now_us, key) {
-            Readiness::Leaving | Readiness::Evacuated | Readiness::BackoffUntil(_) => return None,
+            Readiness::Leaving | Readiness::Evacuated | Readiness::BackOffUntil(_) => return None,
             Readiness::Ready | Readiness::NeedsPermit => {}
         }
         let choice = self.choice(key, expected)?;
--- a/src/balance/readiness.rs
+++ b/src/balance/readiness.rs
@@ -48,7 +48,7 @@
     /// Only requests with a permit: it limits its request rate.
     NeedsPermit,
     /// No requests before this time: it asked this instance to back off.
-    BackoffUntil(Micros),
+    BackOffUntil(Micros),
     /// No requests for now: its data centre is evacuated.
     Evacuated,
     /// No further requests: it is leaving or gone.
@@ -72,15 +72,15 @@
     ) -> Readiness {
         // An announced departure is final for this incarnation: the entry may be older, or may be
         // listed again.
-        if endpoint.entry.draining || self.standings.leaves(key) {
+        if endpoint.entry.draining || self.announcements.leaves(key) {
             return Readiness::Leaving;
         }
         if self.is_evacuated(&endpoint.entry.hall) {
             return Readiness::Evacuated;
         }
         let is_used = || self.load_view.has_peer_requests(key);
-        if let BackOff::Until(until_us) = self.rests.back_off(now_us, key, is_used) {
-            return Readiness::BackoffUntil(until_us);
+        if let BackOff::Until(until_us) = self.back_offs.back_off(now_us, key, is_used) {
+            return Readiness::BackOffUntil(until_us);
         }
         if self.rate(now_us, key).is_some() {
             return Readiness::NeedsPermit;
@@ -89,52 +89,52 @@
     }
 
     /// Returns the endpoint announcements that are shared among all instances.
-    pub fn standings(&self) -> &EndpointAnnouncements {
-        &self.standings
+    pub fn announcements(&self) -> &EndpointAnnouncements {
+        &self.announcements
     }
 
     /// Returns the back-off periods that endpoints requested from this instance.
-    pub fn rests(&self) -> &BackOffs {
-        &self.rests
+    pub fn back_offs(&self) -> &BackOffs {
+        &self.back_offs
     }
 
     /// Records that an endpoint announced its departure, even if it is not listed now, since its
     /// entry may return. Returns whether that is new.
     pub fn record_leaving(&mut self, now_us: Micros, key: EndpointKey) -> bool {
-        self.standings.note_leaving(now_us, key)
+        self.announcements.note_leaving(now_us, key)
     }
 
     /// Records that an endpoint asked this instance to back off, as [`BackOffs::note_requested`].
-    pub fn record_backoff(
+    pub fn record_back_off(
         &mut self,
         now_us: Micros,
         key: EndpointKey,
-        backoff_us: Micros,
+        back_off_us: Micros,
         instances: usize,
         draw: f64,
     ) -> bool {
-        self.standings.note_back_off(now_us, key, backoff_us);
-        self.rests
-            .note_requested(now_us, key, backoff_us, instances, draw)
+        self.announcements.note_back_off(now_us, key, back_off_us);
+        self.back_offs
+            .note_requested(now_us, key, back_off_us, instances, draw)
     }
 
     /// Records that an endpoint's back-off header could not be parsed; returns whether the previous
     /// one could.
-    pub fn record_unreadable_backoff(&mut self, key: EndpointKey) -> bool {
-        self.rests.note_unreadable(key)
+    pub fn record_unreadable_back_off(&mut self, key: EndpointKey) -> bool {
+        self.back_offs.note_unreadable(key)
     }
 
     /// Returns when the first of a service's endpoints is available again; `None` if one is
     /// available now or all are leaving or evacuated.
     pub fn earliest_available_us(&self, now_us: Micros, service: &str) -> Option<Micros> {
-        if self.rests.is_empty() {
+        if self.back_offs.is_empty() {
             return None;
         }
         let mut earliest_us: Option<Micros> = None;
         for key in self.keys_of(service) {
             match self.readiness(now_us, *key) {
                 Readiness::Leaving | Readiness::Evacuated => {}
-                Readiness::BackoffUntil(until_us) => {
+                Readiness::BackOffUntil(until_us) => {
                     earliest_us =
                         Some(earliest_us.map_or(until_us, |earliest_us| earliest_us.min(until_us)));
                 }
@@ -160,20 +160,20 @@
 
     /// Records that a request is sent to an endpoint.
     pub fn record_sent(&mut self, now_us: Micros, key: EndpointKey) {
-        self.rests.note_sent(now_us, key);
+        self.back_offs.note_sent(now_us, key);
     }
 
     /// Records that a request sent at `sent_us` got no answer.
     pub fn record_unanswered(&mut self, key: EndpointKey, sent_us: Micros) {
-        if !self.rests.is_empty() {
-            self.rests.note_unanswered(key, sent_us);
+        if !self.back_offs.is_empty() {
+            self.back_offs.note_unanswered(key, sent_us);
         }
     }
 
     /// Records that a request sent at `sent_us` got an answer without a back-off request.
     pub fn record_answered(&mut self, key: EndpointKey, sent_us: Micros) {
-        if !self.rests.is_empty() {
-            self.rests.note_answered(key, sent_us);
+        if !self.back_offs.is_empty() {
+            self.back_offs.note_answered(key, sent_us);
         }
     }
 
@@ -220,7 +220,7 @@
         limit: &LimitHeader,
     ) -> Option<LimitChange> {
         self.entry(key)?;
-        let change = self.standings.note_limit(now_us, key, sent_at, limit)?;
+        let change = self.announcements.note_limit(now_us, key, sent_at, limit)?;
         self.permit_denials.remove(&key);
         Some(change)
     }
@@ -228,16 +228,16 @@
     /// Records that an endpoint's rate limit could not be parsed; returns whether the previous one
     /// could.
     pub fn record_unreadable_limit(&mut self, key: EndpointKey) -> bool {
-        self.entry(key).is_some() && self.standings.note_unreadable(key)
+        self.entry(key).is_some() && self.announcements.note_unreadable(key)
     }
 
     /// Applies announcements relayed by another instance; returns what changed.
-    pub fn apply_peer_standings(
+    pub fn apply_peer_announcements(
         &mut self,
         now_us: Micros,
         announcements: &[AnnouncementUpdate],
     ) -> Vec<AnnouncementChange> {
-        let changes = self.standings.apply_updates(now_us, announcements);
+        let changes = self.announcements.apply_updates(now_us, announcements);
         for change in &changes {
             self.permit_denials.remove(&change.endpoint());
         }
@@ -245,32 +245,33 @@
     }
 
     /// Returns whether announcements must be sent at once, and clears the mark.
-    pub fn take_standings_changed(&mut self) -> bool {
-        self.standings.take_has_changes()
+    pub fn take_announcements_changed(&mut self) -> bool {
+        self.announcements.take_has_changes()
     }
 
     /// Returns the announcements to send to an audience in this round.
-    pub fn take_standings_to_send(
+    pub fn take_announcements_to_send(
         &mut self,
         now_us: Micros,
         audience: Audience,
     ) -> Vec<AnnouncementUpdate> {
         let endpoints = &self.endpoints;
         let is_known = |key: EndpointKey| endpoints.contains_key(&key);
-        self.standings.take_due_updates(now_us, audience, is_known)
+        self.announcements
+            .take_due_updates(now_us, audience, is_known)
     }
 
     /// Returns what is known of one endpoint, to be sent along with a permit request for it.
-    pub fn standing_to_send(&self, now_us: Micros, key: EndpointKey) -> AnnouncementUpdate {
-        self.standings.update_for(now_us, key)
+    pub fn announcement_to_send(&self, now_us: Micros, key: EndpointKey) -> AnnouncementUpdate {
+        self.announcements.update_for(now_us, key)
     }
 
     /// Drops expired state, and rate limits of endpoints that are not listed.
-    pub fn expire_standings(&mut self, now_us: Micros) {
+    pub fn expire_announcements(&mut self, now_us: Micros) {
         let endpoints = &self.endpoints;
-        self.rests
+        self.back_offs
             .expire(now_us, |key| endpoints.contains_key(&key));
-        self.standings
+        self.announcements
             .expire(now_us, |key| endpoints.contains_key(&key));
     }
 }
--- a/src/balance/regions.rs
+++ b/src/balance/regions.rs
@@ -49,7 +49,11 @@
     }
 
     /// Returns whether an endpoint is in a region allowed for a request.
-    pub(super) fn is_in_allowed_region(&self, homes: &AllowedRegions, endpoint: &Endpoint) -> bool {
-        homes.allows(self.regions.get(&endpoint.entry.hall))
+    pub(super) fn is_in_allowed_region(
+        &self,
+        allowed_regions: &AllowedRegions,
+        endpoint: &Endpoint,
+    ) -> bool {
+        allowed_regions.allows(self.regions.get(&endpoint.entry.hall))
     }
 }
--- a/src/balance/selection.rs
+++ b/src/balance/selection.rs
@@ -119,7 +119,7 @@
             let Some(endpoint) = self.endpoints.get(&key) else {
                 continue;
             };
-            if !self.is_in_allowed_region(&request.homes, endpoint) {
+            if !self.is_in_allowed_region(&request.allowed_regions, endpoint) {
                 has_outside_regions = true;
                 continue;
             }
@@ -135,7 +135,7 @@
                     has_evacuated = true;
                     continue;
                 }
-                Readiness::BackoffUntil(until_us) => {
+                Readiness::BackOffUntil(until_us) => {
                     earliest_available_us = earliest_available_us.min(until_us);
                     continue;
                 }
@@ -210,7 +210,7 @@
         let service_speed = self.service_speeds.get(&endpoint.entry.service);
         let service_speed = service_speed.filter(|_| request.is_stream);
         let mut load = self.load_estimate(now_us, key, endpoint);
-        if self.standings.wants_back_off(now_us, key) {
+        if self.announcements.wants_back_off(now_us, key) {
             // It asked other instances to back off: counts as if all its slots were taken in
             // addition.
             load.requests += f64::from(endpoint.entry.slots);
--- a/src/gateway/acting.rs
+++ b/src/gateway/acting.rs
@@ -22,7 +22,7 @@
 
     /// Returns for how long the endpoints have not been known to be as the store has them.
     pub fn endpoints_age_us(&self) -> Micros {
-        self.endpoints.age_us(self.clock.now_us())
+        self.endpoints_staleness.age_us(self.clock.now_us())
     }
 
     /// Returns for how long the evacuations have not been known to be as the store has them.
@@ -42,7 +42,7 @@
 
     /// Returns whether the endpoints may be acted on.
     pub fn endpoints_standing(&self) -> Standing {
-        self.standing(&self.endpoints, self.bounds().drain)
+        self.standing(&self.endpoints_staleness, self.bounds().drain)
     }
 
     /// Returns whether the configuration may be acted on.
@@ -63,7 +63,8 @@
     /// An instance that nobody tells of changes would use endpoints that have left; one that gets no answer goes
     /// on with what it knows, as all do in an outage.
     pub async fn endpoints_settled(&self) {
-        self.settled(&self.endpoints, self.bounds().drain).await;
+        self.settled(&self.endpoints_staleness, self.bounds().drain)
+            .await;
     }
 
     /// The same for the configuration.
@@ -105,7 +106,7 @@
 
     /// Returns whether the configuration is new enough to judge a key by.
     pub fn is_fresh(&self) -> bool {
-        self.config_age_us() <= self.bounds().key_age_us()
+        self.config_age_us() <= self.bounds().max_key_age_us()
     }
 
     /// Returns whether a key that the configuration in force has may be used.
--- a/src/gateway/admission.rs
+++ b/src/gateway/admission.rs
@@ -172,12 +172,12 @@
     service: Name,
     tokens_per_event: u32,
     times: RequestTimes,
-    homes: AllowedRegions,
+    allowed_regions: AllowedRegions,
 ) -> PlacementRequest {
     let prompt_tokens = head.tokens.map_or(0, |t| t.prompt);
     let max_output_tokens = head.tokens.map_or(u32::MAX, |t| t.max_output);
     let output_tokens = head
-        .output_guess
+        .expected_output_tokens
         .unwrap_or(PRIOR_OUTPUT_TOKENS)
         .min(max_output_tokens);
     PlacementRequest {
@@ -192,7 +192,7 @@
         deadline_us: times.deadline_us,
         rank: route.priority,
         other_hall_cost: OTHER_HALL_COST,
-        homes,
+        allowed_regions,
         draw: rand::rng().random(),
     }
 }
--- a/src/gateway/asking.rs
+++ b/src/gateway/asking.rs
@@ -38,7 +38,7 @@
         let (is_aggregator, since_us) = {
             let state = self.lock();
             let since_us = now_us.saturating_sub(state.asked_us);
-            (state.book.is_aggregator(now_us), since_us)
+            (state.hall_aggregate.is_aggregator(now_us), since_us)
         };
         if !self.is_old(is_aggregator, since_us) {
             return;
--- a/src/gateway/block_list.rs
+++ b/src/gateway/block_list.rs
@@ -101,7 +101,7 @@
             self.pending = PendingWrite::Nothing;
             return;
         }
-        let delay_us = self.gateway.place_to_watch() as Micros * WRITE_STAGGER_US;
+        let delay_us = self.gateway.watch_position() as Micros * WRITE_STAGGER_US;
         match self.pending {
             PendingWrite::Nothing if delay_us > 0 => self.pending = PendingWrite::Since(now_us),
             PendingWrite::Since(since_us) if now_us < since_us + delay_us => {}
--- a/src/gateway/config.rs
+++ b/src/gateway/config.rs
@@ -50,7 +50,8 @@
     /// The services that serve it, with their weights.
     pub targets: Vec<Target>,
     /// The regions in which its requests may be served; none is all.
-    pub homes: Option<Vec<Name>>,
+    #[serde(rename = "homes")]
+    pub allowed_regions: Option<Vec<Name>>,
 }
 
 /// A service's share of a route.
@@ -137,35 +138,36 @@
     /// Its rank; goes before that of a route.
     pub priority: Option<Rank>,
     /// What it may use over all instances together; none is no limit.
-    pub limit: Option<UseLimit>,
+    pub limit: Option<UsageLimit>,
     /// The regions in which its requests may be served; none is all.
-    pub homes: Option<Vec<Name>>,
+    #[serde(rename = "homes")]
+    pub allowed_regions: Option<Vec<Name>>,
 }
 
 /// A limit on use.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct UseLimit {
+pub struct UsageLimit {
     /// What is counted.
-    pub unit: UseUnit,
+    pub unit: UsageUnit,
     /// Units a second.
     pub rate_per_s: f64,
     /// Units on top of the rate, at once.
     pub burst: f64,
 }
 
-impl UseLimit {
+impl UsageLimit {
     /// Returns what a request uses that names `tokens`.
     pub fn units(&self, tokens: Option<u32>) -> u32 {
         match self.unit {
-            UseUnit::Requests => 1,
-            UseUnit::Tokens { without_tokens } => tokens.unwrap_or(without_tokens),
+            UsageUnit::Requests => 1,
+            UsageUnit::Tokens { without_tokens } => tokens.unwrap_or(without_tokens),
         }
     }
 }
 
 /// What a limit counts.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum UseUnit {
+pub enum UsageUnit {
     /// Requests.
     Requests,
     /// Tokens of prompt and answer.
--- a/src/gateway/copies.rs
+++ b/src/gateway/copies.rs
@@ -271,7 +271,7 @@
     }
 
     async fn meet(self, _: Context, me: SocketAddr) -> Vec<SocketAddr> {
-        sample(self.giver.gateway.meet(&[me]), MET_TOLD)
+        sample(self.giver.gateway.note_addresses(&[me]), MET_TOLD)
     }
 
     async fn endpoints_part(
--- a/src/gateway/crash_check.rs
+++ b/src/gateway/crash_check.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     balance::{balancer::Choice, load::EndpointKey, readiness::Readiness},
-    gateway::{attempt::Job, protocol::Protocol, report::log_ending, state::Gateway},
+    gateway::{attempt::Job, protocol::Protocol, report::log_crash, state::Gateway},
     prelude::Micros,
 };
 
@@ -107,7 +107,7 @@
         suspects.note_crash(now_us, fingerprint, choice.key);
         suspects.crashes(fingerprint)
     };
-    log_ending(&gateway, &job, &choice.id, crashes);
+    log_crash(&gateway, &job, &choice.id, crashes);
 }
 
 /// Returns whether the endpoint to which a connection has just been lost has crashed. This takes 40 ms or more, and at
@@ -117,7 +117,7 @@
     key: EndpointKey,
     addr: SocketAddr,
 ) -> bool {
-    let (mut verdict, sender) = gateway.endings.join(gateway.clock.now_us(), key);
+    let (mut verdict, sender) = gateway.crash_checks.join(gateway.clock.now_us(), key);
     if let Some(sender) = sender {
         let prober = gateway.clone();
         tokio::spawn(async move {
--- a/src/gateway/endpoint_announcements.rs
+++ b/src/gateway/endpoint_announcements.rs
@@ -54,7 +54,7 @@
     if balancer.rate(at_us, key).is_some() {
         gateway.metrics.sent_to_limited.inc();
     }
-    balancer.standings().version(key)
+    balancer.announcements().version(key)
 }
 
 /// Applies what an endpoint announces in an answer, except its limit (see [`handle_limit`]). The answer may belong to
@@ -70,16 +70,16 @@
             log_unread(&sent.choice.id, name);
         }
     }
-    if head.words.leaves {
+    if head.announcements.leaves {
         handle_leaving(gateway, &sent.choice);
     }
-    match &head.words.rest {
+    match &head.announcements.back_off {
         BackOffHeader::Period(back_off_us) => handle_back_off(gateway, &sent.choice, *back_off_us),
         BackOffHeader::Unreadable(text) => {
             gateway.metrics.rest_words_unreadable.inc();
             if gateway
                 .balancer()
-                .record_unreadable_backoff(sent.choice.key)
+                .record_unreadable_back_off(sent.choice.key)
             {
                 log_unreadable("endpoint_rest_unreadable", &sent.choice.id, text);
             }
@@ -101,10 +101,10 @@
 fn handle_back_off<P: Protocol>(gateway: &Gateway<P>, choice: &Choice, back_off_us: Micros) {
     gateway.metrics.rests_asked.inc();
     let now_us = gateway.clock.now_us();
-    let instances = gateway.sharers().all;
+    let instances = gateway.instance_counts().all;
     let draw = rand::rng().random_range(0.0..1.0);
     let mut balancer = gateway.balancer();
-    let is_new = balancer.record_backoff(now_us, choice.key, back_off_us, instances, draw);
+    let is_new = balancer.record_back_off(now_us, choice.key, back_off_us, instances, draw);
     drop(balancer);
     if is_new {
         log::info!(
@@ -125,7 +125,7 @@
     let choice = &sent.choice;
     let now_us = gateway.clock.now_us();
     let mut balancer = gateway.balancer();
-    let change = match &head.words.limit {
+    let change = match &head.announcements.limit {
         LimitHeader::Unreadable(text) => {
             gateway.metrics.limit_words_unreadable.inc();
             if balancer.record_unreadable_limit(choice.key) {
@@ -137,7 +137,7 @@
         LimitHeader::Absent if !head.is_signed => return,
         header => balancer.record_limit(now_us, choice.key, sent.limit_version, header),
     };
-    let version = balancer.standings().version(choice.key);
+    let version = balancer.announcements().version(choice.key);
     drop(balancer);
     if let Some(change) = change {
         log_limit(&choice.id, change, version, "endpoint");
@@ -151,11 +151,11 @@
     }
     let now_us = gateway.clock.now_us();
     let mut balancer = gateway.balancer();
-    let changes = balancer.apply_peer_standings(now_us, updates);
+    let changes = balancer.apply_peer_announcements(now_us, updates);
     let lines = changes.into_iter().filter_map(|change| {
         let endpoint = change.endpoint();
         let id = balancer.entry(endpoint)?.id.clone();
-        Some((id, change, balancer.standings().version(endpoint)))
+        Some((id, change, balancer.announcements().version(endpoint)))
     });
     let lines: Vec<_> = lines.collect();
     drop(balancer);
--- a/src/gateway/evacuations.rs
+++ b/src/gateway/evacuations.rs
@@ -14,7 +14,7 @@
 };
 
 /// Evacuations that are kept, at most.
-const MOST_EVACUATED: usize = 256;
+const MAX_EVACUATIONS: usize = 256;
 
 /// The evacuated data centres as the store had them at a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,8 +31,8 @@
         let mut data_centres: Vec<Name> = data_centres.into_iter().collect();
         data_centres.sort_unstable();
         data_centres.dedup();
-        let left_out = data_centres.len().saturating_sub(MOST_EVACUATED);
-        data_centres.truncate(MOST_EVACUATED);
+        let left_out = data_centres.len().saturating_sub(MAX_EVACUATIONS);
+        data_centres.truncate(MAX_EVACUATIONS);
         let set = Self {
             revision,
             data_centres,
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EvacuationChange {
     /// Evacuated from now on.
-    pub begun: Vec<Name>,
+    pub started: Vec<Name>,
     /// Not evacuated any more.
     pub ended: Vec<Name>,
 }
@@ -60,7 +60,7 @@
 impl EvacuationChange {
     /// Returns whether nothing changed.
     pub fn is_empty(&self) -> bool {
-        self.begun.is_empty() && self.ended.is_empty()
+        self.started.is_empty() && self.ended.is_empty()
     }
 
     fn between(before: &EvacuationSet, after: &EvacuationSet) -> Self {
@@ -69,7 +69,7 @@
             names.cloned().collect()
         };
         Self {
-            begun: missing(before, after),
+            started: missing(before, after),
             ended: missing(after, before),
         }
     }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -24,11 +24,11 @@
     gateway::{
         aggregators::{Aggregators, hall_key},
         copies,
-        far_book::{FAR_HALLS, FarBook},
         fetching::Fetching,
-        hall_book::HallBook,
-        halls::{Halls, teller_of_hall},
+        hall_aggregate::HallAggregate,
+        halls::{Halls, hall_incarnation},
         heard::HeardInstances,
+        other_halls::{OTHER_HALLS, OtherHalls},
         pace::Pace,
         protocol::Protocol,
         quota,
@@ -76,8 +76,8 @@
     pub(super) sent: VecDeque<Sent>,
     pub(super) heard: HeardInstances,
     pub(super) halls: Halls,
-    pub(super) book: HallBook,
-    pub(super) far_book: FarBook,
+    pub(super) hall_aggregate: HallAggregate,
+    pub(super) other_halls: OtherHalls,
     pub(super) aggregators: Aggregators,
     /// How many instances the view knows, silent ones included.
     pub(super) instances_in_view: usize,
@@ -104,7 +104,7 @@
 impl State {
     fn known(&self, now_us: Micros, view: &View) -> usize {
         let others = view.others().count().max(self.heard.len());
-        others.max(self.halls.sharers(now_us).all.saturating_sub(1))
+        others.max(self.halls.instance_counts(now_us).all.saturating_sub(1))
     }
 
     pub(super) fn remember(&mut self, sent: Sent) {
@@ -224,7 +224,7 @@
         if others.is_empty() {
             return;
         }
-        let known = self.gateway.meet(&others);
+        let known = self.gateway.note_addresses(&others);
         let mut state = self.lock();
         for addr in others {
             state.heard.meet(now_us, addr.ip());
@@ -241,7 +241,7 @@
         let group = self.count_sharers(now_us, &view);
         let has_news = self.take_state_news();
         let is_suspected = self.gateway.suspects().take_has_changes();
-        let has_limits = self.gateway.balancer().take_standings_changed();
+        let has_limits = self.gateway.balancer().take_announcements_changed();
         let changed = self.gateway.balancer().take_changed() || is_suspected || has_limits;
         let is_due = {
             let mut state = self.lock();
@@ -263,7 +263,7 @@
                     .balancer()
                     .load_view_mut()
                     .set_hall_aggregator(false);
-                self.gateway.reserver.set_issuers(Vec::new());
+                self.gateway.reservation_client.set_issuers(Vec::new());
                 self.tell_all(now_us, &view, is_due).await;
             }
             ClusterSize::Large => {
@@ -296,12 +296,12 @@
         let (chosen, is_aggregator) = {
             let mut state = self.lock();
             let chosen = state.aggregators.of_hall(now_us, &self.place.me.hall, true);
-            (chosen, state.book.is_aggregator(now_us))
+            (chosen, state.hall_aggregate.is_aggregator(now_us))
         };
         let me = self.place.me.incarnation;
         let before_me = chosen.iter().take_while(|m| m.info.incarnation != me);
         let ledgers = before_me.map(|m| m.info.peer_addr.ip()).collect();
-        self.gateway.reserver.set_issuers(ledgers);
+        self.gateway.reservation_client.set_issuers(ledgers);
         self.gateway
             .balancer()
             .load_view_mut()
@@ -322,7 +322,7 @@
             state.is_watcher = place.is_some_and(|p| p < WATCHERS);
             state.watchers = self.watchers(&in_turn);
             self.gateway
-                .set_place_to_watch(place.unwrap_or(in_turn.len()));
+                .set_watch_position(place.unwrap_or(in_turn.len()));
         }
         let is_settled = self.is_seed || self.gateway.clock.now_us() >= SETTLED_US;
         let watches = state.is_watcher && is_settled;
@@ -345,8 +345,8 @@
                     known,
                 )
             } else {
-                let halls = silent_halls.into_iter().map(teller_of_hall).collect();
-                let heard = state.halls.sharers(now_us).heard.max(1);
+                let halls = silent_halls.into_iter().map(hall_incarnation).collect();
+                let heard = state.halls.instance_counts(now_us).heard.max(1);
                 let all = (known + 1).max(heard);
                 let sharers = InstanceCounts { all, heard };
                 (ClusterSize::Large, halls, sharers, sharers)
@@ -373,7 +373,7 @@
             }
         }
         self.show(now_us, sharers);
-        self.gateway.set_sharers(sharers);
+        self.gateway.set_instance_counts(sharers);
         self.gateway
             .balancer()
             .load_view_mut()
@@ -399,14 +399,18 @@
         let metrics = &self.gateway.metrics;
         metrics.instances.set(sharers.all as i64);
         metrics.hall_summary_age_seconds.set(age_s(self.my_hall));
-        metrics.far_summary_age_seconds.set(age_s(FAR_HALLS));
-        let reporters = state.book.headcount(now_us).heard.saturating_sub(1);
+        metrics.far_summary_age_seconds.set(age_s(OTHER_HALLS));
+        let reporters = state
+            .hall_aggregate
+            .instance_counts(now_us)
+            .heard
+            .saturating_sub(1);
         metrics.reporters.set(i64::from(reporters));
     }
 
     /// Names in logs whose summaries are meant.
     pub(super) fn whose(&self, teller: Incarnation) -> &'static str {
-        if teller == teller_of_hall(FAR_HALLS) {
+        if teller == hall_incarnation(OTHER_HALLS) {
             "other_halls"
         } else {
             "own_hall"
--- a/src/gateway/fetching.rs
+++ b/src/gateway/fetching.rs
@@ -164,7 +164,7 @@
         let revision = gateway.balancer().endpoints_revision();
         let asked = copies::fetch_endpoints(addr, self.codec.clone(), revision, gateway.clock);
         if let Some(taken) = asked.await? {
-            gateway.take_endpoints(taken.value, taken.fresh_at_us);
+            gateway.apply_peer_endpoints(taken.value, taken.fresh_at_us);
         }
         Ok(())
     }
@@ -182,7 +182,7 @@
         }
         // Those that were met are not all in the view yet.
         let me = self.place.me.peer_addr;
-        let met = self.gateway.meet(&[]).into_iter();
+        let met = self.gateway.note_addresses(&[]).into_iter();
         let other = met.filter(|addr| *addr != me).choose(&mut rng);
         other.map(|addr| addr.ip())
     }
--- a/src/gateway/hall_book.rs
+++ b/src/gateway/hall_aggregate.rs
@@ -29,7 +29,7 @@
 
 /// What the hall's instances said since their hall was told last.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct News {
+pub struct Observations {
     /// As in [`Update::reports`].
     pub reports: Vec<(EndpointKey, i8)>,
     /// As in [`Update::read`].
@@ -50,7 +50,7 @@
 
 /// How many instances a hall has, as its aggregator sees it; itself included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Headcount {
+pub struct HallInstanceCounts {
     /// That ran of late.
     pub instances: u32,
     /// That are heard.
@@ -59,18 +59,18 @@
 
 /// The instances of a hall that report to this one, and what they did.
 #[derive(Debug, Default)]
-pub struct HallBook {
+pub struct HallAggregate {
     members: HashMap<IpAddr, Member>,
-    news: News,
+    news: Observations,
     seen: BTreeMap<EndpointKey, SpeedSamples>,
     /// What endpoints said and other halls were not told.
     far_reports: HashMap<EndpointKey, i8>,
     to_pass_on: Vec<HallSummary>,
 }
 
-impl HallBook {
+impl HallAggregate {
     /// Takes a report.
-    pub fn note(&mut self, now_us: Micros, addr: IpAddr, report: &Update) {
+    pub fn apply_report(&mut self, now_us: Micros, addr: IpAddr, report: &Update) {
         let member = self.members.entry(addr).or_insert_with(|| Member {
             from: Incarnation(0),
             seq: 0,
@@ -81,11 +81,11 @@
         member.seq = report.seq;
         member.heard_us = now_us;
         member.loads.clone_from(&report.loads);
-        self.note_news(&report.reports, &report.read, &report.seen, &report.dead);
+        self.note_observations(&report.reports, &report.read, &report.seen, &report.dead);
     }
 
     /// Takes what this instance or another of the hall saw.
-    pub fn note_news(
+    pub fn note_observations(
         &mut self,
         reports: &[(EndpointKey, i8)],
         read: &[(ChainKey, EndpointKey)],
@@ -105,7 +105,7 @@
     }
 
     /// Takes a summary of another hall, to be passed on.
-    pub fn note_hall(&mut self, summary: HallSummary) {
+    pub fn queue_for_relay(&mut self, summary: HallSummary) {
         if self.to_pass_on.len() >= MOST_TO_PASS_ON {
             // Nobody of the own hall is there to be told.
             self.to_pass_on.remove(0);
@@ -114,19 +114,19 @@
     }
 
     /// Returns summaries of other halls that the own hall was not told, at most `most`, oldest first.
-    pub fn take_to_pass_on(&mut self, most: usize) -> Vec<HallSummary> {
+    pub fn take_relay_queue(&mut self, most: usize) -> Vec<HallSummary> {
         let taken = self.to_pass_on.len().min(most);
         self.to_pass_on.drain(..taken).collect()
     }
 
     /// Returns whether other halls' summaries wait to be passed on.
-    pub fn has_to_pass_on(&self) -> bool {
+    pub fn has_relay_queue(&self) -> bool {
         !self.to_pass_on.is_empty()
     }
 
     /// Returns what is new, for the hall: of reads and speeds as much as a datagram takes, the rest
     /// in turn.
-    pub fn take_news(&mut self) -> News {
+    pub fn take_observations(&mut self) -> Observations {
         let mut news = std::mem::take(&mut self.news);
         news.reports.sort_unstable_by_key(|(key, _)| *key);
         // Of several words on one endpoint the last stands.
@@ -145,7 +145,7 @@
     }
 
     /// Returns what endpoints said, for other halls.
-    pub fn take_far_reports(&mut self) -> Vec<(EndpointKey, i8)> {
+    pub fn take_reports_for_other_halls(&mut self) -> Vec<(EndpointKey, i8)> {
         self.far_reports.drain().collect()
     }
 
@@ -172,8 +172,8 @@
     }
 
     /// Returns how many instances the hall has.
-    pub fn headcount(&self, now_us: Micros) -> Headcount {
-        Headcount {
+    pub fn instance_counts(&self, now_us: Micros) -> HallInstanceCounts {
+        HallInstanceCounts {
             instances: self.members.len() as u32 + 1,
             heard: self.heard(now_us).count() as u32 + 1,
         }
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -19,7 +19,7 @@
 const COMPARED_SHARE: f64 = 0.9;
 
 /// Names a hall as one that tells its use.
-pub(super) fn teller_of_hall(hall: u32) -> Incarnation {
+pub(super) fn hall_incarnation(hall: u32) -> Incarnation {
     Incarnation(u64::from(hall))
 }
 
@@ -40,7 +40,7 @@
 
 impl Hall {
     /// Returns how many instances it has and how many are heard: what the aggregator of the most said.
-    fn headcount(&self, now_us: Micros) -> (u32, u32) {
+    fn counts(&self, now_us: Micros) -> (u32, u32) {
         let instances = self.sources.values().map(|s| s.instances).max();
         let fresh = self.sources.values();
         let fresh = fresh.filter(|s| now_us.saturating_sub(s.at_us) < HEARD_US);
@@ -53,11 +53,11 @@
 
 /// What a summary changed.
 #[derive(Debug, PartialEq)]
-pub struct Taken {
+pub struct SummaryEffect {
     /// The summary's loads stand for the hall.
-    pub takes_loads: bool,
+    pub replaces_loads: bool,
     /// The hall had fallen silent.
-    pub is_regained: bool,
+    pub was_silent: bool,
 }
 
 /// What is known of the halls.
@@ -68,7 +68,11 @@
 
 impl Halls {
     /// Takes a summary; none if a newer one of its aggregator was taken.
-    pub fn note(&mut self, now_us: Micros, summary: &HallSummary) -> Option<Taken> {
+    pub fn apply_summary(
+        &mut self,
+        now_us: Micros,
+        summary: &HallSummary,
+    ) -> Option<SummaryEffect> {
         let hall = self.by_key.entry(summary.hall).or_default();
         let source = hall.sources.entry(summary.by).or_insert_with(|| Source {
             seq: 0,
@@ -83,13 +87,13 @@
         source.at_us = now_us;
         source.instances = summary.instances;
         source.heard = summary.heard;
-        let is_regained = std::mem::take(&mut hall.is_forgotten);
+        let was_silent = std::mem::take(&mut hall.is_forgotten);
         let compared = hall.sources.values();
         let compared = compared.filter(|s| now_us.saturating_sub(s.at_us) < COMPARED_US);
         let most = compared.map(|s| s.heard).max().unwrap_or(0);
-        Some(Taken {
-            takes_loads: f64::from(summary.heard) >= f64::from(most) * COMPARED_SHARE,
-            is_regained,
+        Some(SummaryEffect {
+            replaces_loads: f64::from(summary.heard) >= f64::from(most) * COMPARED_SHARE,
+            was_silent,
         })
     }
 
@@ -100,7 +104,7 @@
         for (key, hall) in &mut self.by_key {
             hall.sources
                 .retain(|_, s| now_us.saturating_sub(s.at_us) < SHARER_US);
-            let (_, heard) = hall.headcount(now_us);
+            let (_, heard) = hall.counts(now_us);
             if heard == 0 && !std::mem::replace(&mut hall.is_forgotten, true) {
                 silent.push(*key);
             }
@@ -121,8 +125,8 @@
     }
 
     /// Counts the instances of all halls, and those of them that are heard.
-    pub fn sharers(&self, now_us: Micros) -> InstanceCounts {
-        let counts = self.by_key.values().map(|h| h.headcount(now_us));
+    pub fn instance_counts(&self, now_us: Micros) -> InstanceCounts {
+        let counts = self.by_key.values().map(|h| h.counts(now_us));
         let (all, heard) = counts.fold((0, 0), |(all, heard), hall| {
             (all + hall.0 as usize, heard + hall.1 as usize)
         });
--- a/src/gateway/hearing.rs
+++ b/src/gateway/hearing.rs
@@ -12,8 +12,8 @@
         load_view::ClusterSize,
     },
     gateway::{
-        endpoint_announcements, exchange::Exchange, far_book::FAR_HALLS, fetching::Wanted,
-        halls::teller_of_hall, protocol::Protocol,
+        endpoint_announcements, exchange::Exchange, fetching::Wanted, halls::hall_incarnation,
+        other_halls::OTHER_HALLS, protocol::Protocol,
     },
     peers::update::{self, HallSummary, Purpose, Update, address_key},
     prelude::Micros,
@@ -70,7 +70,9 @@
             return;
         }
         self.take_news(now_us, &update);
-        self.lock().book.note(now_us, from, &update);
+        self.lock()
+            .hall_aggregate
+            .apply_report(now_us, from, &update);
         let mut balancer = self.gateway.balancer();
         if balancer.load_view().is_hall_aggregator() {
             balancer.apply_grantee_report(now_us, update.from, &update.loads, update.settled);
@@ -99,15 +101,15 @@
     /// Takes a summary of another hall that the own hall was not told: it is summed up by an aggregator,
     /// and handed on by others.
     fn take_far_summary(&self, now_us: Micros, summary: HallSummary) {
-        if summary.hall == self.my_hall || summary.hall == FAR_HALLS {
+        if summary.hall == self.my_hall || summary.hall == OTHER_HALLS {
             return;
         }
         let mut state = self.lock();
-        if !state.far_book.note(now_us, &summary) {
+        if !state.other_halls.apply_summary(now_us, &summary) {
             return;
         }
-        if !state.book.is_aggregator(now_us) {
-            state.book.note_hall(summary);
+        if !state.hall_aggregate.is_aggregator(now_us) {
+            state.hall_aggregate.queue_for_relay(summary);
         }
     }
 
@@ -122,18 +124,18 @@
                 return;
             }
             let sent = sent.filter(|_| is_own).unwrap_or_default();
-            let taken = state.halls.note(now_us, summary);
+            let taken = state.halls.apply_summary(now_us, summary);
             taken.map(|taken| (taken, sent))
         };
         let Some((taken, sent)) = taken else { return };
-        let teller = teller_of_hall(summary.hall);
-        if taken.is_regained {
+        let teller = hall_incarnation(summary.hall);
+        if taken.was_silent {
             let whose = self.whose(teller);
             log::info!(target: "ryevalve::process", whose; "summaries_regained");
         }
         let mut balancer = self.gateway.balancer();
         let is_known_singly = is_own && balancer.load_view().is_hall_aggregator();
-        if taken.takes_loads && !is_known_singly {
+        if taken.replaces_loads && !is_known_singly {
             let loads = without(&summary.loads, &sent.loads);
             balancer
                 .load_view_mut()
@@ -160,7 +162,7 @@
         let version = self.gateway.config.version();
         let revision = self.gateway.balancer().endpoints_revision();
         if update.config_version > 0 && update.endpoints_revision > 0 {
-            self.gateway.note_others_know();
+            self.gateway.note_peers_have_state();
         }
         self.fetch(from.ip(), Wanted::Config(update.config_version));
         self.fetch(from.ip(), Wanted::Endpoints(update.endpoints_revision));
@@ -169,7 +171,7 @@
         let evacuations_asked_us = update.evacuations_age_ms.and_then(asked_us);
         let evacuations = update.evacuations.clone();
         self.gateway
-            .take_evacuations(evacuations, evacuations_asked_us, "peer");
+            .apply_evacuations(evacuations, evacuations_asked_us, "peer");
         let config_asked_us = update.config_age_ms.and_then(asked_us);
         if let (Some(asked_us), true) = (config_asked_us, update.config_version == version) {
             self.gateway.config.confirm(version, asked_us);
@@ -177,7 +179,7 @@
         let is_same = update.endpoints_revision == revision;
         let endpoints_asked_us = update.endpoints_age_ms.and_then(asked_us);
         if let (Some(asked_us), true) = (endpoints_asked_us, is_same) {
-            self.gateway.endpoints.confirm(asked_us);
+            self.gateway.endpoints_staleness.confirm(asked_us);
         }
     }
 }
--- a/src/gateway/instance_count.rs
+++ b/src/gateway/instance_count.rs
@@ -43,7 +43,7 @@
 }
 
 /// Keeps the number until dropped. At the first start of all there is none to be read.
-pub async fn keep<P: Protocol, S: Store>(gateway: Arc<Gateway<P>>, store: S, is_first_start: bool) {
+pub async fn run<P: Protocol, S: Store>(gateway: Arc<Gateway<P>>, store: S, is_first_start: bool) {
     let started_us = gateway.clock.now_us();
     let mut keeper = Keeper {
         gateway,
--- a/src/gateway/line_budget.rs
+++ b/src/gateway/line_budget.rs
@@ -4,7 +4,7 @@
 
 const SECOND_US: Micros = 1_000_000;
 /// Lines in a second, at most.
-const MOST_LINES: u32 = 200;
+const MAX_LINES_PER_S: u32 = 200;
 
 /// The lines of the second that runs.
 #[derive(Debug, Default)]
@@ -15,7 +15,7 @@
 
 /// What becomes of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Admitted {
+pub struct LineDecision {
     /// It is written.
     pub is_written: bool,
     /// Lines that were left out in the second that has just ended.
@@ -24,16 +24,16 @@
 
 impl LineBudget {
     /// Asks for a line.
-    pub fn ask(&mut self, now_us: Micros) -> Admitted {
+    pub fn admit(&mut self, now_us: Micros) -> LineDecision {
         let mut left_out = 0;
         if now_us.saturating_sub(self.since_us) >= SECOND_US {
-            left_out = self.asked.saturating_sub(MOST_LINES);
+            left_out = self.asked.saturating_sub(MAX_LINES_PER_S);
             self.since_us = now_us;
             self.asked = 0;
         }
         self.asked += 1;
-        Admitted {
-            is_written: self.asked <= MOST_LINES,
+        LineDecision {
+            is_written: self.asked <= MAX_LINES_PER_S,
             left_out,
         }
     }
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -379,7 +379,7 @@
     }
 
     /// Counts a request that ended.
-    pub fn ended(&self, route: &str, outcome: Outcome) {
+    pub fn record_outcome(&self, route: &str, outcome: Outcome) {
         let labels = RouteLabels {
             route: route.to_owned(),
             outcome: outcome.as_str(),
--- a/src/gateway/far_book.rs
+++ b/src/gateway/other_halls.rs
@@ -19,27 +19,27 @@
 
 /// The key under which all halls but the own are told; no hall's name has this hash in practice, and
 /// one that had would be counted together with it.
-pub const FAR_HALLS: u32 = 0;
+pub const OTHER_HALLS: u32 = 0;
 /// Endpoints whose speed waits to be passed on, at most: one datagram's.
 const MOST_SPEEDS: usize = 64;
 
 /// The other halls, from their aggregators' own words.
 #[derive(Debug, Default)]
-pub struct FarBook {
+pub struct OtherHalls {
     halls: Halls,
     loads: HashMap<u32, BTreeMap<EndpointKey, InFlight>>,
     reports: BTreeMap<EndpointKey, i8>,
     speeds: BTreeMap<EndpointKey, SpeedSummary>,
 }
 
-impl FarBook {
+impl OtherHalls {
     /// Takes a summary of another hall; false if a newer one was taken.
-    pub fn note(&mut self, now_us: Micros, summary: &HallSummary) -> bool {
-        let taken = self.halls.note(now_us, summary);
+    pub fn apply_summary(&mut self, now_us: Micros, summary: &HallSummary) -> bool {
+        let taken = self.halls.apply_summary(now_us, summary);
         let Some(taken) = taken else {
             return false;
         };
-        if taken.takes_loads {
+        if taken.replaces_loads {
             let loads = self.loads.entry(summary.hall).or_default();
             loads.retain(|key, _| !summary.span.contains(*key));
             loads.extend(summary.loads.iter().copied());
@@ -77,10 +77,10 @@
 
     /// Fills in how many instances the other halls have, and what came of them since this was asked
     /// last.
-    pub fn complete(&mut self, now_us: Micros, summary: &mut HallSummary) {
-        let sharers = self.halls.sharers(now_us);
-        summary.instances = sharers.all as u32;
-        summary.heard = sharers.heard as u32;
+    pub fn fill_summary(&mut self, now_us: Micros, summary: &mut HallSummary) {
+        let counts = self.halls.instance_counts(now_us);
+        summary.instances = counts.all as u32;
+        summary.heard = counts.heard as u32;
         summary.reports = std::mem::take(&mut self.reports).into_iter().collect();
         summary.speeds = std::mem::take(&mut self.speeds).into_iter().collect();
     }
--- a/src/gateway/permits.rs
+++ b/src/gateway/permits.rs
@@ -206,12 +206,12 @@
     endpoint: EndpointKey,
     rank: Rank,
 ) -> Option<Permit> {
-    let channel = gateway.reserver.channel()?;
+    let channel = gateway.reservation_client.channel()?;
     let mut pending = gateway.permits.register();
     let now_us = gateway.clock.now_us();
     let (limit, cold_us) = {
         let balancer = gateway.balancer();
-        let limit = balancer.standing_to_send(now_us, endpoint);
+        let limit = balancer.announcement_to_send(now_us, endpoint);
         (limit, balancer.remaining_cold_us(now_us, endpoint))
     };
     let message = DirectMessage::Permits(PermitMessage::Ask {
@@ -227,7 +227,10 @@
 /// Returns an unused permit to its issuer.
 pub(super) async fn release<P: Protocol>(gateway: &Gateway<P>, endpoint: EndpointKey) {
     gateway.metrics.permits_unused.inc();
-    match (gateway.permits.issuer(endpoint), gateway.reserver.channel()) {
+    match (
+        gateway.permits.issuer(endpoint),
+        gateway.reservation_client.channel(),
+    ) {
         (Some(Issuer::Local), _) => reclaim(gateway, endpoint),
         (Some(Issuer::Remote(issuer)), Some(channel)) => {
             let message = DirectMessage::Permits(PermitMessage::Unused(endpoint));
@@ -264,7 +267,7 @@
                 },
             };
             let now_us = gateway.clock.now_us();
-            let limit = gateway.balancer().standing_to_send(now_us, endpoint);
+            let limit = gateway.balancer().announcement_to_send(now_us, endpoint);
             let answer = DirectMessage::Permits(PermitMessage::Answer { limit, permit });
             channel.send(from, number, answer).await;
         }
--- a/src/gateway/placement.rs
+++ b/src/gateway/placement.rs
@@ -26,43 +26,43 @@
 const REJECTED_RETRY_AFTER_MS: u32 = 500;
 /// Most endpoints in back-off that a reservation request lists, at 5 bytes each. A reservation at one that is not
 /// listed is not used.
-const MAX_RESTING_EXCLUDED: usize = 128;
+const MAX_BACKING_OFF_EXCLUDED: usize = 128;
 
 impl<P: Protocol> Gateway<P> {
     /// Chooses an endpoint for a request that is not in `tried`, waiting for a free slot if needed.
-    pub async fn place(&self, ask: &PlacementRequest, tried: &[EndpointKey]) -> Placement {
+    pub async fn place(&self, request: &PlacementRequest, tried: &[EndpointKey]) -> Placement {
         self.endpoints_settled().await;
         self.evacuations_settled().await;
         let now_us = self.clock.now_us();
-        let refusal = self.balancer().refuse_while_backing_off(now_us, ask);
+        let refusal = self.balancer().refuse_while_backing_off(now_us, request);
         if let Some(refusal) = refusal {
             return refusal;
         }
-        if let Some(placement) = self.reserve_place(ask, tried).await {
+        if let Some(placement) = self.reserve_place(request, tried).await {
             return placement;
         }
-        self.place_locally(ask, tried).await
+        self.place_locally(request, tried).await
     }
 
     /// Requests a reservation from the instance that assigns slots at the hall's endpoints. Returns `None` if there is
     /// no such instance, it does not answer in time, or its choice cannot be used here.
     async fn reserve_place(
         &self,
-        ask: &PlacementRequest,
+        request: &PlacementRequest,
         tried: &[EndpointKey],
     ) -> Option<Placement> {
         // A reservation request does not carry the regions in which the request may be served.
-        if !ask.is_stream || ask.homes.is_restricted() {
+        if !request.is_stream || request.allowed_regions.is_restricted() {
             return None;
         }
-        let issuer = self.reserver.issuer(self.clock.now_us())?;
+        let issuer = self.reservation_client.issuer(self.clock.now_us())?;
         self.metrics.places_asked.inc();
         let excluded = self.excluded_endpoints(tried);
         let reply = self
-            .reserver
-            .request(self.clock, issuer, ask, &excluded)
+            .reservation_client
+            .request(self.clock, issuer, request, &excluded)
             .await;
-        let placement = reply.and_then(|reply| self.apply_reservation_reply(ask, reply));
+        let placement = reply.and_then(|reply| self.apply_reservation_reply(request, reply));
         if placement.is_none() {
             self.metrics.places_unanswered.inc();
         }
@@ -72,9 +72,9 @@
     /// Returns the endpoints to exclude from a reservation: those tried, and those this instance must back off from.
     fn excluded_endpoints(&self, tried: &[EndpointKey]) -> Vec<EndpointKey> {
         let now_us = self.clock.now_us();
-        let at_rest = self.balancer().rests().in_back_off(now_us);
+        let in_back_off = self.balancer().back_offs().in_back_off(now_us);
         let mut excluded = tried.to_vec();
-        excluded.extend(at_rest.into_iter().take(MAX_RESTING_EXCLUDED));
+        excluded.extend(in_back_off.into_iter().take(MAX_BACKING_OFF_EXCLUDED));
         excluded
     }
 
@@ -90,7 +90,7 @@
     /// Applies the reservation or refusal of another instance; returns `None` if its endpoint cannot be used here.
     fn apply_reservation_reply(
         &self,
-        ask: &PlacementRequest,
+        request: &PlacementRequest,
         reply: ReservationReply,
     ) -> Option<Placement> {
         let now_us = self.clock.now_us();
@@ -105,11 +105,11 @@
                     // The other instance does not know yet that this endpoint limits its request rate.
                     return None;
                 }
-                balancer.place_granted(now_us, ask, key, expected)
+                balancer.place_granted(now_us, request, key, expected)
             }
-            ReservationReply::Refused => Some(refuse_for_capacity(now_us, ask, BUSY)),
+            ReservationReply::Refused => Some(refuse_for_capacity(now_us, request, BUSY)),
             ReservationReply::OverEndpointLimits => {
-                Some(refuse_for_capacity(now_us, ask, ENDPOINT_LIMITS))
+                Some(refuse_for_capacity(now_us, request, ENDPOINT_LIMITS))
             }
         }
     }
@@ -118,13 +118,13 @@
     /// turn.
     async fn acquire_permit(
         &self,
-        ask: &PlacementRequest,
+        request: &PlacementRequest,
         tried: &[EndpointKey],
     ) -> Option<EndpointKey> {
         for _ in 0..MAX_PERMIT_REQUESTS {
             let now_us = self.clock.now_us();
-            let candidate = self.balancer().permit_candidate(now_us, ask, tried)?;
-            if permits::acquire(self, candidate, ask.rank).await {
+            let candidate = self.balancer().permit_candidate(now_us, request, tried)?;
+            if permits::acquire(self, candidate, request.rank).await {
                 return Some(candidate);
             }
         }
@@ -132,25 +132,29 @@
     }
 
     /// Chooses an endpoint from this instance's own view, waiting for a free slot if needed.
-    pub async fn place_locally(&self, ask: &PlacementRequest, tried: &[EndpointKey]) -> Placement {
-        let permit = self.acquire_permit(ask, tried).await;
+    pub async fn place_locally(
+        &self,
+        request: &PlacementRequest,
+        tried: &[EndpointKey],
+    ) -> Placement {
+        let permit = self.acquire_permit(request, tried).await;
         let now_us = self.clock.now_us();
         let placement = self
             .balancer()
-            .place_with_permit(now_us, ask, tried, permit);
+            .place_with_permit(now_us, request, tried, permit);
         if let Some(permit) = permit.filter(|permit| !is_sent_to(&placement, *permit)) {
             permits::release(self, permit).await;
         }
         if !matches!(placement, Placement::Wait) {
             return placement;
         }
-        self.wait_for_place(ask).await
+        self.wait_for_place(request).await
     }
 
     /// Queues a request until it gets a slot or the balancer refuses it.
-    pub async fn wait_for_place(&self, ask: &PlacementRequest) -> Placement {
+    pub async fn wait_for_place(&self, request: &PlacementRequest) -> Placement {
         let (sender, receiver) = oneshot::channel();
-        let key = self.balancer().enqueue(ask.clone());
+        let key = self.balancer().enqueue(request.clone());
         lock(&self.waiters).insert(key, sender);
         let queue_guard = QueueGuard { gateway: self, key };
         let placement = receiver.await;
--- a/src/gateway/probes.rs
+++ b/src/gateway/probes.rs
@@ -54,11 +54,11 @@
         config_age_s,
         endpoints_age_s,
         endpoints: balancer.endpoint_count(),
-        limited_endpoints: balancer.standings().limited(),
-        leaving_endpoints: balancer.standings().leaving(),
-        resting_endpoints: balancer.rests().len(),
+        limited_endpoints: balancer.announcements().limited(),
+        leaving_endpoints: balancer.announcements().leaving(),
+        resting_endpoints: balancer.back_offs().len(),
         waiting: balancer.waiting_count(),
-        instances_heard: gateway.sharers().heard,
+        instances_heard: gateway.instance_counts().heard,
         resting_connections: gateway.connections.count(),
     }
 }
--- a/src/gateway/protocol.rs
+++ b/src/gateway/protocol.rs
@@ -27,7 +27,7 @@
     /// The parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
     /// The caller's guess of the answer's tokens: right in the median, often far off.
-    pub output_guess: Option<u32>,
+    pub expected_output_tokens: Option<u32>,
 }
 
 /// How long a prompt is, and its answer at most.
@@ -71,18 +71,18 @@
     /// The endpoint's load.
     pub load: Option<EndpointLoadReport>,
     /// What it says of itself.
-    pub words: EndpointWords,
+    pub announcements: AnnouncementHeaders,
     /// Headers that nothing here reads.
     pub unread: Vec<HeaderName>,
 }
 
 /// What an endpoint's start says of itself in an answer, whatever the answer is.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct EndpointWords {
+pub struct AnnouncementHeaders {
     /// It leaves: nothing more is to be sent to it.
     pub leaves: bool,
     /// For how long it wants nothing from this instance.
-    pub rest: BackOffHeader,
+    pub back_off: BackOffHeader,
     /// How many requests it takes from all instances together.
     pub limit: LimitHeader,
 }
--- a/src/gateway/quota.rs
+++ b/src/gateway/quota.rs
@@ -385,7 +385,7 @@
 
 async fn flush<P: Protocol>(gateway: &Gateway<P>) {
     let outgoing = gateway.quota.take_outgoing();
-    let Some(channel) = gateway.reserver.channel() else {
+    let Some(channel) = gateway.reservation_client.channel() else {
         return;
     };
     for (to, message) in outgoing {
--- a/src/gateway/report.rs
+++ b/src/gateway/report.rs
@@ -53,7 +53,7 @@
 }
 
 /// Writes the line of a request that was at an endpoint when it ended; `endings` is how many have so far.
-pub fn log_ending<P: Protocol>(gateway: &Gateway<P>, job: &Job, endpoint: &str, endings: usize) {
+pub fn log_crash<P: Protocol>(gateway: &Gateway<P>, job: &Job, endpoint: &str, endings: usize) {
     let blocked_us = gateway.blocked_us(|| job.fingerprint());
     let fingerprint = job.fingerprint().to_string();
     log::info!(
@@ -77,13 +77,13 @@
     arrived_us: Micros,
 ) {
     let route = trace.route.as_deref().unwrap_or("-");
-    gateway.metrics.ended(route, Outcome::of(refusal));
+    gateway.metrics.record_outcome(route, Outcome::of(refusal));
     // One that is blocked is refused whatever the load.
     if refusal.retry_after_ms.is_some() && refusal.reason != refuse::ENDS_ENDPOINTS {
         gateway.note_refused();
     }
     let held_ms = gateway.clock.now_us().saturating_sub(arrived_us) / 1_000;
-    let sharers = gateway.sharers();
+    let counts = gateway.instance_counts();
     log::info!(
         target: "ryevalve::request",
         request_id = attempt::header_for_log(request_id),
@@ -106,14 +106,14 @@
         limit_level:serde = trace.denied.and_then(|d| d.level),
         limit_wait_ms:serde = trace.denied.map(|d| d.wait_us / 1_000),
         limit_asked = trace.denied.is_some_and(|d| !d.is_cached),
-        instances = sharers.all,
-        instances_heard = sharers.heard;
+        instances = counts.all,
+        instances_heard = counts.heard;
         "request_refused"
     );
 }
 
 /// One in this many answers in time has a line; all others do.
-pub const SAMPLE: u32 = 16;
+pub const SAMPLE_INTERVAL: u32 = 16;
 
 /// Writes the line of an answer that came from an endpoint.
 pub fn log_answer<P: Protocol>(
@@ -129,7 +129,7 @@
     let in_time =
         first_us <= job.placement_request.target_us && trace.longest_gap_us <= target_gap_us;
     let is_plain = outcome == Outcome::Served && in_time && attempts <= 1;
-    if is_plain && rand::rng().random_range(0..SAMPLE) > 0 {
+    if is_plain && rand::rng().random_range(0..SAMPLE_INTERVAL) > 0 {
         return;
     }
     log::info!(
--- a/src/gateway/reservation_client.rs
+++ b/src/gateway/reservation_client.rs
@@ -108,7 +108,7 @@
             deadline_us: now_us + self.left_us,
             rank: self.rank,
             other_hall_cost: f64::from(self.other_hall_cost),
-            homes: AllowedRegions::default(),
+            allowed_regions: AllowedRegions::default(),
             draw: self.draw,
         };
         (request, self.tried)
--- a/src/gateway/reservation_server.rs
+++ b/src/gateway/reservation_server.rs
@@ -35,13 +35,13 @@
     me: Incarnation,
 ) -> std::io::Result<()> {
     let port = socket.local_addr()?.port();
-    gateway.reserver.open(Channel {
+    gateway.reservation_client.open(Channel {
         socket,
         authenticator: Authenticator::new(cluster_key, "ryevalve place"),
         port,
         me,
     });
-    let Some(channel) = gateway.reserver.channel() else {
+    let Some(channel) = gateway.reservation_client.channel() else {
         return Ok(());
     };
     let mut buffer = vec![0; MAX_DATAGRAM];
@@ -80,7 +80,7 @@
         DirectMessage::Quota(message) => {
             quota::receive(gateway, datagram.from, from, message).await
         }
-        message => gateway.reserver.deliver(datagram.number, message),
+        message => gateway.reservation_client.deliver(datagram.number, message),
     }
 }
 
@@ -92,7 +92,7 @@
     number: u64,
     reservation: ReservationRequest,
 ) {
-    let Some(channel) = gateway.reserver.channel() else {
+    let Some(channel) = gateway.reservation_client.channel() else {
         return;
     };
     if !gateway.balancer().load_view().is_hall_aggregator() {
@@ -122,7 +122,7 @@
             false => gateway.wait_for_place(&request).await,
         };
         let message = conclude(&gateway, requester, number, placement);
-        if let Some(channel) = gateway.reserver.channel() {
+        if let Some(channel) = gateway.reservation_client.channel() {
             channel.send(from, number, message).await;
         }
     });
--- a/src/gateway/rounds.rs
+++ b/src/gateway/rounds.rs
@@ -13,8 +13,8 @@
     balance::load::split_loads,
     gateway::{
         exchange::{Exchange, Sent},
-        far_book::FAR_HALLS,
-        hall_book::News,
+        hall_aggregate::Observations,
+        other_halls::OTHER_HALLS,
         pace::Pace,
         protocol::Protocol,
     },
@@ -109,7 +109,7 @@
             let of_hall = state.aggregators.of_hall(now_us, &self.place.me.hall, true);
             let me = self.place.me.incarnation;
             let is_chosen = of_hall.iter().any(|m| m.info.incarnation == me);
-            let is_aggregator = is_chosen || state.book.is_aggregator(now_us);
+            let is_aggregator = is_chosen || state.hall_aggregate.is_aggregator(now_us);
             (of_hall, is_aggregator, state.turn)
         };
         let me = self.place.me.incarnation;
@@ -120,9 +120,9 @@
             (true, _) => {
                 let news = self.take_own_news();
                 let mut state = self.lock();
-                let book = &mut state.book;
-                book.note_news(&news.reports, &news.read, &news.seen, &news.dead);
-                News::default()
+                let book = &mut state.hall_aggregate;
+                book.note_observations(&news.reports, &news.read, &news.seen, &news.dead);
+                Observations::default()
             }
             (false, true) => return,
             (false, false) => self.take_own_news(),
@@ -131,7 +131,7 @@
         self.add_standing(now_us, &mut plain, Audience::Peers);
         plain.dead.clone_from(&news.dead);
         if !is_aggregator {
-            plain.halls = self.lock().book.take_to_pass_on(HALLS_TOLD);
+            plain.halls = self.lock().hall_aggregate.take_relay_queue(HALLS_TOLD);
         }
         let mut with_news = plain.clone();
         self.add_news(&mut with_news, news);
@@ -151,10 +151,10 @@
     pub(super) async fn tell_hall(self: &Arc<Self>, now_us: Micros, has_news: bool) {
         let (reporters, peers) = {
             let mut state = self.lock();
-            state.book.expire(now_us);
-            state.far_book.expire(now_us);
+            state.hall_aggregate.expire(now_us);
+            state.other_halls.expire(now_us);
             let since_us = now_us.saturating_sub(state.summary_at_us);
-            let reporters = state.book.reporters(now_us);
+            let reporters = state.hall_aggregate.reporters(now_us);
             let pace_us = self.pace_us(reporters.len(), state.summary_bytes);
             if since_us < pace_us && !has_news {
                 return;
@@ -194,8 +194,8 @@
     /// Returns the sums of the own hall, of all endpoints together.
     fn own_summaries(&self, now_us: Micros, update: &mut Update) -> Vec<HallSummary> {
         let state = self.lock();
-        let headcount = state.book.headcount(now_us);
-        let loads = state.book.loads(now_us, &update.loads);
+        let headcount = state.hall_aggregate.instance_counts(now_us);
+        let loads = state.hall_aggregate.loads(now_us, &update.loads);
         update.loads = Vec::new();
         let parts = split_loads(&loads, LOADS_TOLD).into_iter();
         let summaries = parts.map(|(span, loads)| HallSummary {
@@ -215,18 +215,18 @@
     fn far_summaries(&self, now_us: Micros, update: &Update) -> Vec<HallSummary> {
         let mut state = self.lock();
         let is_due = now_us.saturating_sub(state.far_told_at_us) >= FAR_SUMMARY_US;
-        if !is_due || state.far_book.is_empty() {
+        if !is_due || state.other_halls.is_empty() {
             return Vec::new();
         }
         state.far_told_at_us = now_us;
-        let loads = state.far_book.loads();
+        let loads = state.other_halls.loads();
         let mut whole = HallSummary {
-            hall: FAR_HALLS,
+            hall: OTHER_HALLS,
             by: self.place.me.incarnation,
             seq: update.seq,
             ..HallSummary::default()
         };
-        state.far_book.complete(now_us, &mut whole);
+        state.other_halls.fill_summary(now_us, &mut whole);
         let parts = split_loads(&loads, LOADS_TOLD).into_iter();
         let parts = parts.map(|(span, loads)| HallSummary {
             span,
@@ -250,8 +250,8 @@
     ) {
         let news = {
             let mut state = self.lock();
-            update.echoes = state.book.echoes(self.gateway.clock.now_us());
-            state.book.take_news()
+            update.echoes = state.hall_aggregate.echoes(self.gateway.clock.now_us());
+            state.hall_aggregate.take_observations()
         };
         self.add_news(&mut update, news);
         let mut datagrams = Vec::new();
@@ -259,7 +259,7 @@
             if place > 0 {
                 update.suspects = Vec::new();
                 update.standings = Vec::new();
-                self.add_news(&mut update, News::default());
+                self.add_news(&mut update, Observations::default());
                 update.seq = self.next_seq();
             }
             update.halls = vec![summary.clone()];
@@ -307,7 +307,7 @@
         };
         if is_due && let Some(first) = summaries.first_mut() {
             let mut state = self.lock();
-            first.reports = state.book.take_far_reports();
+            first.reports = state.hall_aggregate.take_reports_for_other_halls();
             let turn = state.turn;
             drop(state);
             first.speeds = self.gateway.balancer().hall_speeds(turn, SPEEDS_TOLD);
@@ -374,7 +374,7 @@
     pub(super) fn next_update(&self, now_us: Micros, purpose: Purpose) -> Update {
         let seq = self.next_seq();
         // Before the loads are read: those that are settled are in them.
-        let settled = self.gateway.reserver.settled();
+        let settled = self.gateway.reservation_client.settled();
         let loads = self.gateway.balancer().load_view().own_loads();
         self.lock().remember(Sent {
             seq,
@@ -399,10 +399,10 @@
     }
 
     /// Returns what this instance saw since it was told last.
-    fn take_own_news(&self) -> News {
+    fn take_own_news(&self) -> Observations {
         let turn = self.lock().turn;
         let mut balancer = self.gateway.balancer();
-        News {
+        Observations {
             reports: balancer.load_view_mut().take_unaccounted_load(),
             read: balancer.take_cached_chains(READS_TOLD),
             seen: balancer.take_speed_samples(turn, SEEN_TOLD),
@@ -416,10 +416,10 @@
         update.standings = self
             .gateway
             .balancer()
-            .take_standings_to_send(now_us, audience);
+            .take_announcements_to_send(now_us, audience);
     }
 
-    fn add_news(&self, update: &mut Update, news: News) {
+    fn add_news(&self, update: &mut Update, news: Observations) {
         update.reports = news.reports;
         update.read = news.read;
         update.seen = news.seen;
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -144,9 +144,11 @@
     let patience_us = head.deadline_ms.map(|ms| ms.saturating_mul(1_000));
     let waited_us = patience_us.map_or(0, |us| gateway.waited_us(&route.name, us));
     trace.waited_ms = waited_us / 1_000;
-    let homes = AllowedRegions::intersection([
-        route.homes.as_deref(),
-        organisation.as_ref().and_then(|o| o.homes.as_deref()),
+    let allowed_regions = AllowedRegions::intersection([
+        route.allowed_regions.as_deref(),
+        organisation
+            .as_ref()
+            .and_then(|o| o.allowed_regions.as_deref()),
     ]);
     let mut headers = parts.headers;
     attempt::strip_connection_headers(&mut headers);
@@ -161,7 +163,7 @@
                 deadline_us: until_us,
                 waited_us,
             },
-            homes,
+            allowed_regions,
         ),
         route,
         head,
@@ -372,7 +374,8 @@
             Ok(whole) if whole.status.is_server_error() => Tried::Error(whole),
             Ok(whole) => {
                 if whole.status.is_success() {
-                    self.gateway.note_whole(|| self.job.fingerprint());
+                    self.gateway
+                        .note_request_completed(|| self.job.fingerprint());
                 }
                 Tried::Answer(self.pass_on(whole, trace))
             }
@@ -477,7 +480,9 @@
             Outcome::EndpointError
         };
         let gateway = &self.gateway;
-        gateway.metrics.ended(&self.job.route.name, outcome);
+        gateway
+            .metrics
+            .record_outcome(&self.job.route.name, outcome);
         let took_us = gateway.clock.now_us() - self.job.placement_request.arrived_us;
         gateway.metrics.first_seconds.observe(took_us as f64 / 1e6);
         log_answer(gateway, &self.job, outcome, whole.status, took_us, trace);
--- a/src/gateway/send_check.rs
+++ b/src/gateway/send_check.rs
@@ -32,7 +32,7 @@
         match self.balancer().readiness(now_us, key) {
             Readiness::Leaving => Err(ENDPOINT_LEFT),
             Readiness::Evacuated => Err(ENDPOINT_EVACUATED),
-            Readiness::BackoffUntil(_) => Err(ENDPOINT_RESTS),
+            Readiness::BackOffUntil(_) => Err(ENDPOINT_RESTS),
             // If a permit was needed, it was acquired when the endpoint was chosen.
             Readiness::Ready | Readiness::NeedsPermit => Ok(()),
         }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -53,7 +53,7 @@
 const FRESHNESS_MARGIN_SHARE: f64 = 0.25;
 
 /// An instance's address is told to others for this long after it was met.
-const MET_US: Micros = 10_000_000;
+const ADDRESS_LIFETIME_US: Micros = 10_000_000;
 
 /// Figures that a gateway is run by; they may change while it runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -84,7 +84,7 @@
     }
 
     /// Returns how old the configuration may be for its keys to be used.
-    pub fn key_age_us(&self) -> Micros {
+    pub fn max_key_age_us(&self) -> Micros {
         let share_us = (self.revoke_us as f64 * FRESHNESS_MARGIN_SHARE) as Micros;
         self.revoke_us - share_us.min(FRESHNESS_MARGIN_US)
     }
@@ -106,7 +106,7 @@
     balancer: Mutex<Balancer>,
     pub(super) waiters: Mutex<HashMap<WaitKey, oneshot::Sender<Placement>>>,
     retries: Mutex<RetryBudget>,
-    patience: Mutex<TypicalTimeouts>,
+    caller_timeouts: Mutex<TypicalTimeouts>,
     suspects: Mutex<SuspectTable>,
     /// When a caller that may come back was refused last; 0 if none was.
     refused_us: AtomicU64,
@@ -114,29 +114,29 @@
     instances_known: AtomicUsize,
     instances_heard: AtomicUsize,
     /// Control addresses of the instances that were met of late.
-    met: Mutex<HashMap<SocketAddr, Micros>>,
+    recent_addresses: Mutex<HashMap<SocketAddr, Micros>>,
     /// This instance watches the store for others.
     watches_store: AtomicBool,
     /// This instance's place among those that watch the store, or would.
-    place_to_watch: AtomicUsize,
+    watch_position: AtomicUsize,
     /// It starts with all others, and some of them ask the store for it.
-    waits_for_others: AtomicBool,
+    waits_for_peers: AtomicBool,
     /// Another instance has told that it has what the store has.
-    others_know: AtomicBool,
+    peers_have_state: AtomicBool,
     /// It asks others for what it lacks at its start.
     fetches_at_start: AtomicBool,
     /// How fresh the endpoints are known to be.
-    pub endpoints: Staleness,
+    pub endpoints_staleness: Staleness,
     /// Data centres whose endpoints get nothing.
     pub evacuations: Evacuations,
     /// Asks others for places at endpoints.
-    pub reserver: ReservationClient,
+    pub reservation_client: ReservationClient,
     /// Asks for permits to send to endpoints that take only so many requests a second, and gives them.
     pub permits: Permits,
     /// Organisations' limits.
     pub quota: Quota,
     /// Finds out which endpoints have ended.
-    pub endings: CrashChecks,
+    pub crash_checks: CrashChecks,
     /// Headers of endpoints that nothing reads.
     pub unread_headers: UnreadHeaders,
     endpoint_lines: Mutex<LineBudget>,
@@ -174,23 +174,23 @@
             balancer: Mutex::new(Balancer::new(hall)),
             waiters: Mutex::default(),
             retries: Mutex::new(RetryBudget::new(bounds.retries)),
-            patience: Mutex::default(),
+            caller_timeouts: Mutex::default(),
             suspects: Mutex::default(),
             refused_us: AtomicU64::new(0),
             instances_known: AtomicUsize::new(1),
             instances_heard: AtomicUsize::new(1),
-            met: Mutex::default(),
+            recent_addresses: Mutex::default(),
             watches_store: AtomicBool::new(false),
-            place_to_watch: AtomicUsize::new(0),
-            waits_for_others: AtomicBool::new(false),
-            others_know: AtomicBool::new(false),
+            watch_position: AtomicUsize::new(0),
+            waits_for_peers: AtomicBool::new(false),
+            peers_have_state: AtomicBool::new(false),
             fetches_at_start: AtomicBool::new(false),
-            reserver: ReservationClient::default(),
+            reservation_client: ReservationClient::default(),
             permits: Permits::default(),
             quota,
-            endings: CrashChecks::default(),
+            crash_checks: CrashChecks::default(),
             unread_headers: UnreadHeaders::default(),
-            endpoints: Staleness::default(),
+            endpoints_staleness: Staleness::default(),
             evacuations: Evacuations::default(),
             endpoint_lines: Mutex::default(),
             stopping: AtomicBool::new(false),
@@ -251,7 +251,7 @@
     }
 
     /// Notes that a request ran to its end.
-    pub fn note_whole(&self, fingerprint: impl FnOnce() -> Fingerprint) {
+    pub fn note_request_completed(&self, fingerprint: impl FnOnce() -> Fingerprint) {
         let now_us = self.clock.now_us();
         self.suspects().note_completed(now_us, fingerprint());
     }
@@ -264,7 +264,7 @@
     /// Takes a retry for a service; false if none is left.
     pub fn take_retry(&self, service: &Name) -> bool {
         let now_us = self.clock.now_us();
-        let instances = self.instances_sharing(now_us);
+        let instances = self.instances_sharing_retries(now_us);
         let taken = lock(&self.retries).try_take(now_us, service, instances);
         if !taken {
             self.metrics.retries_denied.inc();
@@ -275,22 +275,22 @@
     /// Returns the retries left for a service.
     pub fn retries_left(&self, service: &Name) -> f64 {
         let now_us = self.clock.now_us();
-        let instances = self.instances_sharing(now_us);
+        let instances = self.instances_sharing_retries(now_us);
         lock(&self.retries).remaining(now_us, service, instances)
     }
 
     /// Returns how many instances share a bound, those that are cut off included.
-    fn instances_sharing(&self, now_us: Micros) -> usize {
+    fn instances_sharing_retries(&self, now_us: Micros) -> usize {
         let divisor = self.quota.divisor(now_us) as usize;
-        divisor.max(self.sharers().all)
+        divisor.max(self.instance_counts().all)
     }
 
     /// Learns how long a caller of a route waits from now; returns for how long it has waited already.
-    pub fn waited_us(&self, route: &Name, patience_us: Micros) -> Micros {
+    pub fn waited_us(&self, route: &Name, timeout_us: Micros) -> Micros {
         let now_us = self.clock.now_us();
         let refused_us = self.refused_us.load(Ordering::Relaxed);
-        let is_calm = refused_us == 0 || now_us.saturating_sub(refused_us) > patience_us;
-        lock(&self.patience).waited_us(route, patience_us, is_calm)
+        let is_calm = refused_us == 0 || now_us.saturating_sub(refused_us) > timeout_us;
+        lock(&self.caller_timeouts).waited_us(route, timeout_us, is_calm)
     }
 
     /// Notes that a caller was refused that may come back.
@@ -300,7 +300,7 @@
     }
 
     /// Returns how many instances share limits, and how many are heard.
-    pub fn sharers(&self) -> InstanceCounts {
+    pub fn instance_counts(&self) -> InstanceCounts {
         InstanceCounts {
             all: self.instances_known.load(Ordering::Relaxed),
             heard: self.instances_heard.load(Ordering::Relaxed),
@@ -308,7 +308,7 @@
     }
 
     /// Sets how many instances share limits, and how many are heard.
-    pub fn set_sharers(&self, sharers: InstanceCounts) {
+    pub fn set_instance_counts(&self, sharers: InstanceCounts) {
         self.instances_known.store(sharers.all, Ordering::Relaxed);
         self.instances_heard.store(sharers.heard, Ordering::Relaxed);
     }
@@ -337,26 +337,26 @@
 
     /// Takes another instance's copy of the endpoints, which were the store's when a question was sent at
     /// `asked_us`, if that is known.
-    pub fn take_endpoints(&self, copy: EndpointsDelta, asked_us: Option<Micros>) {
+    pub fn apply_peer_endpoints(&self, copy: EndpointsDelta, asked_us: Option<Micros>) {
         let now_us = self.clock.now_us();
         let revision = copy.revision;
         let changes = {
             let mut balancer = self.balancer();
             let changes = balancer.apply_endpoints_delta(now_us, copy);
             if let (Some(asked_us), true) = (asked_us, balancer.endpoints_revision() == revision) {
-                self.endpoints.confirm(asked_us);
+                self.endpoints_staleness.confirm(asked_us);
             }
             changes
         };
         for (id, change) in &changes {
-            self.endpoint_changed(id, *change, "peer");
+            self.handle_endpoint_change(id, *change, "peer");
         }
         self.reconsider();
     }
 
     /// Takes evacuations that were the store's when a question was sent at `asked_us`, if that is known; `from` says
     /// who had them.
-    pub fn take_evacuations(
+    pub fn apply_evacuations(
         &self,
         set: EvacuationSet,
         asked_us: Option<Micros>,
@@ -369,7 +369,7 @@
         };
         let now_us = self.clock.now_us();
         self.balancer().apply_evacuation_change(now_us, &change);
-        for data_centre in &change.begun {
+        for data_centre in &change.started {
             log::warn!(
                 target: "ryevalve::process",
                 data_centre = &**data_centre, revision, from;
@@ -387,7 +387,7 @@
     }
 
     /// Does what a change of the set of endpoints asks for beside the set itself; `from` says who told.
-    pub fn endpoint_changed(&self, id: &str, change: Change, from: &'static str) {
+    pub fn handle_endpoint_change(&self, id: &str, change: Change, from: &'static str) {
         if change == Change::Restarted {
             let balancer = self.balancer();
             let key = balancer.key_of(id);
@@ -396,12 +396,12 @@
             // They lead to the start before, if to anything.
             addr.inspect(|addr| self.connections.forget(*addr));
         }
-        self.log_endpoint(id, change, from);
+        self.log_endpoint_change(id, change, from);
     }
 
     /// Writes a line on a change of the set of endpoints, if there are not too many.
-    pub fn log_endpoint(&self, id: &str, change: Change, from: &'static str) {
-        let admitted = lock(&self.endpoint_lines).ask(self.clock.now_us());
+    pub fn log_endpoint_change(&self, id: &str, change: Change, from: &'static str) {
+        let admitted = lock(&self.endpoint_lines).admit(self.clock.now_us());
         if admitted.left_out > 0 {
             let left_out = admitted.left_out;
             log::info!(target: "ryevalve::endpoint", left_out; "endpoint_changes_left_out");
@@ -426,12 +426,12 @@
     }
 
     /// Takes control addresses of instances; returns all that were met of late.
-    pub fn meet(&self, addrs: &[SocketAddr]) -> Vec<SocketAddr> {
+    pub fn note_addresses(&self, addrs: &[SocketAddr]) -> Vec<SocketAddr> {
         let now_us = self.clock.now_us();
-        let mut met = lock(&self.met);
-        met.extend(addrs.iter().map(|addr| (*addr, now_us)));
-        met.retain(|_, at_us| now_us.saturating_sub(*at_us) < MET_US);
-        met.keys().copied().collect()
+        let mut addresses = lock(&self.recent_addresses);
+        addresses.extend(addrs.iter().map(|addr| (*addr, now_us)));
+        addresses.retain(|_, at_us| now_us.saturating_sub(*at_us) < ADDRESS_LIFETIME_US);
+        addresses.keys().copied().collect()
     }
 
     /// Returns whether this instance watches the store for others.
@@ -445,35 +445,35 @@
     }
 
     /// Returns this instance's place among those that watch the store, or would if others were lost.
-    pub fn place_to_watch(&self) -> usize {
-        self.place_to_watch.load(Ordering::Relaxed)
+    pub fn watch_position(&self) -> usize {
+        self.watch_position.load(Ordering::Relaxed)
     }
 
     /// Sets this instance's place among those that watch the store, or would if others were lost, and that share
     /// retries.
-    pub fn set_place_to_watch(&self, place: usize) {
-        self.place_to_watch.store(place, Ordering::Relaxed);
+    pub fn set_watch_position(&self, place: usize) {
+        self.watch_position.store(place, Ordering::Relaxed);
         lock(&self.retries).set_position(place);
     }
 
     /// Returns whether others ask the store for this instance while it starts.
-    pub fn waits_for_others(&self) -> bool {
-        self.waits_for_others.load(Ordering::Relaxed)
+    pub fn waits_for_peers(&self) -> bool {
+        self.waits_for_peers.load(Ordering::Relaxed)
     }
 
     /// Says that others ask the store for this instance while it starts.
-    pub fn wait_for_others(&self) {
-        self.waits_for_others.store(true, Ordering::Relaxed);
+    pub fn set_waits_for_peers(&self) {
+        self.waits_for_peers.store(true, Ordering::Relaxed);
     }
 
     /// Returns whether another instance has told that it has the configuration and the endpoints.
-    pub fn do_others_know(&self) -> bool {
-        self.others_know.load(Ordering::Relaxed)
+    pub fn do_peers_have_state(&self) -> bool {
+        self.peers_have_state.load(Ordering::Relaxed)
     }
 
     /// Notes that another instance has the configuration and the endpoints.
-    pub fn note_others_know(&self) {
-        self.others_know.store(true, Ordering::Relaxed);
+    pub fn note_peers_have_state(&self) {
+        self.peers_have_state.store(true, Ordering::Relaxed);
     }
 
     /// Returns whether this instance asks others for what it lacks at its start.
@@ -482,7 +482,7 @@
     }
 
     /// Says that this instance asks others for what it lacks at its start.
-    pub fn fetch_at_start(&self) {
+    pub fn set_fetches_at_start(&self) {
         self.fetches_at_start.store(true, Ordering::Relaxed);
     }
 
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -235,7 +235,9 @@
 
     fn record_outcome(&mut self, outcome: Outcome) {
         self.is_over = true;
-        self.gateway.metrics.ended(&self.job.route.name, outcome);
+        self.gateway
+            .metrics
+            .record_outcome(&self.job.route.name, outcome);
         let (gateway, status) = (&self.gateway, self.upstream.status);
         log_answer(
             gateway,
@@ -280,7 +282,8 @@
 
     fn complete(&mut self) -> StreamEnd {
         self.upstream.in_flight.note_complete();
-        self.gateway.note_whole(|| self.job.fingerprint());
+        self.gateway
+            .note_request_completed(|| self.job.fingerprint());
         if let (Some(idle_timeout), Some(connection)) =
             (self.upstream.reuse, self.upstream.connection.take())
         {
--- a/src/limits/quota/account.rs
+++ b/src/limits/quota/account.rs
@@ -1,7 +1,7 @@
 //! An account of an organisation's limit: a token bucket that fills at the leased share of the rate.
 
 use crate::{
-    gateway::config::UseLimit,
+    gateway::config::UsageLimit,
     limits::quota::{message::Verdict, partition::COPIES, shares::Shares},
     prelude::{Micros, Rank},
 };
@@ -56,7 +56,7 @@
 impl Bounds {
     /// Computes the bounds such that what is granted in a window, accumulated before it and used late in it stays
     /// within what the window allows.
-    pub fn new(limit: &UseLimit, tolerance: &Tolerance) -> Self {
+    pub fn new(limit: &UsageLimit, tolerance: &Tolerance) -> Self {
         let rate_per_s = limit.rate_per_s;
         let in_window = rate_per_s * tolerance.window_s;
         let allowed = (in_window + limit.burst) * (1.0 + tolerance.overage) + tolerance.slack;
@@ -80,7 +80,7 @@
 #[derive(Debug)]
 pub(super) struct Account {
     pub(super) bounds: Bounds,
-    pub(super) limit: UseLimit,
+    pub(super) limit: UsageLimit,
     pub(super) level: f64,
     /// [`Shares::accrued_s`] when the account was last filled.
     filled_s: f64,
@@ -94,7 +94,7 @@
 
 impl Account {
     /// Opens an empty account: earlier use is not known.
-    pub(super) fn open(limit: UseLimit, tolerance: &Tolerance, shares: &Shares) -> Self {
+    pub(super) fn open(limit: UsageLimit, tolerance: &Tolerance, shares: &Shares) -> Self {
         Self {
             bounds: Bounds::new(&limit, tolerance),
             limit,
@@ -107,7 +107,12 @@
     }
 
     /// Applies another limit and keeps the level, clipped to the new depth.
-    pub(super) fn update_limit(&mut self, limit: UseLimit, tolerance: &Tolerance, shares: &Shares) {
+    pub(super) fn update_limit(
+        &mut self,
+        limit: UsageLimit,
+        tolerance: &Tolerance,
+        shares: &Shares,
+    ) {
         self.fill(shares);
         self.limit = limit;
         self.bounds = Bounds::new(&limit, tolerance);
--- a/src/limits/quota/node.rs
+++ b/src/limits/quota/node.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 
 use crate::{
-    gateway::config::{GatewayConfig, UseLimit},
+    gateway::config::{GatewayConfig, UsageLimit},
     limits::quota::{
         account::{Bounds, Tolerance},
         client::{Client, Decision, Denied, Grant, LateGrant},
@@ -39,9 +39,9 @@
     /// The organisation's name.
     pub organisation: Name,
     /// The previous limit, if there was one.
-    pub before: Option<UseLimit>,
+    pub before: Option<UsageLimit>,
     /// The new limit; none if it was removed.
-    pub after: Option<UseLimit>,
+    pub after: Option<UsageLimit>,
 }
 
 /// The result of [`Node::acquire`].
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 struct OrganisationLimit {
     name: Name,
-    limit: UseLimit,
+    limit: UsageLimit,
     max_grant_age_us: Micros,
 }
 
@@ -182,7 +182,7 @@
     pub fn configure(&mut self, now_us: Micros, config: &GatewayConfig) -> Vec<LimitChange> {
         let now_us = self.advance(now_us);
         let organisations = config.organisations.iter();
-        let limits: Vec<(Name, UseLimit)> = organisations
+        let limits: Vec<(Name, UsageLimit)> = organisations
             .filter_map(|o| Some((o.name.clone(), o.limit?)))
             .collect();
         self.server.configure(now_us, &limits);
--- a/src/limits/quota/server.rs
+++ b/src/limits/quota/server.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::{
-    gateway::config::UseLimit,
+    gateway::config::UsageLimit,
     limits::quota::{
         account::{Account, Tolerance},
         message::{Lease, Verdict},
@@ -24,7 +24,7 @@
     /// Index of the account among those of the organisation.
     pub copy: u8,
     /// The limit in force at this server.
-    pub limit: UseLimit,
+    pub limit: UsageLimit,
     /// Units left; negative if the account is in debt.
     pub level: i64,
     /// Fraction of the limit that is leased to this server, at most 1.
@@ -94,7 +94,7 @@
     }
 
     /// Applies the limits of a configuration.
-    pub(super) fn configure(&mut self, now_us: Micros, limits: &[(Name, UseLimit)]) {
+    pub(super) fn configure(&mut self, now_us: Micros, limits: &[(Name, UsageLimit)]) {
         self.names.clear();
         for (name, limit) in limits {
             let organisation = short_hash(name);
@@ -112,7 +112,7 @@
         }
     }
 
-    fn set_limit(&mut self, now_us: Micros, organisation: u32, copy: u8, limit: UseLimit) {
+    fn set_limit(&mut self, now_us: Micros, organisation: u32, copy: u8, limit: UsageLimit) {
         let partition = Partition::of(organisation, copy);
         self.advance(now_us, partition);
         let shares = &self.shares[partition.index()];
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -7,7 +7,7 @@
 use crate::{
     gateway::config::{
         CallerLimits, ColdBound, ConfigVersion, Engine, GatewayConfig, Organisation, Route,
-        RouteKind, Service, Target, UseLimit, UseUnit,
+        RouteKind, Service, Target, UsageLimit, UsageUnit,
     },
     prelude::{Name, Rank},
 };
@@ -195,7 +195,7 @@
         max_attempts: spec.max_attempts.max(1),
         public: spec.public,
         targets,
-        homes: named(spec.allowed_regions),
+        allowed_regions: named(spec.allowed_regions),
     }
 }
 
@@ -223,23 +223,23 @@
 
 fn organisation(spec: OrganisationSpec) -> Organisation {
     let unit = if spec.unit.as_deref() == Some(TOKEN_UNIT) {
-        UseUnit::Tokens {
+        UsageUnit::Tokens {
             without_tokens: spec.uncached_tokens as u32,
         }
     } else {
-        UseUnit::Requests
+        UsageUnit::Requests
     };
     let limited = spec.rate_per_s > 0.0;
     Organisation {
         name: spec.name,
         keys: spec.api_keys,
         priority: spec.priority,
-        limit: limited.then_some(UseLimit {
+        limit: limited.then_some(UsageLimit {
             unit,
             rate_per_s: spec.rate_per_s,
             burst: spec.burst,
         }),
-        homes: named(spec.allowed_regions),
+        allowed_regions: named(spec.allowed_regions),
     }
 }
 
--- a/src/platform/edge.rs
+++ b/src/platform/edge.rs
@@ -126,9 +126,9 @@
     let is_seed = settings.seeds.contains(&settings.listen.control);
     // A seed reads from the store at once: the others ask it.
     if !is_seed && !settings.seeds.is_empty() {
-        gateway.fetch_at_start();
+        gateway.set_fetches_at_start();
         if settings.is_first_start {
-            gateway.wait_for_others();
+            gateway.set_waits_for_peers();
         }
     }
     let store = settings.store.address;
@@ -147,7 +147,7 @@
         list,
         settings.is_first_start,
     ));
-    tokio::spawn(instance_count::keep(
+    tokio::spawn(instance_count::run(
         gateway.clone(),
         PlatformStore::new(store),
         settings.is_first_start,
@@ -305,7 +305,7 @@
         gateway.permits.expire(now_us);
         let (gone, _) = gateway.balancer().tick(now_us);
         for id in gone {
-            gateway.log_endpoint(&id, Change::Gone, "lapse");
+            gateway.log_endpoint_change(&id, Change::Gone, "lapse");
         }
     }
 }
--- a/src/platform/follow.rs
+++ b/src/platform/follow.rs
@@ -216,18 +216,18 @@
 ) -> Option<Duration> {
     let now_us = gateway.clock.now_us();
     let look = Duration::from_micros(LOOK_US);
-    let wait_us = match gateway.do_others_know() {
+    let wait_us = match gateway.do_peers_have_state() {
         true => LONGEST_FIRST_WAIT_US,
         false => FIRST_WAIT_US,
     };
-    if gateway.waits_for_others() && now_us < wait_us {
+    if gateway.waits_for_peers() && now_us < wait_us {
         return Some(look);
     }
     let age_us = follower.staleness().age_us(now_us);
     // Where nobody is heard, nobody could tell of a change.
-    let before = match gateway.sharers().heard {
+    let before = match gateway.instance_counts().heard {
         0 | 1 => 0,
-        _ => gateway.place_to_watch().saturating_sub(WATCHERS),
+        _ => gateway.watch_position().saturating_sub(WATCHERS),
     };
     let left_us = follower.bound().ask_age_us(before).checked_sub(age_us)?;
     let pause_us = left_us.clamp(1_000, LOOK_US);
@@ -251,7 +251,7 @@
     if !had_news {
         return wait;
     }
-    let part = gateway.place_to_watch() % WATCHERS + 1;
+    let part = gateway.watch_position() % WATCHERS + 1;
     wait * part as u32 / WATCHERS as u32
 }
 
@@ -260,7 +260,7 @@
     if gateway.watches_store() {
         return pause;
     }
-    let groups = (gateway.sharers().all / RETRY_GROUP).max(1) as u32;
+    let groups = (gateway.instance_counts().all / RETRY_GROUP).max(1) as u32;
     let longest = Duration::from_micros(bound.0).mul_f64(RETRY_SHARE);
     (pause * groups).min(longest)
 }
@@ -435,7 +435,7 @@
             .balancer()
             .upsert_endpoint(entry, metadata.revision);
         if let Some(change) = seen {
-            self.gateway.endpoint_changed(&id, change, "store");
+            self.gateway.handle_endpoint_change(&id, change, "store");
         }
     }
 
@@ -445,7 +445,7 @@
         let change = balancer.remove_endpoint(now_us, name, revision);
         drop(balancer);
         if let Some(change) = change {
-            self.gateway.endpoint_changed(name, change, "store");
+            self.gateway.handle_endpoint_change(name, change, "store");
         }
     }
 
@@ -464,7 +464,7 @@
 
     fn reached(&self, revision: u64, asked_us: Micros) {
         self.gateway.balancer().advance_endpoints_revision(revision);
-        self.gateway.endpoints.confirm(asked_us);
+        self.gateway.endpoints_staleness.confirm(asked_us);
         self.gateway.reconsider();
     }
 }
@@ -474,7 +474,7 @@
     const KIND: &'static str = endpoints::KIND;
 
     fn staleness(&self) -> &Staleness {
-        &self.gateway.endpoints
+        &self.gateway.endpoints_staleness
     }
 
     fn bound(&self) -> StalenessBound {
@@ -498,7 +498,7 @@
                 .balancer()
                 .retain_listed_endpoints(now_us, listing.revision, |id| names.contains(id));
         for (id, change) in changes {
-            self.gateway.endpoint_changed(&id, change, "store");
+            self.gateway.handle_endpoint_change(&id, change, "store");
         }
         for what in listing.unreadable {
             self.pass_over(listing.revision, what);
@@ -558,7 +558,7 @@
         if left_out > 0 {
             log::error!(target: "ryevalve::process", left_out; "evacuations_left_out");
         }
-        self.gateway.take_evacuations(set, Some(asked_us), "store");
+        self.gateway.apply_evacuations(set, Some(asked_us), "store");
     }
 
     /// An object names its data centre; what else stands in it, readable or not, says nothing.
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -9,7 +9,9 @@
 
 use crate::{
     balance::{load::EndpointLoadReport, prefixes::PromptPart},
-    gateway::protocol::{AnswerHead, CallHead, EndpointWords, Forward, Protocol, TokenCounts},
+    gateway::protocol::{
+        AnnouncementHeaders, AnswerHead, CallHead, Forward, Protocol, TokenCounts,
+    },
     limits::{
         back_off::BackOffHeader,
         rate::{LimitHeader, RequestRate},
@@ -106,7 +108,7 @@
             parts: text(headers, PROMPT_PARTS)
                 .map(prompt_parts)
                 .unwrap_or_default(),
-            output_guess: text(headers, LENGTH_HINT).and_then(|t| t.parse().ok()),
+            expected_output_tokens: text(headers, LENGTH_HINT).and_then(|t| t.parse().ok()),
         }
     }
 
@@ -130,9 +132,9 @@
             is_signed: headers.contains_key(SIGNATURE),
             not_executed: headers.contains_key(NOT_EXECUTED),
             load: text(headers, LOAD).and_then(load),
-            words: EndpointWords {
+            announcements: AnnouncementHeaders {
                 leaves: leaves(headers),
-                rest: rest(status, headers),
+                back_off: rest(status, headers),
                 limit: limit(headers),
             },
             unread: unread(headers),
--- a/src/summary.rs
+++ b/src/summary.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use serde_json::{Map, Value};
 
-use crate::{explain, gateway::report::SAMPLE};
+use crate::{explain, gateway::report::SAMPLE_INTERVAL};
 
 /// The longest first event that is told apart, in milliseconds: no caller waits longer.
 const MAX_FIRST_MS: u64 = 600_000;
@@ -109,7 +109,11 @@
         let is_late = first_ms > target_ms;
         let paused = number("longest_gap_ms") > number("target_gap_ms");
         let is_plain = !is_late && !paused && number("attempts") <= 1;
-        let count = if is_plain { u64::from(SAMPLE) } else { 1 };
+        let count = if is_plain {
+            u64::from(SAMPLE_INTERVAL)
+        } else {
+            1
+        };
         if number("prompt_tokens") > 0 {
             let expected_ms = number("expected_first_ms");
             let source = Source {
--- a/tests/edge/homes.rs
+++ b/tests/edge/allowed_regions.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-use crate::support::{Edge, Got, config, entry};
+use crate::support::{CallerResponse, Edge, config, entry};
 
 const ZONES: &str = "\n[zones]\nhall = \"west\"\nb = \"east\"\n";
 const REQUESTS: usize = 12;
@@ -29,7 +29,7 @@
     edge
 }
 
-async fn call(edge: &Edge) -> Vec<Got> {
+async fn call(edge: &Edge) -> Vec<CallerResponse> {
     let mut got = Vec::new();
     for number in 0..REQUESTS {
         got.push(edge.call("/again/w", &format!("whole-{number}")).await);
--- a/tests/edge/endpoint_limits.rs
+++ b/tests/edge/endpoint_limits.rs
@@ -87,7 +87,7 @@
 /// Returns how many endpoints an instance knows to have a limit.
 fn limited(site: &Site, instance: usize) -> usize {
     let gateway = &site.instances[instance].gateway;
-    gateway.balancer().standings().limited()
+    gateway.balancer().announcements().limited()
 }
 
 /// Seven instances, and one endpoint of four has a limit: it gets what its limit allows, the others get the rest, and
@@ -99,7 +99,7 @@
     let announced = Instant::now();
     let ended = send_load(&site, PLAIN).await;
     for instance in &site.instances {
-        let limited = instance.gateway.balancer().standings().limited();
+        let limited = instance.gateway.balancer().announcements().limited();
         assert_eq!(limited, 1, "the instance knows the limit");
     }
     check_enforced(&site, 0, 1.9, announced + ENFORCED_AFTER);
@@ -256,7 +256,7 @@
     })
     .await;
 
-    site.lose_all();
+    site.kill_all();
     site.start_instances(3).await;
     let started = Instant::now();
     let site = Arc::new(site);
@@ -287,7 +287,7 @@
         }
         all.push(instance);
     }
-    let knows_all = |i: &Instance| i.gateway.sharers().heard == instances;
+    let knows_all = |i: &Instance| i.gateway.instance_counts().heard == instances;
     until("all to know each other", || all.iter().all(knows_all)).await;
     all
 }
@@ -299,7 +299,7 @@
     let all = Arc::new(start_cluster(46, 85).await);
     let learn = |instance: usize, header: LimitHeader| {
         let mut balancer = all[instance].gateway.balancer();
-        let version = balancer.standings().version(key());
+        let version = balancer.announcements().version(key());
         let now_us = all[instance].gateway.clock.now_us();
         assert!(
             balancer
@@ -308,7 +308,7 @@
         );
     };
     let all_know = |rate: Option<RequestRate>| {
-        let limit = |i: &Instance| i.gateway.balancer().standings().rate(key());
+        let limit = |i: &Instance| i.gateway.balancer().announcements().rate(key());
         all.iter().all(|i| limit(i) == rate)
     };
     let rate = RequestRate::parse("1.9");
@@ -357,7 +357,7 @@
     let announced = Instant::now();
     let now_us = all[9].gateway.clock.now_us();
     assert!(all[9].gateway.balancer().record_leaving(now_us, key()));
-    let leaves = |i: &Instance| i.gateway.balancer().standings().leaves(key());
+    let leaves = |i: &Instance| i.gateway.balancer().announcements().leaves(key());
     until("all to know that the endpoint leaves", || {
         all.iter().all(leaves)
     })
--- a/tests/edge/group.rs
+++ b/tests/edge/group.rs
@@ -151,7 +151,7 @@
 
     /// Asks others for what it lacks, as one that is started and is no seed.
     pub fn fetch_at_start(&mut self) {
-        self.gateway.fetch_at_start();
+        self.gateway.set_fetches_at_start();
         let fetching = self.exchange.clone().fetch_at_start();
         self.tasks.push(tokio::spawn(fetching));
     }
@@ -247,7 +247,7 @@
         deadline_us: now_us + 10_000_000,
         rank: 0,
         other_hall_cost: 0.0,
-        homes: AllowedRegions::default(),
+        allowed_regions: AllowedRegions::default(),
         draw: 7,
     }
 }
--- a/tests/edge/large_group.rs
+++ b/tests/edge/large_group.rs
@@ -57,7 +57,7 @@
     }
     let heard = |all: &[Instance], heard: usize| {
         let expected = InstanceCounts { all: ALL, heard };
-        all.iter().all(|i| i.gateway.sharers() == expected)
+        all.iter().all(|i| i.gateway.instance_counts() == expected)
     };
     until("all to hear of all", || heard(&all, ALL)).await;
     send_one(&all[0]);
--- a/tests/edge/late_news.rs
+++ b/tests/edge/late_news.rs
@@ -58,7 +58,7 @@
                 service: "plain".into(),
                 weight: 1,
             }],
-            homes: None,
+            allowed_regions: None,
         }
     };
     GatewayConfig {
@@ -170,7 +170,7 @@
         all.push((instance, path));
     }
     until("all to hear of all", || {
-        let heard = |i: &Instance| i.gateway.sharers().heard;
+        let heard = |i: &Instance| i.gateway.instance_counts().heard;
         all.iter().all(|(i, _)| heard(i) == all.len())
     })
     .await;
--- a/tests/edge/leaving_endpoints.rs
+++ b/tests/edge/leaving_endpoints.rs
@@ -18,7 +18,7 @@
 use crate::{
     group::until,
     load_generator::{Demand, send_load},
-    site::{DOWN, Site},
+    site::{RESTART_DELAY, Site},
 };
 
 /// How long an endpoint may still get requests after it announces that it leaves. All instances know by then.
@@ -71,7 +71,7 @@
     let key = EndpointKey::of(&format!("e{endpoint}-0"));
     let gateway = site.instances[instance].gateway.clone();
     until("the instance to know that it leaves", || {
-        gateway.balancer().standings().leaves(key)
+        gateway.balancer().announcements().leaves(key)
     })
     .await;
 }
@@ -119,7 +119,11 @@
         assert_eq!(got.status, 200, "{value}");
     }
     assert_eq!(
-        site.instances[0].gateway.balancer().standings().leaving(),
+        site.instances[0]
+            .gateway
+            .balancer()
+            .announcements()
+            .leaving(),
         0
     );
 }
@@ -149,7 +153,7 @@
     assert!(joined.elapsed() < Duration::from_secs(3), "known in time");
 
     site.runners[0].end();
-    time::sleep(DOWN + Duration::from_secs(2)).await;
+    time::sleep(RESTART_DELAY + Duration::from_secs(2)).await;
     let (site, restarted) = (Arc::new(site), Instant::now());
     send_load(&site, streams).await;
     let got = arrivals(&site, 0, restarted);
--- a/tests/edge/load_generator.rs
+++ b/tests/edge/load_generator.rs
@@ -8,7 +8,7 @@
 use hyper::StatusCode;
 use tokio::{task::JoinSet, time};
 
-use crate::{site::Site, support::Got};
+use crate::{site::Site, support::CallerResponse};
 
 /// The load on each instance.
 #[derive(Clone, Copy)]
@@ -29,7 +29,7 @@
 }
 
 impl Outcomes {
-    fn count(&mut self, got: &Got) {
+    fn count(&mut self, got: &CallerResponse) {
         match got.status {
             StatusCode::OK if got.is_whole => self.served += 1,
             StatusCode::SERVICE_UNAVAILABLE => self.refused += 1,
--- a/tests/edge/main.rs
+++ b/tests/edge/main.rs
@@ -1,11 +1,11 @@
 //! The `edge` program as a process of its own, among a store and endpoints that misbehave.
 
+mod allowed_regions;
 mod answers;
 mod control;
 mod endpoint_limits;
 mod evacuations;
 mod group;
-mod homes;
 mod large_copies;
 mod large_group;
 mod late_news;
--- a/tests/edge/poison_requests.rs
+++ b/tests/edge/poison_requests.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     group::until,
-    site::{DOWN, Site, entry},
+    site::{RESTART_DELAY, Site, entry},
     support::{Edge, exchange, request},
 };
 
@@ -106,7 +106,7 @@
         site.runners.iter().all(|r| !r.has_ended())
     })
     .await;
-    time::sleep(DOWN).await;
+    time::sleep(RESTART_DELAY).await;
     let got = site.call(0, "/again/w", "other", "other work").await;
     assert_eq!(got.status, StatusCode::OK);
 }
@@ -250,7 +250,7 @@
     site.send_attempts(path, &body).await;
     let before = site.reached(&body);
     let reads = site.platform.counts();
-    site.lose_all();
+    site.kill_all();
     site.start_instances(3).await;
     time::sleep(SYNC_TIME).await;
     site.send_attempts(path, &body).await;
--- a/tests/edge/reservations.rs
+++ b/tests/edge/reservations.rs
@@ -60,7 +60,7 @@
                 |i: &&Instance| i.gateway.balancer().load_view().is_hall_aggregator();
             let reports_arrive = instances
                 .iter()
-                .all(|i| i.gateway.sharers().heard == INSTANCES);
+                .all(|i| i.gateway.instance_counts().heard == INSTANCES);
             reports_arrive && instances.iter().filter(assigns_slots).count() == 2
         },
     )
--- a/tests/edge/resting_endpoints.rs
+++ b/tests/edge/resting_endpoints.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     load_generator::{Demand, Outcomes, send_load, target_instance},
-    site::{DOWN, Site},
+    site::{RESTART_DELAY, Site},
     support::Edge,
 };
 
@@ -193,7 +193,7 @@
     for value in ["-1", "1e9", "", "soon", "0"] {
         site.runners[0].ask_for_rest(Some(value));
         call_until_reached(&site, value).await;
-        let back_offs = site.instances[0].gateway.balancer().rests().len();
+        let back_offs = site.instances[0].gateway.balancer().back_offs().len();
         assert_eq!(back_offs, 0, "{value}");
     }
     site.runners[0].ask_for_rest(None);
@@ -231,9 +231,9 @@
         },
     )
     .await;
-    assert_eq!(site.instances[0].gateway.balancer().rests().len(), 1);
+    assert_eq!(site.instances[0].gateway.balancer().back_offs().len(), 1);
     site.runners[0].end();
-    time::sleep(DOWN + Duration::from_secs(1)).await;
+    time::sleep(RESTART_DELAY + Duration::from_secs(1)).await;
     let before = site.runners[0].seen().len();
     send_load(
         &site,
--- a/tests/edge/site.rs
+++ b/tests/edge/site.rs
@@ -8,12 +8,12 @@
 
 use crate::{
     group::{Instance, Place, address, free_port, until},
-    support::{Got, config, exchange, request},
+    support::{CallerResponse, config, exchange, request},
 };
 
 const HALLS: [&str; 3] = ["a", "b", "c"];
 /// An endpoint that ended is back after this time.
-pub const DOWN: Duration = Duration::from_millis(400);
+pub const RESTART_DELAY: Duration = Duration::from_millis(400);
 
 /// How long after an evacuation its endpoints may be sent requests.
 pub const EVACUATE: Duration = Duration::from_secs(2);
@@ -51,7 +51,7 @@
         time::sleep(Duration::from_millis(10)).await;
         let ended = (0..runners.len()).find(|index| runners[*index].has_ended());
         let Some(index) = ended else { continue };
-        time::sleep(DOWN).await;
+        time::sleep(RESTART_DELAY).await;
         platform.remove("servers", &format!("e{index}-{}", starts[index]));
         starts[index] += 1;
         let id = format!("e{index}-{}", starts[index]);
@@ -95,7 +95,8 @@
             self.start_instance().await;
         }
         let site = self;
-        let knows = |i: &Instance| i.gateway.sharers().heard == instances && i.gateway.is_ready();
+        let knows =
+            |i: &Instance| i.gateway.instance_counts().heard == instances && i.gateway.is_ready();
         until("all to know each other", || {
             site.instances.iter().all(knows)
         })
@@ -105,7 +106,7 @@
     }
 
     /// Ends all instances as a kill does.
-    pub fn lose_all(&mut self) {
+    pub fn kill_all(&mut self) {
         self.lost += self.instances.len();
         self.instances.clear();
         self.callers.clear();
@@ -137,7 +138,7 @@
     }
 
     /// Sends one try of some work to an instance.
-    pub async fn call(&self, instance: usize, path: &str, id: &str, body: &str) -> Got {
+    pub async fn call(&self, instance: usize, path: &str, id: &str, body: &str) -> CallerResponse {
         let mut request = request(path, id, &[]);
         *request.body_mut() = body.to_owned().into();
         let got = exchange(self.callers[instance], request).await;
--- a/tests/edge/store_lists.rs
+++ b/tests/edge/store_lists.rs
@@ -107,7 +107,7 @@
         removed: Vec::new(),
         is_whole: true,
     };
-    instance.gateway.take_endpoints(copy, None);
+    instance.gateway.apply_peer_endpoints(copy, None);
 }
 
 /// Guards against calls that grow with instances times endpoints: each instance that nobody tells of changes asks the
@@ -133,7 +133,7 @@
 async fn one_to_which_nobody_brings_what_changed_lists_anew() {
     let platform = start_store().await;
     let mut instance = start_instance(63).await;
-    instance.gateway.fetch_at_start();
+    instance.gateway.set_fetches_at_start();
     bring_all(&platform, &instance);
     platform.set("servers", &id(1), entry("draining"));
     platform.forget_history();
--- a/tests/edge/support.rs
+++ b/tests/edge/support.rs
@@ -36,7 +36,7 @@
 
 /// What a caller got.
 #[derive(Debug)]
-pub struct Got {
+pub struct CallerResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
@@ -44,7 +44,7 @@
     pub is_whole: bool,
 }
 
-impl Got {
+impl CallerResponse {
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
@@ -153,11 +153,16 @@
     }
 
     /// Sends a request under an id and returns what came.
-    pub async fn call(&self, path: &str, id: &str) -> Got {
+    pub async fn call(&self, path: &str, id: &str) -> CallerResponse {
         self.call_with(path, id, &[]).await
     }
 
-    pub async fn call_with(&self, path: &str, id: &str, headers: &[(&str, &str)]) -> Got {
+    pub async fn call_with(
+        &self,
+        path: &str,
+        id: &str,
+        headers: &[(&str, &str)],
+    ) -> CallerResponse {
         let request = request(path, id, headers);
         let calling = exchange(self.callers, request);
         let got = time::timeout(PATIENCE, calling)
@@ -265,7 +270,7 @@
 }
 
 /// Sends a request on a connection of its own; none if it brought no answer.
-pub async fn exchange(addr: SocketAddr, request: Request<Full<Bytes>>) -> Option<Got> {
+pub async fn exchange(addr: SocketAddr, request: Request<Full<Bytes>>) -> Option<CallerResponse> {
     let stream = TcpStream::connect(addr).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
     let driver = tokio::spawn(connection);
@@ -280,7 +285,7 @@
         }
     };
     driver.abort();
-    Some(Got {
+    Some(CallerResponse {
         status: parts.status,
         headers: parts.headers,
         body: bytes.into(),
--- a/tests/gateway/balancer.rs
+++ b/tests/gateway/balancer.rs
@@ -13,7 +13,7 @@
     prelude::Incarnation,
 };
 
-use crate::support::{MS, SECOND, ask, entry};
+use crate::support::{MS, SECOND, entry, placement_request};
 
 const SLOTS: u32 = 4;
 
@@ -33,10 +33,11 @@
 fn own_hall_is_preferred_until_it_is_full() {
     let mut balancer = balancer(&[("near", "here"), ("far", "there")]);
     for subject in 0..SLOTS {
-        let choice = sent(balancer.place(0, &ask(u64::from(subject), 100, 0, 0), &[]));
+        let choice =
+            sent(balancer.place(0, &placement_request(u64::from(subject), 100, 0, 0), &[]));
         assert_eq!(&*choice.id, "near");
     }
-    let next = sent(balancer.place(0, &ask(99, 100, 0, 0), &[]));
+    let next = sent(balancer.place(0, &placement_request(99, 100, 0, 0), &[]));
     assert_eq!(&*next.id, "far");
 }
 
@@ -53,7 +54,7 @@
         };
         let loads = names[1..].iter().map(|n| (EndpointKey::of(n), half));
         balancer.apply_peer_update(0, Incarnation(1), &loads.collect::<Vec<_>>(), &[], &[]);
-        sent(balancer.place(0, &ask(instance * 7, 100, 0, 0), &[])).key
+        sent(balancer.place(0, &placement_request(instance * 7, 100, 0, 0), &[])).key
     });
     let chosen: Vec<EndpointKey> = chosen.collect();
     let idle = chosen
@@ -72,7 +73,7 @@
     let names: Vec<String> = (0..20).map(|n| format!("far{n}")).collect();
     let endpoints: Vec<(&str, &str)> = names.iter().map(|n| (n.as_str(), "there")).collect();
     let mut balancer = balancer(&endpoints);
-    let request = ask(7, 100, 0, 0);
+    let request = placement_request(7, 100, 0, 0);
     let considered: std::collections::HashSet<_> = (0..12)
         .map(|step| {
             let choice = sent(balancer.place(step * 20 * MS, &request, &[]));
@@ -86,11 +87,11 @@
 #[test]
 fn prompt_returns_to_the_endpoint_that_has_it_cached() {
     let mut balancer = balancer(&[("a", "here"), ("b", "here"), ("c", "here")]);
-    let first = sent(balancer.place(0, &ask(7, 6_000, 0, 0), &[]));
+    let first = sent(balancer.place(0, &placement_request(7, 6_000, 0, 0), &[]));
     balancer.record_first_event(&first, 150.0);
     balancer.end(first.key, 0, Some(900.0));
     for _ in 0..5 {
-        let again = sent(balancer.place(SECOND, &ask(7, 6_000, 0, SECOND), &[]));
+        let again = sent(balancer.place(SECOND, &placement_request(7, 6_000, 0, SECOND), &[]));
         assert_eq!(again.key, first.key);
         assert_eq!(again.expected.uncached_tokens, 0);
         balancer.end(again.key, 0, None);
@@ -104,10 +105,10 @@
         balancer.update_speed(EndpointKey::of("slow"), |s| s.record_event_gap(60.0));
         balancer.update_speed(EndpointKey::of("fast"), |s| s.record_event_gap(12.0));
     }
-    let short = ask(1, 100, 0, 0);
+    let short = placement_request(1, 100, 0, 0);
     assert_eq!(&*sent(balancer.place(0, &short, &[])).id, "slow");
     // 15 s at 60 ms per event are 250 events.
-    let mut long = ask(2, 100, 0, 0);
+    let mut long = placement_request(2, 100, 0, 0);
     long.output_events = 400.0;
     assert_eq!(&*sent(balancer.place(0, &long, &[])).id, "fast");
 }
@@ -127,14 +128,14 @@
     );
     let mut here = balancer(&[("slow", "here"), ("fast", "here")]);
     here.apply_peer_update(0, Incarnation(1), &[], &[], &samples);
-    let choice = sent(here.place(0, &ask(1, 6_000, 0, 0), &[]));
+    let choice = sent(here.place(0, &placement_request(1, 6_000, 0, 0), &[]));
     assert_eq!(choice.key, fast);
     assert!(
         choice.expected.first_ms < 150.0,
         "{}",
         choice.expected.first_ms
     );
-    let other = sent(here.place(0, &ask(2, 6_000, 0, 0), &[fast]));
+    let other = sent(here.place(0, &placement_request(2, 6_000, 0, 0), &[fast]));
     assert!(
         other.expected.first_ms > 700.0,
         "{}",
@@ -150,12 +151,12 @@
     let known = EndpointKey::of("known");
     // 6,000 tokens in 600 ms, slower than the initial value.
     for subject in 0..5 {
-        let choice = sent(balancer.place(0, &ask(subject, 6_000, 0, 0), &[]));
+        let choice = sent(balancer.place(0, &placement_request(subject, 6_000, 0, 0), &[]));
         assert_eq!(choice.key, known);
         balancer.record_first_event(&choice, 620.0);
         balancer.end(choice.key, 0, None);
     }
-    let unknown = sent(balancer.place(0, &ask(90, 6_000, 0, 0), &[known]));
+    let unknown = sent(balancer.place(0, &placement_request(90, 6_000, 0, 0), &[known]));
     assert!(
         unknown.expected.first_ms > 500.0,
         "{}",
@@ -178,10 +179,10 @@
     let mut here = balancer(&[("near", "here"), ("far", "there")]);
     here.apply_speed_summaries(&summaries);
     let near = EndpointKey::of("near");
-    let far = sent(here.place(0, &ask(1, 3_000, 0, 0), &[near]));
+    let far = sent(here.place(0, &placement_request(1, 3_000, 0, 0), &[near]));
     assert!(far.expected.first_ms > 500.0, "{}", far.expected.first_ms);
     let own = EndpointKey::of("far");
-    let before = sent(there.place(0, &ask(1, 600, 0, 0), &[near]))
+    let before = sent(there.place(0, &placement_request(1, 600, 0, 0), &[near]))
         .expected
         .first_ms;
     there.apply_speed_summaries(&[(
@@ -192,7 +193,7 @@
             hold_ms: 1,
         },
     )]);
-    let after = sent(there.place(0, &ask(2, 600, 0, 0), &[near]))
+    let after = sent(there.place(0, &placement_request(2, 600, 0, 0), &[near]))
         .expected
         .first_ms;
     assert!(after >= before, "summaries of the own hall are ignored");
@@ -231,7 +232,7 @@
     ];
     balancer.apply_peer_update(0, Incarnation(1), &[], &[], &peer_samples);
     for tokens in [300, 6_000, 20_000] {
-        let choice = sent(balancer.place(0, &ask(1, tokens, 0, 0), &[]));
+        let choice = sent(balancer.place(0, &placement_request(1, tokens, 0, 0), &[]));
         assert_eq!(choice.key, fast, "{tokens} tokens");
         balancer.end(choice.key, choice.expected.uncached_tokens, None);
     }
@@ -246,10 +247,16 @@
         prompt_tokens: 30_000,
     };
     balancer.apply_peer_update(0, Incarnation(1), &[(a, busy)], &[], &[]);
-    assert_eq!(sent(balancer.place(0, &ask(1, 100, 0, 0), &[])).key, b);
+    assert_eq!(
+        sent(balancer.place(0, &placement_request(1, 100, 0, 0), &[])).key,
+        b
+    );
     // The next update replaces the previous one; without updates it expires.
     balancer.apply_peer_update(MS, Incarnation(1), &[(b, busy)], &[], &[]);
-    assert_eq!(sent(balancer.place(MS, &ask(2, 100, 0, MS), &[])).key, a);
+    assert_eq!(
+        sent(balancer.place(MS, &placement_request(2, 100, 0, MS), &[])).key,
+        a
+    );
     let (_, silent) = balancer.tick(10 * SECOND);
     assert_eq!(silent, vec![Incarnation(1)]);
     assert_eq!(balancer.load_view().reporting_peers(), 0);
@@ -266,9 +273,13 @@
     balancer
         .load_view_mut()
         .record_load_report(0, EndpointKey::of("a"), report);
-    let choice = sent(balancer.place(0, &ask(1, 100, 0, 0), &[]));
+    let choice = sent(balancer.place(0, &placement_request(1, 100, 0, 0), &[]));
     assert_eq!(&*choice.id, "b");
-    let later = sent(balancer.place(2 * SECOND, &ask(1, 100, 0, 2 * SECOND), &[choice.key]));
+    let later = sent(balancer.place(
+        2 * SECOND,
+        &placement_request(1, 100, 0, 2 * SECOND),
+        &[choice.key],
+    ));
     assert!(later.expected.has_room, "an expired report does not count");
 }
 
@@ -289,7 +300,10 @@
     other
         .load_view_mut()
         .apply_unaccounted_load(0, &unaccounted);
-    assert_eq!(&*sent(other.place(0, &ask(1, 100, 0, 0), &[])).id, "b");
+    assert_eq!(
+        &*sent(other.place(0, &placement_request(1, 100, 0, 0), &[])).id,
+        "b"
+    );
     assert!(
         other.load_view_mut().take_unaccounted_load().is_empty(),
         "only the instance that got the report sends it"
@@ -303,15 +317,18 @@
     draining.draining = true;
     balancer.upsert_endpoint(draining, 2);
     let b = EndpointKey::of("b");
-    assert_eq!(sent(balancer.place(0, &ask(1, 100, 0, 0), &[])).key, b);
+    assert_eq!(
+        sent(balancer.place(0, &placement_request(1, 100, 0, 0), &[])).key,
+        b
+    );
     assert_matches!(
-        balancer.place(0, &ask(1, 100, 0, 0), &[b]),
+        balancer.place(0, &placement_request(1, 100, 0, 0), &[b]),
         Placement::Refuse { .. }
     );
     balancer.mark_endpoint_replaced(b);
     assert_eq!(balancer.take_dead(), vec![b]);
     assert_matches!(
-        balancer.place(0, &ask(1, 100, 0, 0), &[]),
+        balancer.place(0, &placement_request(1, 100, 0, 0), &[]),
         Placement::Refuse { .. }
     );
 }
@@ -319,15 +336,15 @@
 #[test]
 fn failing_endpoint_is_avoided_and_tried_again_later() {
     let mut balancer = balancer(&[("a", "here"), ("b", "here")]);
-    let first = sent(balancer.place(0, &ask(1, 100, 0, 0), &[]));
+    let first = sent(balancer.place(0, &placement_request(1, 100, 0, 0), &[]));
     balancer.update_speed(first.key, |s| s.record_unreachable(0));
     balancer.end(first.key, 100, None);
     for step in 0..SLOTS {
-        let choice = sent(balancer.place(MS, &ask(u64::from(step), 100, 0, MS), &[]));
+        let choice = sent(balancer.place(MS, &placement_request(u64::from(step), 100, 0, MS), &[]));
         assert_ne!(choice.key, first.key);
     }
     let later_us = 30 * SECOND;
-    let choice = sent(balancer.place(later_us, &ask(50, 100, 0, later_us), &[]));
+    let choice = sent(balancer.place(later_us, &placement_request(50, 100, 0, later_us), &[]));
     assert_eq!(choice.key, first.key);
 }
 
@@ -335,8 +352,8 @@
 fn full_service_queues_then_refuses_with_a_retry_delay() {
     let mut balancer = balancer(&[("a", "here")]);
     // Long prompts: a request queued after them would be late.
-    while let Placement::Send(_) = balancer.place(0, &ask(1, 9_000, 0, 0), &[]) {}
-    let late = ask(2, 9_000, 0, 0);
+    while let Placement::Send(_) = balancer.place(0, &placement_request(1, 9_000, 0, 0), &[]) {}
+    let late = placement_request(2, 9_000, 0, 0);
     assert_matches!(balancer.place(0, &late, &[]), Placement::Wait);
     let decided = balancer.place(300 * MS, &late, &[]);
     assert_matches!(decided, Placement::Refuse { reason: "busy", retry_after_ms } if retry_after_ms >= 100);
@@ -345,9 +362,9 @@
 #[test]
 fn retry_delay_is_a_share_of_the_remaining_time() {
     let mut balancer = balancer(&[("a", "here")]);
-    while let Placement::Send(_) = balancer.place(0, &ask(1, 9_000, 0, 0), &[]) {}
+    while let Placement::Send(_) = balancer.place(0, &placement_request(1, 9_000, 0, 0), &[]) {}
     let mut refused = |deadline_us: u64| {
-        let mut late = ask(2, 9_000, 0, 0);
+        let mut late = placement_request(2, 9_000, 0, 0);
         late.deadline_us = deadline_us;
         let decided = balancer.place(300 * MS, &late, &[]);
         assert_matches!(decided, Placement::Refuse { retry_after_ms, .. } => retry_after_ms)
@@ -363,12 +380,13 @@
 fn most_urgent_waiting_request_is_sent_first() {
     let mut balancer = balancer(&[("a", "here")]);
     let mut held = Vec::new();
-    while let Placement::Send(choice) = balancer.place(0, &ask(held.len() as u64, 2_000, 0, 0), &[])
+    while let Placement::Send(choice) =
+        balancer.place(0, &placement_request(held.len() as u64, 2_000, 0, 0), &[])
     {
         held.push(choice);
     }
-    let low = balancer.enqueue(ask(100, 100, 2, 0));
-    let high = balancer.enqueue(ask(101, 100, 0, 0));
+    let low = balancer.enqueue(placement_request(100, 100, 2, 0));
+    let high = balancer.enqueue(placement_request(101, 100, 0, 0));
     for choice in &held {
         balancer.record_first_event(choice, 50.0);
     }
@@ -387,9 +405,9 @@
 #[test]
 fn less_urgent_requests_leave_endpoint_queues_to_more_urgent_ones() {
     let mut balancer = balancer(&[("a", "here")]);
-    while let Placement::Send(_) = balancer.place(0, &ask(1, 2_000, 2, 0), &[]) {}
+    while let Placement::Send(_) = balancer.place(0, &placement_request(1, 2_000, 2, 0), &[]) {}
     assert_matches!(
-        balancer.place(0, &ask(2, 2_000, 0, 0), &[]),
+        balancer.place(0, &placement_request(2, 2_000, 0, 0), &[]),
         Placement::Send(_)
     );
 }
@@ -405,7 +423,7 @@
             now_us += 7 * MS;
             match action {
                 0..=2 => {
-                    let placement = balancer.place(now_us, &ask(subject, tokens, (subject % 3) as u8, now_us), &[]);
+                    let placement = balancer.place(now_us, &placement_request(subject, tokens, (subject % 3) as u8, now_us), &[]);
                     if let Placement::Send(choice) = placement {
                         running.push((choice, false));
                     }
@@ -438,7 +456,7 @@
 fn unsent_state_is_bounded_without_peers() {
     let mut balancer = balancer(&[("a", "here")]);
     for subject in 0..5_000 {
-        let choice = sent(balancer.place(0, &ask(subject, 400, 0, 0), &[]));
+        let choice = sent(balancer.place(0, &placement_request(subject, 400, 0, 0), &[]));
         // The largest values that fit: sums that are never sent must not overflow.
         balancer.update_speed(choice.key, |s| {
             s.record_first_event(f64::from(u32::MAX), 1e9)
@@ -452,7 +470,7 @@
 #[test]
 fn unary_requests_go_to_the_faster_endpoint() {
     let mut balancer = balancer(&[("slow", "here"), ("fast", "here")]);
-    let mut unary = ask(1, 0, 0, 0);
+    let mut unary = placement_request(1, 0, 0, 0);
     unary.is_stream = false;
     for _ in 0..30 {
         balancer.update_speed(EndpointKey::of("slow"), |s| s.record_unary(300.0));
@@ -471,7 +489,7 @@
     let mut balancer = balancer(&[("near", "here")]);
     let of = |subject, waited_us| PlacementRequest {
         waited_us,
-        ..ask(subject, 100, 1, 0)
+        ..placement_request(subject, 100, 1, 0)
     };
     for subject in 0..u64::from(SLOTS) {
         sent(balancer.place(0, &of(subject, 0), &[]));
@@ -497,7 +515,7 @@
     let mut balancer = balancer(&[("near", "here")]);
     let late = PlacementRequest {
         waited_us: 3 * SECOND,
-        ..ask(1, 400, 1, 0)
+        ..placement_request(1, 400, 1, 0)
     };
     sent(balancer.place(0, &late, &[]));
 }
@@ -517,7 +535,7 @@
             };
             let loads = names[1..].iter().map(|n| (EndpointKey::of(n), half));
             balancer.apply_peer_update(0, Incarnation(1), &loads.collect::<Vec<_>>(), &[], &[]);
-            sent(balancer.place(0, &ask(instance * 7, 100, 0, 0), &[])).key
+            sent(balancer.place(0, &placement_request(instance * 7, 100, 0, 0), &[])).key
         });
         chosen.filter(|k| *k == EndpointKey::of("near0")).count()
     };
@@ -543,7 +561,7 @@
     let peer_loads = [(EndpointKey::of("busy"), load)];
     balancer.apply_peer_update(0, Incarnation(1), &peer_loads, &[], &[]);
     let there = |balancer: &mut Balancer, now_us| {
-        let choice = sent(balancer.place(now_us, &ask(7, 100, 0, now_us), &[]));
+        let choice = sent(balancer.place(now_us, &placement_request(7, 100, 0, now_us), &[]));
         balancer.end(choice.key, choice.expected.uncached_tokens, None);
         (choice.id, choice.expected.there)
     };
@@ -585,6 +603,6 @@
     // x1 looks idle to every instance, so it will not stay idle.
     let peer_loads = [load("x1", 0), load("x2", 8), load("y1", 1), load("y2", 1)];
     balancer.apply_peer_update(0, Incarnation(1), &peer_loads, &[], &[]);
-    let choice = sent(balancer.place(100 * MS, &ask(7, 100, 0, 100 * MS), &[]));
+    let choice = sent(balancer.place(100 * MS, &placement_request(7, 100, 0, 100 * MS), &[]));
     assert_eq!(&*choice.hall, "calm", "{}", choice.id);
 }
--- a/tests/gateway/cold.rs
+++ b/tests/gateway/cold.rs
@@ -19,7 +19,7 @@
     prelude::Name,
 };
 
-use crate::support::{MS, SECOND, ask, entry};
+use crate::support::{MS, SECOND, entry, placement_request};
 
 const TOLERANCE: ColdTolerance = ColdTolerance {
     overage: 1.5,
@@ -110,10 +110,14 @@
     balancer.upsert_endpoint(cold_entry("one", "a", 500), 2);
     assert_eq!(balancer.readiness(5 * SECOND, key), Readiness::NeedsPermit);
     // Requests are sent there only with a permit.
-    let placed = balancer.place(5 * SECOND, &ask(1, 100, 0, 5 * SECOND), &[]);
+    let placed = balancer.place(5 * SECOND, &placement_request(1, 100, 0, 5 * SECOND), &[]);
     assert!(matches!(placed, Placement::Refuse { .. }), "{placed:?}");
-    let placed =
-        balancer.place_with_permit(5 * SECOND, &ask(1, 100, 0, 5 * SECOND), &[], Some(key));
+    let placed = balancer.place_with_permit(
+        5 * SECOND,
+        &placement_request(1, 100, 0, 5 * SECOND),
+        &[],
+        Some(key),
+    );
     assert!(matches!(placed, Placement::Send(_)), "{placed:?}");
 }
 
@@ -134,15 +138,15 @@
     balancer.upsert_endpoint(entry("two", "b", 8), 1);
     let keys = ["one", "two"].map(EndpointKey::of);
     let change = EvacuationChange {
-        begun: vec!["b".into()],
+        started: vec!["b".into()],
         ended: vec![],
     };
     balancer.apply_evacuation_change(SECOND, &change);
     assert_eq!(balancer.readiness(SECOND, keys[0]), Readiness::Ready);
     assert_eq!(balancer.readiness(SECOND, keys[1]), Readiness::Evacuated);
     let back = EvacuationChange {
-        begun: vec![],
-        ended: change.begun,
+        started: vec![],
+        ended: change.started,
     };
     balancer.apply_evacuation_change(9 * SECOND, &back);
     assert_eq!(
@@ -157,11 +161,11 @@
     let mut balancer = balancer();
     balancer.upsert_endpoint(entry("one", "b", 8), 1);
     let change = EvacuationChange {
-        begun: vec!["b".into()],
+        started: vec!["b".into()],
         ended: vec![],
     };
     balancer.apply_evacuation_change(0, &change);
-    let placed = balancer.place(SECOND, &ask(1, 100, 0, SECOND), &[]);
+    let placed = balancer.place(SECOND, &placement_request(1, 100, 0, SECOND), &[]);
     let reason = match placed {
         Placement::Refuse { reason, .. } => reason,
         placed => panic!("{placed:?}"),
@@ -178,7 +182,7 @@
 fn older_set_of_evacuations_is_ignored() {
     let evacuations = Evacuations::default();
     let change = evacuations.offer(set(7, &["b"]), Some(SECOND));
-    assert_eq!(change.expect("it is newer").begun, vec![Name::from("b")]);
+    assert_eq!(change.expect("it is newer").started, vec![Name::from("b")]);
     assert_eq!(evacuations.offer(set(6, &[]), Some(3 * SECOND)), None);
     assert!(evacuations.contains("b"));
     let age_us = evacuations.staleness.age_us(4 * SECOND);
--- a/tests/gateway/endpoint_limits.rs
+++ b/tests/gateway/endpoint_limits.rs
@@ -17,7 +17,7 @@
     },
 };
 
-use crate::support::{SECOND, ask, entry};
+use crate::support::{SECOND, entry, placement_request};
 
 const ENDPOINT: EndpointKey = EndpointKey(3);
 
@@ -253,11 +253,11 @@
     let mut balancer = balancer();
     let limited = EndpointKey::of("limited");
     for subject in 0..4 {
-        let choice = chosen(balancer.place(0, &ask(subject, 100, 0, 0), &[]));
+        let choice = chosen(balancer.place(0, &placement_request(subject, 100, 0, 0), &[]));
         assert_eq!(&*choice.id, "free");
     }
     // The endpoint without a limit is full by now.
-    let next = ask(9, 100, 0, 0);
+    let next = placement_request(9, 100, 0, 0);
     assert_eq!(balancer.permit_candidate(0, &next, &[]), Some(limited));
     let choice = chosen(balancer.place_with_permit(0, &next, &[], Some(limited)));
     assert_eq!(choice.key, limited);
@@ -276,8 +276,8 @@
     let mut balancer = balancer();
     let limited = EndpointKey::of("limited");
     let tried = [EndpointKey::of("free")];
-    let request = ask(1, 100, 1, 0);
-    let urgent = ask(1, 100, 0, 0);
+    let request = placement_request(1, 100, 1, 0);
+    let urgent = placement_request(1, 100, 0, 0);
     balancer.record_permit_denial(limited, 1, SECOND);
     assert_eq!(
         balancer.permit_candidate(SECOND - 1, &request, &tried),
@@ -308,7 +308,7 @@
         ..entry("limited", "here", 4)
     };
     balancer.upsert_endpoint(entry_of_start(100), 2);
-    assert!(!balancer.standings().has_limits());
+    assert!(!balancer.announcements().has_limits());
     let later = EndpointKey::of_incarnation("limited", 100);
     // A late response of the earlier start.
     assert_eq!(
@@ -316,7 +316,7 @@
         None
     );
     let tried = [EndpointKey::of("free")];
-    let choice = chosen(balancer.place(0, &ask(1, 100, 0, 0), &tried));
+    let choice = chosen(balancer.place(0, &placement_request(1, 100, 0, 0), &tried));
     assert_eq!(choice.key, later);
 }
 
@@ -330,7 +330,11 @@
     assert_eq!(gone, ["limited".into()]);
     balancer.upsert_endpoint(entry("limited", "here", 4), 3);
     let tried = [EndpointKey::of("free")];
-    let refused = balancer.place(6 * SECOND, &ask(1, 100, 0, 6 * SECOND), &tried);
+    let refused = balancer.place(
+        6 * SECOND,
+        &placement_request(1, 100, 0, 6 * SECOND),
+        &tried,
+    );
     assert_matches!(
         refused,
         Placement::Refuse {
@@ -353,7 +357,7 @@
     }
     balancer.upsert_endpoint(entry("free", "here", 4), 1);
     for draw in 0..20 {
-        let request = ask(draw, 100, 0, 0);
+        let request = placement_request(draw, 100, 0, 0);
         let choice = chosen(balancer.place(0, &request, &[]));
         assert_eq!(&*choice.id, "free");
         balancer.end(choice.key, 100, None);
--- a/tests/gateway/endpoint_rests.rs
+++ b/tests/gateway/endpoint_rests.rs
@@ -15,7 +15,7 @@
     },
 };
 
-use crate::support::{MS, SECOND, ask, entry};
+use crate::support::{MS, SECOND, entry, placement_request};
 
 const ENDPOINT: EndpointKey = EndpointKey(3);
 const PERIOD_US: u64 = 3 * SECOND;
@@ -193,13 +193,13 @@
 #[test]
 fn callers_are_refused_until_the_first_back_off_ends_where_all_endpoints_are_in_back_off() {
     let mut balancer = balancer(&["a", "b", "c"]);
-    let ask = ask(1, 100, 0, SECOND);
+    let ask = placement_request(1, 100, 0, SECOND);
     for (id, period_us) in [("a", 3 * SECOND), ("b", 2 * SECOND), ("c", 0)] {
         assert!(balancer.refuse_while_backing_off(SECOND, &ask).is_none());
-        balancer.record_backoff(SECOND, entry(id, "here", 4).key(), period_us, 1, 0.0);
+        balancer.record_back_off(SECOND, entry(id, "here", 4).key(), period_us, 1, 0.0);
     }
     balancer.record_leaving(SECOND, entry("c", "here", 4).key());
-    let later = crate::support::ask(2, 100, 0, 3 * SECOND);
+    let later = crate::support::placement_request(2, 100, 0, 3 * SECOND);
     assert_matches!(
         balancer.place(SECOND, &ask, &[]),
         Placement::Refuse {
@@ -221,8 +221,8 @@
 fn back_offs_do_not_set_the_retry_time_where_an_endpoint_serves_and_was_tried() {
     let mut balancer = balancer(&["a", "b"]);
     let (a, b) = (entry("a", "here", 4).key(), entry("b", "here", 4).key());
-    balancer.record_backoff(SECOND, a, 100 * SECOND, 1, 0.0);
-    let placement = balancer.place(SECOND, &ask(1, 100, 0, SECOND), &[b]);
+    balancer.record_back_off(SECOND, a, 100 * SECOND, 1, 0.0);
+    let placement = balancer.place(SECOND, &placement_request(1, 100, 0, SECOND), &[b]);
     assert_matches!(placement, Placement::Refuse { retry_after_ms, .. } if retry_after_ms < 1_000);
 }
 
@@ -230,13 +230,13 @@
 fn a_back_off_applies_to_an_entry_that_returns_and_not_to_a_later_start() {
     let mut balancer = balancer(&["a"]);
     let first = entry("a", "here", 4);
-    balancer.record_backoff(SECOND, first.key(), PERIOD_US, 1, 0.0);
+    balancer.record_back_off(SECOND, first.key(), PERIOD_US, 1, 0.0);
     balancer.remove_endpoint(2 * SECOND, "a", 2);
     balancer.tick(2 * SECOND);
     balancer.upsert_endpoint(first.clone(), 3);
     assert_eq!(
         balancer.readiness(2 * SECOND, first.key()),
-        Readiness::BackoffUntil(4 * SECOND)
+        Readiness::BackOffUntil(4 * SECOND)
     );
     let later = EndpointEntry {
         born_ms: 7,
@@ -252,11 +252,11 @@
 #[test]
 fn a_place_that_another_instance_granted_is_not_used_in_a_back_off() {
     let mut balancer = balancer(&["a"]);
-    let ask = ask(1, 100, 0, SECOND);
+    let ask = placement_request(1, 100, 0, SECOND);
     let Placement::Send(choice) = balancer.place(SECOND, &ask, &[]) else {
         panic!("a place");
     };
-    balancer.record_backoff(SECOND, choice.key, PERIOD_US, 1, 0.0);
+    balancer.record_back_off(SECOND, choice.key, PERIOD_US, 1, 0.0);
     assert!(
         balancer
             .place_granted(SECOND, &ask, choice.key, choice.expected)
@@ -268,7 +268,7 @@
 fn placed_before(balancer: &mut Balancer, id: &str) -> usize {
     (0..100)
         .take_while(|number| {
-            let ask = ask(*number, 100, 0, SECOND);
+            let ask = placement_request(*number, 100, 0, SECOND);
             let placement = balancer.place(SECOND, &ask, &[]);
             matches!(placement, Placement::Send(choice) if &*choice.id != id)
         })
@@ -281,11 +281,11 @@
 fn back_offs_requested_from_others_are_a_sign_of_load() {
     let (mut notified, mut other) = (balancer(&["a", "b"]), balancer(&["a", "b"]));
     let key = entry("a", "here", 4).key();
-    notified.record_backoff(SECOND, key, PERIOD_US, 7, 0.0);
-    assert!(notified.take_standings_changed());
-    let updates = notified.take_standings_to_send(SECOND, Audience::Peers);
+    notified.record_back_off(SECOND, key, PERIOD_US, 7, 0.0);
+    assert!(notified.take_announcements_changed());
+    let updates = notified.take_announcements_to_send(SECOND, Audience::Peers);
     assert_eq!(updates[0].rest_ms, 3_000);
-    other.apply_peer_standings(SECOND, &updates);
+    other.apply_peer_announcements(SECOND, &updates);
     assert_eq!(
         other.readiness(SECOND, key),
         Readiness::Ready,
@@ -299,10 +299,10 @@
     let mut without_updates = balancer(&["a", "b"]);
     assert!(placed_before(&mut without_updates, "a") < 2);
     // It ends at the same moment for all, and updates on it carry the remaining time.
-    let later = other.take_standings_to_send(3 * SECOND, Audience::Peers);
+    let later = other.take_announcements_to_send(3 * SECOND, Audience::Peers);
     assert_eq!(later[0].rest_ms, 1_000);
-    assert!(other.standings().wants_back_off(4 * SECOND - 1, key));
-    assert!(!other.standings().wants_back_off(4 * SECOND, key));
+    assert!(other.announcements().wants_back_off(4 * SECOND - 1, key));
+    assert!(!other.announcements().wants_back_off(4 * SECOND, key));
 }
 
 /// Guards against an update from each instance when an endpoint requests a back-off from many, one after the other.
@@ -310,14 +310,14 @@
 fn a_known_back_off_causes_no_further_update() {
     let mut balancer = balancer(&["a"]);
     let key = entry("a", "here", 4).key();
-    balancer.record_backoff(SECOND, key, PERIOD_US, 7, 0.0);
-    assert!(balancer.take_standings_changed());
+    balancer.record_back_off(SECOND, key, PERIOD_US, 7, 0.0);
+    assert!(balancer.take_announcements_changed());
     for step in 1..4 {
-        balancer.record_backoff(SECOND + step * 100 * MS, key, PERIOD_US, 7, 0.0);
-        assert!(!balancer.take_standings_changed());
+        balancer.record_back_off(SECOND + step * 100 * MS, key, PERIOD_US, 7, 0.0);
+        assert!(!balancer.take_announcements_changed());
     }
-    balancer.record_backoff(2 * SECOND, key, PERIOD_US, 7, 0.0);
-    assert!(balancer.take_standings_changed(), "another back-off");
+    balancer.record_back_off(2 * SECOND, key, PERIOD_US, 7, 0.0);
+    assert!(balancer.take_announcements_changed(), "another back-off");
 }
 
 proptest! {
--- a/tests/gateway/grants.rs
+++ b/tests/gateway/grants.rs
@@ -13,7 +13,7 @@
     prelude::Incarnation,
 };
 
-use crate::support::{MS, ask, entry};
+use crate::support::{MS, entry, placement_request};
 
 const ONE: Incarnation = Incarnation(1);
 
@@ -130,7 +130,7 @@
         for (subject, step) in steps.into_iter().enumerate() {
             match step {
                 Step::Request(who) => {
-                    let placed = aggregator.place(0, &ask(subject as u64, 0, 0, 0), &[]);
+                    let placed = aggregator.place(0, &placement_request(subject as u64, 0, 0, 0), &[]);
                     let Placement::Send(choice) = placed else {
                         return Err(TestCaseError::fail("there is room"));
                     };
--- a/tests/gateway/growth.rs
+++ b/tests/gateway/growth.rs
@@ -140,9 +140,9 @@
 #[test]
 fn lines_on_endpoints_are_bounded_and_those_left_out_are_counted() {
     let mut budget = LineBudget::default();
-    let written = (0..3_000).filter(|n| budget.ask(SECOND + n * 10).is_written);
+    let written = (0..3_000).filter(|n| budget.admit(SECOND + n * 10).is_written);
     assert_eq!(written.count(), 200);
-    let next = budget.ask(3 * SECOND);
+    let next = budget.admit(3 * SECOND);
     assert!(next.is_written);
     assert_eq!(next.left_out, 2_800);
 }
--- a/tests/gateway/halls.rs
+++ b/tests/gateway/halls.rs
@@ -21,38 +21,44 @@
 #[test]
 fn an_older_summary_is_passed_over_and_the_parts_of_one_are_taken() {
     let mut halls = Halls::default();
-    assert!(halls.note(0, &summary(1, 5)).is_some());
-    assert!(halls.note(0, &summary(1, 5)).is_some(), "another part");
-    assert!(halls.note(0, &summary(1, 4)).is_none());
+    assert!(halls.apply_summary(0, &summary(1, 5)).is_some());
+    assert!(
+        halls.apply_summary(0, &summary(1, 5)).is_some(),
+        "another part"
+    );
+    assert!(halls.apply_summary(0, &summary(1, 4)).is_none());
 }
 
 #[test]
 fn halls_are_counted_by_their_best_aggregator_and_forgotten_once() {
     let mut halls = Halls::default();
-    halls.note(0, &summary(1, 1));
+    halls.apply_summary(0, &summary(1, 1));
     let few = HallSummary {
         heard: 2,
         instances: 2,
         ..summary(2, 1)
     };
-    let taken = halls.note(0, &few).expect("news");
-    assert!(!taken.takes_loads, "it hears two of ten");
-    assert_eq!(halls.sharers(MS), InstanceCounts { all: 10, heard: 10 });
+    let taken = halls.apply_summary(0, &few).expect("news");
+    assert!(!taken.replaces_loads, "it hears two of ten");
+    assert_eq!(
+        halls.instance_counts(MS),
+        InstanceCounts { all: 10, heard: 10 }
+    );
     assert!(halls.expire(2 * SECOND).is_empty());
     assert_eq!(halls.expire(3 * SECOND), vec![1]);
     assert_eq!(
-        halls.sharers(3 * SECOND),
+        halls.instance_counts(3 * SECOND),
         InstanceCounts { all: 10, heard: 0 }
     );
     assert!(halls.expire(4 * SECOND).is_empty());
-    halls.note(5 * SECOND, &summary(1, 2));
+    halls.apply_summary(5 * SECOND, &summary(1, 2));
     assert_eq!(
-        halls.sharers(5 * SECOND),
+        halls.instance_counts(5 * SECOND),
         InstanceCounts { all: 10, heard: 10 }
     );
     halls.expire(26 * SECOND);
     assert_eq!(
-        halls.sharers(26 * SECOND),
+        halls.instance_counts(26 * SECOND),
         InstanceCounts { all: 0, heard: 0 }
     );
 }
--- a/tests/gateway/headers.rs
+++ b/tests/gateway/headers.rs
@@ -8,7 +8,7 @@
 use ryevalve::{
     gateway::{
         attempt::strip_connection_headers,
-        config::{GatewayConfig, RouteKind, UseUnit},
+        config::{GatewayConfig, RouteKind, UsageUnit},
         protocol::{Forward, Protocol},
     },
     limits::back_off::BackOffHeader,
@@ -42,7 +42,10 @@
         parts,
         vec![(0x5c1e_07a2, 800), (0x91bd_3f06, 410), (0xe440_2b7d, 250)]
     );
-    assert_eq!((call.resume_after, call.output_guess), (Some(12), Some(64)));
+    assert_eq!(
+        (call.resume_after, call.expected_output_tokens),
+        (Some(12), Some(64))
+    );
 }
 
 #[test]
@@ -172,7 +175,10 @@
         let name: HeaderName = name.parse().expect("a name");
         map.append(name, HeaderValue::from_str(value).expect("a value"));
     }
-    PlatformProtocol.read_answer(status, &map).words.rest
+    PlatformProtocol
+        .read_answer(status, &map)
+        .announcements
+        .back_off
 }
 
 #[test]
@@ -232,9 +238,9 @@
     for status in [200, 421, 500, 503] {
         let status = StatusCode::from_u16(status).expect("a status");
         let head = PlatformProtocol.read_answer(status, &headers(&[("Server-Leaving", " 1 ")]));
-        assert!(head.words.leaves, "{status}");
+        assert!(head.announcements.leaves, "{status}");
         let head = PlatformProtocol.read_answer(status, &headers(&[("Server-Leaving", "0")]));
-        assert!(!head.words.leaves, "{status}");
+        assert!(!head.announcements.leaves, "{status}");
     }
     let all = [
         ("Content-Type", "text/plain"),
@@ -281,7 +287,7 @@
     let limit = config.organisations[0].limit.unwrap();
     assert_eq!(
         limit.unit,
-        UseUnit::Tokens {
+        UsageUnit::Tokens {
             without_tokens: 200
         }
     );
--- a/tests/gateway/leaving.rs
+++ b/tests/gateway/leaving.rs
@@ -12,7 +12,7 @@
     limits::{announcements::AnnouncementUpdate, dissemination::Audience, rate::LimitHeader},
 };
 
-use crate::support::{MS, SECOND, ask, entry};
+use crate::support::{MS, SECOND, entry, placement_request};
 
 /// Far more starts than are stored.
 const STARTS: u32 = 10_000;
@@ -34,11 +34,11 @@
 }
 
 fn due_updates(balancer: &mut Balancer, now_us: u64) -> Vec<AnnouncementUpdate> {
-    balancer.take_standings_to_send(now_us, Audience::Peers)
+    balancer.take_announcements_to_send(now_us, Audience::Peers)
 }
 
 fn chosen(balancer: &mut Balancer, now_us: u64, draw: u64) -> Option<EndpointKey> {
-    match balancer.place(now_us, &ask(draw, 100, 0, now_us), &[]) {
+    match balancer.place(now_us, &placement_request(draw, 100, 0, now_us), &[]) {
         Placement::Send(choice) => {
             let tokens = choice.expected.uncached_tokens;
             balancer.end(choice.key, tokens, None);
@@ -56,9 +56,9 @@
         assert!(balancer.record_leaving(SECOND, key));
         assert!(!balancer.record_leaving(SECOND, key), "already known");
     }
-    let placement = balancer.place(SECOND, &ask(1, 100, 0, SECOND), &[]);
+    let placement = balancer.place(SECOND, &placement_request(1, 100, 0, SECOND), &[]);
     assert_matches!(placement, Placement::Refuse { retry_after_ms, .. } if retry_after_ms >= 100);
-    assert_eq!(balancer.standings().leaving(), 2);
+    assert_eq!(balancer.announcements().leaving(), 2);
 }
 
 #[test]
@@ -85,7 +85,7 @@
 #[test]
 fn a_place_that_another_instance_granted_is_not_used_on_a_leaving_endpoint() {
     let mut balancer = balancer(&["a"]);
-    let ask = ask(1, 100, 0, SECOND);
+    let ask = placement_request(1, 100, 0, SECOND);
     let Placement::Send(choice) = balancer.place(SECOND, &ask, &[]) else {
         panic!("a place");
     };
@@ -108,7 +108,7 @@
         }
     }
     assert!(
-        balancer.standings().leaving() < STARTS as usize,
+        balancer.announcements().leaving() < STARTS as usize,
         "the table is bounded"
     );
     assert_eq!(balancer.readiness(20 * SECOND, key), Readiness::Leaving);
@@ -119,12 +119,15 @@
     let (mut one, mut other) = (balancer(&["a", "b"]), balancer(&["a", "b"]));
     let key = entry_of_start("a", 1).key();
     one.record_leaving(SECOND, key);
-    assert!(one.take_standings_changed());
+    assert!(one.take_announcements_changed());
     let first_updates = due_updates(&mut one, SECOND);
-    assert_eq!(other.apply_peer_standings(SECOND, &first_updates).len(), 1);
+    assert_eq!(
+        other.apply_peer_announcements(SECOND, &first_updates).len(),
+        1
+    );
     assert!(
         other
-            .apply_peer_standings(SECOND, &first_updates)
+            .apply_peer_announcements(SECOND, &first_updates)
             .is_empty(),
         "already known"
     );
@@ -134,7 +137,7 @@
     assert_eq!(due_updates(&mut one, 100 * SECOND), first_updates);
     // An instance that requests a permit and does not know it receives an update.
     let later = balancer(&["a", "b"]);
-    let update = later.standing_to_send(SECOND, key);
+    let update = later.announcement_to_send(SECOND, key);
     assert!(!update.leaves);
     one.record_limit(
         SECOND,
@@ -142,9 +145,9 @@
         0,
         &LimitHeader::Rate(ryevalve::limits::rate::RequestRate::parse("2").expect("a rate")),
     );
-    one.apply_peer_standings(101 * SECOND, &[update]);
-    assert!(one.take_standings_changed());
-    assert!(one.standing_to_send(101 * SECOND, key).leaves);
+    one.apply_peer_announcements(101 * SECOND, &[update]);
+    assert!(one.take_announcements_changed());
+    assert!(one.announcement_to_send(101 * SECOND, key).leaves);
 }
 
 proptest! {
@@ -180,7 +183,7 @@
                 }
                 _ => {
                     let updates = due_updates(&mut both[index], now_us);
-                    both[1 - index].apply_peer_standings(now_us, &updates);
+                    both[1 - index].apply_peer_announcements(now_us, &updates);
                     knows[1 - index] |= updates.iter().any(|u| u.endpoint == key && u.leaves);
                 }
             }
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -1,7 +1,7 @@
 //! Grants from an organisation's limit on one instance, and the start and end of leases between instances.
 
 use ryevalve::{
-    gateway::config::{UseLimit, UseUnit},
+    gateway::config::{UsageLimit, UsageUnit},
     limits::quota::{
         AccountState, Acquisition, Bounds, COPIES, Decision, Grant, InstanceCount, Lease, Message,
         Node, Outgoing, Partition, PartitionSet, Recipient, Tolerance,
@@ -182,8 +182,8 @@
 fn bounds_keep_a_window_within_its_allowance() {
     for rate_per_s in [1.0, 2_000.0, 36_000.0, 1_300_000.0] {
         for burst in [0.0, rate_per_s, 10.0 * rate_per_s] {
-            let limit = UseLimit {
-                unit: UseUnit::Requests,
+            let limit = UsageLimit {
+                unit: UsageUnit::Requests,
                 rate_per_s,
                 burst,
             };
--- a/tests/gateway/restarts.rs
+++ b/tests/gateway/restarts.rs
@@ -15,7 +15,7 @@
     platform::objects::{Changes, Event, Metadata, Object},
 };
 
-use crate::support::{SECOND, ask, entry};
+use crate::support::{SECOND, entry, placement_request};
 
 fn incarnation(id: &str, born_ms: u64) -> EndpointEntry {
     EndpointEntry {
@@ -86,7 +86,7 @@
         &[],
     );
     balancer.update_speed(previous, |s| s.record_unreachable(0));
-    let request = ask(1, 4_000, 0, 0);
+    let request = placement_request(1, 4_000, 0, 0);
     let cached_chains: Vec<_> = request.chains.iter().map(|(c, _)| (*c, previous)).collect();
     balancer.apply_peer_observations(0, &cached_chains, &[]);
 
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -111,7 +111,7 @@
 fn a_partitioned_part_of_a_group_keeps_its_share_of_retries() {
     let gateway = Gateway::new(PlatformProtocol, "hall".into(), bounds(true), true);
     let set_live_instances = |instances| {
-        gateway.set_sharers(InstanceCounts {
+        gateway.set_instance_counts(InstanceCounts {
             all: instances,
             heard: instances,
         });
--- a/tests/gateway/staleness.rs
+++ b/tests/gateway/staleness.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     freshness::bounds,
-    support::{SECOND, ask, entry},
+    support::{SECOND, entry, placement_request},
 };
 
 const BOUND: StalenessBound = StalenessBound(2 * SECOND);
@@ -73,7 +73,9 @@
     for id in ["leaving", "staying"] {
         gateway.balancer().upsert_endpoint(entry(id, "h", 4), 1);
     }
-    gateway.endpoints.confirm(gateway.clock.now_us().max(1));
+    gateway
+        .endpoints_staleness
+        .confirm(gateway.clock.now_us().max(1));
     gateway.into()
 }
 
@@ -89,17 +91,19 @@
     time::sleep(Duration::from_millis(1_900)).await;
     let asking = gateway.clone();
     let follower = tokio::spawn(async move {
-        asking.endpoints.wanted().await;
+        asking.endpoints_staleness.wanted().await;
         let now_us = asking.clock.now_us();
-        asking.endpoints.asks(now_us, BOUND, Duration::ZERO);
+        asking
+            .endpoints_staleness
+            .asks(now_us, BOUND, Duration::ZERO);
         time::sleep(Duration::from_millis(100)).await;
         leave(&asking);
-        asking.endpoints.answered();
-        asking.endpoints.confirm(now_us);
+        asking.endpoints_staleness.answered();
+        asking.endpoints_staleness.confirm(now_us);
     });
     for _ in 0..3 {
         let placed = gateway
-            .place(&ask(7, 100, 0, gateway.clock.now_us()), &[])
+            .place(&placement_request(7, 100, 0, gateway.clock.now_us()), &[])
             .await;
         assert_matches!(placed, Placement::Send(choice) if &*choice.id == "staying");
     }
@@ -113,19 +117,21 @@
     let began = time::Instant::now();
     let asking = gateway.clone();
     tokio::spawn(async move {
-        asking.endpoints.wanted().await;
+        asking.endpoints_staleness.wanted().await;
         let now_us = asking.clock.now_us();
-        asking.endpoints.asks(now_us, BOUND, Duration::ZERO);
+        asking
+            .endpoints_staleness
+            .asks(now_us, BOUND, Duration::ZERO);
     });
     let placed = gateway
-        .place(&ask(7, 100, 0, gateway.clock.now_us()), &[])
+        .place(&placement_request(7, 100, 0, gateway.clock.now_us()), &[])
         .await;
     assert_matches!(placed, Placement::Send(_));
     let held = began.elapsed();
     assert!(held <= Duration::from_millis(340), "{held:?}");
     let again = time::Instant::now();
     let placed = gateway
-        .place(&ask(7, 100, 0, gateway.clock.now_us()), &[])
+        .place(&placement_request(7, 100, 0, gateway.clock.now_us()), &[])
         .await;
     assert_matches!(placed, Placement::Send(_));
     assert_eq!(again.elapsed(), Duration::ZERO);
@@ -137,7 +143,7 @@
     time::sleep(Duration::from_millis(1_900)).await;
     let began = time::Instant::now();
     let placed = gateway
-        .place(&ask(7, 100, 0, gateway.clock.now_us()), &[])
+        .place(&placement_request(7, 100, 0, gateway.clock.now_us()), &[])
         .await;
     assert_matches!(placed, Placement::Send(_));
     assert!(began.elapsed() <= Duration::from_millis(340));
--- a/tests/gateway/support.rs
+++ b/tests/gateway/support.rs
@@ -10,7 +10,7 @@
         regions::AllowedRegions,
     },
     gateway::config::{
-        GatewayConfig, Organisation, Route, RouteKind, Service, Target, UseLimit, UseUnit,
+        GatewayConfig, Organisation, Route, RouteKind, Service, Target, UsageLimit, UsageUnit,
     },
 };
 
@@ -33,7 +33,7 @@
             service: "plain".into(),
             weight: 1,
         }],
-        homes: None,
+        allowed_regions: None,
     }
 }
 
@@ -43,14 +43,14 @@
         keys: keys.iter().map(|k| (*k).into()).collect(),
         priority: None,
         limit: None,
-        homes: None,
+        allowed_regions: None,
     }
 }
 
 pub fn limited(name: &str, rate_per_s: f64, burst: f64) -> Organisation {
     Organisation {
-        limit: Some(UseLimit {
-            unit: UseUnit::Tokens {
+        limit: Some(UsageLimit {
+            unit: UsageUnit::Tokens {
                 without_tokens: 200,
             },
             rate_per_s,
@@ -92,7 +92,12 @@
 }
 
 /// A stream's request with a prompt of one part of its own.
-pub fn ask(subject: u64, prompt_tokens: u32, rank: u8, arrived_us: u64) -> PlacementRequest {
+pub fn placement_request(
+    subject: u64,
+    prompt_tokens: u32,
+    rank: u8,
+    arrived_us: u64,
+) -> PlacementRequest {
     let parts = [PromptPart {
         id: subject,
         tokens: prompt_tokens,
@@ -109,7 +114,7 @@
         deadline_us: arrived_us + 15 * SECOND,
         rank,
         other_hall_cost: 0.05,
-        homes: AllowedRegions::default(),
+        allowed_regions: AllowedRegions::default(),
         draw: subject,
     }
 }
--- a/tests/gateway/surge.rs
+++ b/tests/gateway/surge.rs
@@ -17,7 +17,7 @@
     speed::Speed,
 };
 
-use crate::support::{MS, SECOND, ask, entry};
+use crate::support::{MS, SECOND, entry, placement_request};
 
 const ENDPOINTS: usize = 18;
 const SLOTS: usize = 9;
@@ -190,7 +190,7 @@
         PlacementRequest {
             waited_us: now_us - first_arrival_us,
             deadline_us: first_arrival_us + 12 * SECOND,
-            ..ask(number, PROMPT_TOKENS, 0, now_us)
+            ..placement_request(number, PROMPT_TOKENS, 0, now_us)
         }
     }
 
