--- a/src/gateway/config.rs
+++ b/src/gateway/config.rs
@@ -1,4 +1,4 @@
-//! What the gateway serves: routes, services, organisations and bounds on callers.
+//! The gateway's configuration: routes, services, organisations and limits on callers.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -6,50 +6,50 @@
 
 use crate::prelude::{Name, Rank};
 
-/// Orders the versions of a configuration.
+/// Version number of a configuration; a higher one is newer.
 pub type ConfigVersion = u64;
 
-/// One whole configuration; never changed once it is in force.
+/// A complete configuration; immutable once it is in force.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct GatewayConfig {
     /// Its version; a higher one replaces a lower one.
     pub version: ConfigVersion,
-    /// The routes, in no order.
+    /// The routes, in no particular order.
     pub routes: Vec<Arc<Route>>,
     /// The services, by name.
     pub services: HashMap<Name, Arc<Service>>,
-    /// The organisations; with none, no request needs a key.
+    /// The organisations; if empty, no request needs a key.
     pub organisations: Vec<Arc<Organisation>>,
-    /// Bounds on callers.
+    /// Limits on what callers may send.
     pub caller_limits: CallerLimits,
 }
 
-/// Which requests go where, and how.
+/// Maps requests to services, and says how they are run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// Its name.
     pub name: Name,
-    /// The host that callers name.
+    /// The host name in the callers' `Host` header.
     pub host: Name,
-    /// The beginning of the path, with a slash at both ends.
+    /// The path prefix, with a slash at both ends.
     pub path_prefix: Name,
-    /// What its answers are and whether its requests may run again.
+    /// The kind of its answers, and whether its requests may be run again.
     pub kind: RouteKind,
-    /// The longest that a request is held.
+    /// The time budget of a request.
     pub timeout: Duration,
-    /// The time within which an answer, or a stream's first event, is of full use.
+    /// Latency target of an answer, or of a stream's first event.
     pub target: Duration,
-    /// The longest useful pause between two events of a stream.
+    /// Target for the longest gap between two events of a stream.
     pub target_gap: Duration,
     /// Its rank; 0 is the most urgent.
     pub priority: Rank,
-    /// How many endpoints one request may be sent to.
+    /// Maximum number of endpoints that may run one request.
     pub max_attempts: u32,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub public: bool,
     /// The services that serve it, with their weights.
     pub targets: Vec<Target>,
-    /// The regions in which its requests may be served; none is all.
+    /// The regions in which its requests may be served; `None` allows all.
     #[serde(rename = "homes")]
     pub allowed_regions: Option<Vec<Name>>,
 }
@@ -63,23 +63,23 @@
     pub weight: u32,
 }
 
-/// What a route's answers are.
+/// The kind of a route's answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// One answer with a body.
+    /// A single answer with a body.
     Whole {
-        /// Whether a second run does no harm.
+        /// Whether requests are idempotent, so that they may be run again.
         repeatable: bool,
     },
-    /// A series of events.
+    /// A stream of events.
     Stream {
-        /// Whether another endpoint may go on after an event's id.
+        /// Whether another endpoint can resume the stream after a given event id.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Returns whether a request may run more than once.
+    /// Returns whether a request may be run more than once.
     pub fn is_repeatable(self) -> bool {
         match self {
             Self::Whole { repeatable } => repeatable,
@@ -87,76 +87,76 @@
         }
     }
 
-    /// Returns whether answers are a series of events.
+    /// Returns whether answers are streams of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// A group of endpoints that can stand in for each other.
+/// A group of interchangeable endpoints.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Its name.
     pub name: Name,
-    /// Where an endpoint tells its health.
+    /// The path of an endpoint's health check.
     pub health_path: Name,
-    /// The most connections that one endpoint takes from all instances together.
+    /// Maximum number of connections to one endpoint from all instances together.
     pub max_connections: u32,
-    /// What its endpoints are, if they run a model.
+    /// The properties of its endpoints' engine, if they run a model.
     pub engine: Option<Engine>,
-    /// What a cold endpoint takes; none if as much as any.
+    /// The request rate limit of cold endpoints; `None` if they have none.
     pub cold: Option<ColdBound>,
 }
 
-/// What a cold endpoint takes.
+/// The request rate limit of cold endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdBound {
-    /// Requests a second, from all instances together.
+    /// Requests per second from all instances together.
     pub per_s: f64,
     /// How long an endpoint is cold after its start.
     pub lasts: Duration,
 }
 
-/// What the endpoints of a model's service have in common.
+/// Properties shared by the endpoints of a service that runs a model.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
-    /// Requests that one endpoint runs at a time.
+    /// Number of requests that one endpoint runs concurrently.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Capacity of an endpoint's memory, in tokens.
     pub memory_tokens: u32,
-    /// Tokens in one event of a stream.
+    /// Number of tokens per event of a stream.
     pub tokens_per_event: u32,
 }
 
-/// A customer, known by its keys.
+/// A customer, identified by its API keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Organisation {
     /// Its name.
     pub name: Name,
-    /// Its keys, as callers show them.
+    /// Its API keys, as callers send them.
     pub keys: Vec<Name>,
-    /// Its rank; goes before that of a route.
+    /// Its rank; overrides that of the route.
     pub priority: Option<Rank>,
-    /// What it may use over all instances together; none is no limit.
+    /// Its usage limit over all instances together; `None` if it has none.
     pub limit: Option<UsageLimit>,
-    /// The regions in which its requests may be served; none is all.
+    /// The regions in which its requests may be served; `None` allows all.
     #[serde(rename = "homes")]
     pub allowed_regions: Option<Vec<Name>>,
 }
 
-/// A limit on use.
+/// A limit on usage, as a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UsageLimit {
-    /// What is counted.
+    /// The unit that is counted.
     pub unit: UsageUnit,
-    /// Units a second.
+    /// Sustained rate, in units per second.
     pub rate_per_s: f64,
-    /// Units on top of the rate, at once.
+    /// Burst on top of the rate, in units.
     pub burst: f64,
 }
 
 impl UsageLimit {
-    /// Returns what a request uses that names `tokens`.
+    /// Returns the units that a request uses, given the tokens that it declares.
     pub fn units(&self, tokens: Option<u32>) -> u32 {
         match self.unit {
             UsageUnit::Requests => 1,
@@ -165,33 +165,33 @@
     }
 }
 
-/// What a limit counts.
+/// The unit of a usage limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum UsageUnit {
     /// Requests.
     Requests,
-    /// Tokens of prompt and answer.
+    /// Tokens of prompt and answer together.
     Tokens {
-        /// What a request counts that names none.
+        /// The number counted for a request that declares no tokens.
         without_tokens: u32,
     },
 }
 
-/// Bounds on what callers may send, and on how long they may take.
+/// Limits on the size of callers' requests and on the time that callers may take.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// The longest request head, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub max_header_bytes: usize,
-    /// The longest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub max_body_bytes: usize,
-    /// Time to send a request's head.
+    /// Timeout for receiving a request's head.
     pub header_timeout: Duration,
-    /// Time for which a connection may rest between requests.
+    /// Timeout of a connection that is idle between requests.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Bounds for the time before a configuration is known.
+    /// Limits that apply until a configuration is known.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 << 10,
--- a/src/gateway/evacuations.rs
+++ b/src/gateway/evacuations.rs
@@ -1,7 +1,7 @@
-//! Data centres whose endpoints get nothing more until operators take the evacuation back.
+//! Evacuated data centres: their endpoints receive no requests until operators withdraw the evacuation.
 //!
-//! The set is small, so instances send it whole. It is ordered by the store's revision: an older one never
-//! replaces a newer one within a process's life.
+//! Instances exchange the whole set, as it is small. Sets are ordered by the store's revision: an older one never
+//! replaces a newer one for the lifetime of the process.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -13,20 +13,20 @@
     prelude::{Micros, Name},
 };
 
-/// Evacuations that are kept, at most.
+/// Maximum number of evacuations kept.
 const MAX_EVACUATIONS: usize = 256;
 
-/// The evacuated data centres as the store had them at a revision.
+/// The evacuated data centres as of a revision of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationSet {
-    /// The store's revision that the set is up to.
+    /// The store's revision that the set reflects.
     pub revision: Revision,
     /// The data centres, sorted.
     pub data_centres: Vec<Name>,
 }
 
 impl EvacuationSet {
-    /// Returns a set of the given data centres; what is beyond the bound on its size is left out and counted.
+    /// Creates a set, and returns it with the number of data centres dropped because they exceed the maximum size.
     pub fn new(revision: Revision, data_centres: impl IntoIterator<Item = Name>) -> (Self, usize) {
         let mut data_centres: Vec<Name> = data_centres.into_iter().collect();
         data_centres.sort_unstable();
@@ -48,12 +48,12 @@
     }
 }
 
-/// What a newer set changed.
+/// The difference between two sets.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EvacuationChange {
-    /// Evacuated from now on.
+    /// Data centres that are newly evacuated.
     pub started: Vec<Name>,
-    /// Not evacuated any more.
+    /// Data centres that are no longer evacuated.
     pub ended: Vec<Name>,
 }
 
@@ -75,11 +75,11 @@
     }
 }
 
-/// The evacuations in force at one instance.
+/// The evacuations in force at this instance.
 #[derive(Debug, Default)]
 pub struct Evacuations {
     known: Mutex<EvacuationSet>,
-    /// How fresh the set is known to be.
+    /// How long ago the set was last known to match the store.
     pub staleness: Staleness,
 }
 
@@ -89,7 +89,7 @@
         self.lock().clone()
     }
 
-    /// Returns the store's revision that the set is up to.
+    /// Returns the store's revision that the set reflects.
     pub fn revision(&self) -> Revision {
         self.lock().revision
     }
@@ -99,9 +99,11 @@
         self.lock().contains(data_centre)
     }
 
-    /// Takes a set that was the store's when a question was sent at `asked_us`, if that is known; none if a
-    /// newer one is in force.
-    pub fn offer(&self, set: EvacuationSet, asked_us: Option<Micros>) -> Option<EvacuationChange> {
+    /// Applies a set unless it is older than the one in force; returns the difference, or `None` if it is older.
+    ///
+    /// `fresh_at_us` is the time at which the set is known to have matched the store, if any: when the request that
+    /// returned it was sent.
+    pub fn offer(&self, set: EvacuationSet, fresh_at_us: Option<Micros>) -> Option<EvacuationChange> {
         let change = {
             let mut known = self.lock();
             if set.revision < known.revision {
@@ -111,14 +113,14 @@
             *known = set;
             change
         };
-        if let Some(asked_us) = asked_us {
-            self.staleness.confirm(asked_us);
+        if let Some(fresh_at_us) = fresh_at_us {
+            self.staleness.confirm(fresh_at_us);
         }
         Some(change)
     }
 
     fn lock(&self) -> MutexGuard<'_, EvacuationSet> {
-        // Every step leaves the set whole, so a poisoned lock is usable.
+        // No holder of the lock leaves the set inconsistent if it panics, so a poisoned lock is usable.
         self.known.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/gateway/hall_aggregate.rs
+++ b/src/gateway/hall_aggregate.rs
@@ -1,6 +1,6 @@
-//! What an aggregator knows of its hall, and its sums.
+//! Aggregates the load reports of a hall's instances at one of the hall's aggregators.
 //!
-//! Free of clock and socket, so that tests drive it step by step.
+//! Uses neither clock nor sockets, so that tests can drive it step by step.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -18,73 +18,74 @@
     prelude::{Incarnation, Micros},
 };
 
-/// Chains of prompts that a summary tells at most; about 14 bytes each.
-const READS_TOLD: usize = 48;
-/// What was read lately and the hall was not told, at most: some seconds of it.
-const MOST_READS: usize = 1_024;
-/// Endpoints of which a summary tells what was seen of their speed; about 18 bytes each.
-const SEEN_TOLD: usize = 8;
-/// Summaries of other halls that wait to be passed on, at most: some seconds of them.
-const MOST_TO_PASS_ON: usize = 64;
+/// Maximum number of prompt chains in a summary, at about 14 bytes each.
+const MAX_READS_PER_SUMMARY: usize = 48;
+/// Maximum number of prompt chains that wait for a summary: a few seconds' worth.
+const MAX_PENDING_READS: usize = 1_024;
+/// Maximum number of endpoints in a summary with speed samples, at about 18 bytes each.
+const MAX_SPEEDS_PER_SUMMARY: usize = 8;
+/// Maximum number of summaries of other halls that wait to be relayed: a few seconds' worth.
+const MAX_RELAY_QUEUE: usize = 64;
 
-/// What the hall's instances said since their hall was told last.
+/// Observations of the hall's instances that no summary has included yet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Observations {
     /// As in [`Update::reports`].
     pub reports: Vec<(EndpointKey, i8)>,
     /// As in [`Update::read`].
     pub read: Vec<(ChainKey, EndpointKey)>,
-    /// As in [`Update::seen`], summed by endpoint.
+    /// As in [`Update::seen`], as one sum per endpoint.
     pub seen: Vec<(EndpointKey, SpeedSamples)>,
     /// As in [`Update::dead`].
     pub dead: Vec<EndpointKey>,
 }
 
+/// An instance that reports to this one, and its last report.
 #[derive(Debug)]
 struct Member {
     from: Incarnation,
     seq: u64,
-    heard_us: Micros,
+    last_seen_us: Micros,
     loads: Vec<(EndpointKey, InFlight)>,
 }
 
-/// How many instances a hall has, as its aggregator sees it; itself included.
+/// The number of instances of a hall as its aggregator sees it, including itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HallInstanceCounts {
-    /// That ran of late.
+    /// Instances that ran recently, whether they report or not.
     pub instances: u32,
-    /// That are heard.
+    /// Instances that report, including the aggregator.
     pub heard: u32,
 }
 
-/// The instances of a hall that report to this one, and what they did.
+/// The instances of a hall that report to this one, with their loads and observations.
 #[derive(Debug, Default)]
 pub struct HallAggregate {
     members: HashMap<IpAddr, Member>,
-    news: Observations,
-    seen: BTreeMap<EndpointKey, SpeedSamples>,
-    /// What endpoints said and other halls were not told.
-    far_reports: HashMap<EndpointKey, i8>,
-    to_pass_on: Vec<HallSummary>,
+    pending: Observations,
+    pending_speeds: BTreeMap<EndpointKey, SpeedSamples>,
+    /// Load reports of endpoints that were not sent to other halls yet.
+    reports_for_other_halls: HashMap<EndpointKey, i8>,
+    relay_queue: Vec<HallSummary>,
 }
 
 impl HallAggregate {
-    /// Takes a report.
+    /// Applies a report of the instance at `addr`.
     pub fn apply_report(&mut self, now_us: Micros, addr: IpAddr, report: &Update) {
         let member = self.members.entry(addr).or_insert_with(|| Member {
             from: Incarnation(0),
             seq: 0,
-            heard_us: now_us,
+            last_seen_us: now_us,
             loads: Vec::new(),
         });
         member.from = report.from;
         member.seq = report.seq;
-        member.heard_us = now_us;
+        member.last_seen_us = now_us;
         member.loads.clone_from(&report.loads);
         self.note_observations(&report.reports, &report.read, &report.seen, &report.dead);
     }
 
-    /// Takes what this instance or another of the hall saw.
+    /// Adds observations of this instance or another one of the hall.
     pub fn note_observations(
         &mut self,
         reports: &[(EndpointKey, i8)],
@@ -92,101 +93,101 @@
         seen: &[(EndpointKey, SpeedSamples)],
         dead: &[EndpointKey],
     ) {
-        self.news.reports.extend(reports);
-        self.far_reports.extend(reports.iter().copied());
-        self.news.read.extend(read);
-        if self.news.read.len() > MOST_READS {
-            self.news.read.drain(..MOST_READS / 2);
+        self.pending.reports.extend(reports);
+        self.reports_for_other_halls.extend(reports.iter().copied());
+        self.pending.read.extend(read);
+        if self.pending.read.len() > MAX_PENDING_READS {
+            self.pending.read.drain(..MAX_PENDING_READS / 2);
         }
-        for (key, seen) in seen {
-            self.seen.entry(*key).or_default().add(seen);
+        for (key, samples) in seen {
+            self.pending_speeds.entry(*key).or_default().add(samples);
         }
-        self.news.dead.extend(dead);
+        self.pending.dead.extend(dead);
     }
 
-    /// Takes a summary of another hall, to be passed on.
+    /// Queues a summary of another hall for relaying to the own hall.
     pub fn queue_for_relay(&mut self, summary: HallSummary) {
-        if self.to_pass_on.len() >= MOST_TO_PASS_ON {
-            // Nobody of the own hall is there to be told.
-            self.to_pass_on.remove(0);
+        if self.relay_queue.len() >= MAX_RELAY_QUEUE {
+            // No instance of the own hall is there to receive the queue, so the oldest summary is dropped.
+            self.relay_queue.remove(0);
         }
-        self.to_pass_on.push(summary);
+        self.relay_queue.push(summary);
     }
 
-    /// Returns summaries of other halls that the own hall was not told, at most `most`, oldest first.
-    pub fn take_relay_queue(&mut self, most: usize) -> Vec<HallSummary> {
-        let taken = self.to_pass_on.len().min(most);
-        self.to_pass_on.drain(..taken).collect()
+    /// Removes and returns up to `max` summaries of other halls to relay to the own hall, oldest first.
+    pub fn take_relay_queue(&mut self, max: usize) -> Vec<HallSummary> {
+        let count = self.relay_queue.len().min(max);
+        self.relay_queue.drain(..count).collect()
     }
 
-    /// Returns whether other halls' summaries wait to be passed on.
+    /// Returns whether summaries of other halls wait to be relayed.
     pub fn has_relay_queue(&self) -> bool {
-        !self.to_pass_on.is_empty()
+        !self.relay_queue.is_empty()
     }
 
-    /// Returns what is new, for the hall: of reads and speeds as much as a datagram takes, the rest
-    /// in turn.
+    /// Removes and returns the pending observations for the next summary. Prompt chains and speeds are limited to what
+    /// fits a datagram; the rest stays pending for later summaries.
     pub fn take_observations(&mut self) -> Observations {
-        let mut news = std::mem::take(&mut self.news);
-        news.reports.sort_unstable_by_key(|(key, _)| *key);
-        // Of several words on one endpoint the last stands.
-        news.reports.reverse();
-        news.reports.dedup_by_key(|(key, _)| *key);
-        if news.read.len() > READS_TOLD {
-            self.news.read = news.read.split_off(READS_TOLD);
+        let mut observations = std::mem::take(&mut self.pending);
+        observations.reports.sort_unstable_by_key(|(key, _)| *key);
+        // Of several reports on one endpoint the last one is kept.
+        observations.reports.reverse();
+        observations.reports.dedup_by_key(|(key, _)| *key);
+        if observations.read.len() > MAX_READS_PER_SUMMARY {
+            self.pending.read = observations.read.split_off(MAX_READS_PER_SUMMARY);
         }
-        while news.seen.len() < SEEN_TOLD {
-            let Some(first) = self.seen.pop_first() else {
+        while observations.seen.len() < MAX_SPEEDS_PER_SUMMARY {
+            let Some(first) = self.pending_speeds.pop_first() else {
                 break;
             };
-            news.seen.push(first);
+            observations.seen.push(first);
         }
-        news
+        observations
     }
 
-    /// Returns what endpoints said, for other halls.
+    /// Removes and returns the load reports of endpoints that other halls have not received.
     pub fn take_reports_for_other_halls(&mut self) -> Vec<(EndpointKey, i8)> {
-        self.far_reports.drain().collect()
+        self.reports_for_other_halls.drain().collect()
     }
 
-    /// Forgets those that fell silent long ago.
+    /// Drops members that have been silent for long.
     pub fn expire(&mut self, now_us: Micros) {
         self.members
-            .retain(|_, m| now_us.saturating_sub(m.heard_us) < SHARER_US);
+            .retain(|_, m| now_us.saturating_sub(m.last_seen_us) < SHARER_US);
     }
 
-    /// Returns whether anybody reports here.
+    /// Returns whether any other instance reports to this one, which makes it an aggregator.
     pub fn is_aggregator(&self, now_us: Micros) -> bool {
-        self.heard(now_us).next().is_some()
+        self.reporting(now_us).next().is_some()
     }
 
-    /// Returns who reports here.
+    /// Returns the addresses of the instances that report to this one.
     pub fn reporters(&self, now_us: Micros) -> Vec<IpAddr> {
-        self.heard(now_us).map(|(addr, _)| *addr).collect()
+        self.reporting(now_us).map(|(addr, _)| *addr).collect()
     }
 
-    /// Returns the newest number of each that reports, for [`Update::echoes`].
+    /// Returns the latest sequence number of each reporting instance, for [`Update::echoes`].
     pub fn echoes(&self, now_us: Micros) -> Vec<(u16, u64)> {
-        let heard = self.heard(now_us);
-        heard.map(|(a, m)| (address_key(*a), m.seq)).collect()
+        let reporting = self.reporting(now_us);
+        reporting.map(|(a, m)| (address_key(*a), m.seq)).collect()
     }
 
-    /// Returns how many instances the hall has.
+    /// Returns the number of instances of the hall.
     pub fn instance_counts(&self, now_us: Micros) -> HallInstanceCounts {
         HallInstanceCounts {
             instances: self.members.len() as u32 + 1,
-            heard: self.heard(now_us).count() as u32 + 1,
+            heard: self.reporting(now_us).count() as u32 + 1,
         }
     }
 
-    /// Returns the requests at endpoints of all that report and those in `own`, sorted by endpoint.
+    /// Returns the sum of the loads of all reporting instances and of `own`, sorted by endpoint.
     pub fn loads(
         &self,
         now_us: Micros,
         own: &[(EndpointKey, InFlight)],
     ) -> Vec<(EndpointKey, InFlight)> {
         let mut sums: BTreeMap<EndpointKey, InFlight> = own.iter().copied().collect();
-        for (key, load) in self.heard(now_us).flat_map(|(_, m)| &m.loads) {
+        for (key, load) in self.reporting(now_us).flat_map(|(_, m)| &m.loads) {
             let sum = sums.entry(*key).or_default();
             sum.requests += load.requests;
             sum.prompt_tokens += load.prompt_tokens;
@@ -194,8 +195,9 @@
         sums.into_iter().collect()
     }
 
-    fn heard(&self, now_us: Micros) -> impl Iterator<Item = (&IpAddr, &Member)> {
-        let is_heard = move |m: &Member| now_us.saturating_sub(m.heard_us) < HEARD_US;
-        self.members.iter().filter(move |(_, m)| is_heard(m))
+    /// Returns the members whose last report is recent.
+    fn reporting(&self, now_us: Micros) -> impl Iterator<Item = (&IpAddr, &Member)> {
+        let is_reporting = move |m: &Member| now_us.saturating_sub(m.last_seen_us) < HEARD_US;
+        self.members.iter().filter(move |(_, m)| is_reporting(m))
     }
 }
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -1,7 +1,6 @@
-//! What this instance knows of the halls of a large group, its own included, from the summaries of
-//! their aggregators.
+//! State of all halls of a large cluster, including the own hall, from the summaries of their aggregators.
 //!
-//! Free of clock and socket, so that tests drive it step by step.
+//! Uses neither clock nor sockets, so that tests can drive it step by step.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,22 +11,22 @@
     prelude::{Incarnation, Micros},
 };
 
-/// A summary of fewer instances than another of the last half second is not taken for the hall's
-/// load: its aggregator is not told by all.
-const COMPARED_US: Micros = 500_000;
-/// It may be of this share less: reports are lost now and then.
-const COMPARED_SHARE: f64 = 0.9;
+/// Period in which the summaries of a hall's aggregators are compared. The loads of one that covers fewer instances
+/// than another are ignored: not all instances report to its aggregator.
+const COMPARISON_WINDOW_US: Micros = 500_000;
+/// Share of the highest instance count from which a summary's loads are used: now and then a report is lost.
+const MIN_COVERAGE: f64 = 0.9;
 
-/// Names a hall as one that tells its use.
+/// Returns the incarnation under which the balancer keeps the loads of a hall.
 pub(super) fn hall_incarnation(hall: u32) -> Incarnation {
     Incarnation(u64::from(hall))
 }
 
-/// One aggregator's word.
+/// The state of one aggregator, from its last summary.
 #[derive(Debug)]
 struct Source {
     seq: u64,
-    at_us: Micros,
+    received_us: Micros,
     instances: u32,
     heard: u32,
 }
@@ -35,15 +34,16 @@
 #[derive(Debug, Default)]
 struct Hall {
     sources: HashMap<Incarnation, Source>,
-    is_forgotten: bool,
+    is_silent: bool,
 }
 
 impl Hall {
-    /// Returns how many instances it has and how many are heard: what the aggregator of the most said.
+    /// Returns how many instances the hall has and how many of them report, each as the highest number of any
+    /// aggregator.
     fn counts(&self, now_us: Micros) -> (u32, u32) {
         let instances = self.sources.values().map(|s| s.instances).max();
         let fresh = self.sources.values();
-        let fresh = fresh.filter(|s| now_us.saturating_sub(s.at_us) < HEARD_US);
+        let fresh = fresh.filter(|s| now_us.saturating_sub(s.received_us) < HEARD_US);
         (
             instances.unwrap_or(0),
             fresh.map(|s| s.heard).max().unwrap_or(0),
@@ -51,23 +51,23 @@
     }
 }
 
-/// What a summary changed.
+/// The effect of a summary.
 #[derive(Debug, PartialEq)]
 pub struct SummaryEffect {
-    /// The summary's loads stand for the hall.
+    /// Whether the summary's loads replace those of the hall.
     pub replaces_loads: bool,
-    /// The hall had fallen silent.
+    /// Whether the hall had been silent until this summary.
     pub was_silent: bool,
 }
 
-/// What is known of the halls.
+/// The state of all halls, by key.
 #[derive(Debug, Default)]
 pub struct Halls {
     by_key: BTreeMap<u32, Hall>,
 }
 
 impl Halls {
-    /// Takes a summary; none if a newer one of its aggregator was taken.
+    /// Applies a summary; returns `None` if a newer one of its aggregator has been applied.
     pub fn apply_summary(
         &mut self,
         now_us: Micros,
@@ -76,7 +76,7 @@
         let hall = self.by_key.entry(summary.hall).or_default();
         let source = hall.sources.entry(summary.by).or_insert_with(|| Source {
             seq: 0,
-            at_us: now_us,
+            received_us: now_us,
             instances: 0,
             heard: 0,
         });
@@ -84,47 +84,47 @@
             return None;
         }
         source.seq = summary.seq;
-        source.at_us = now_us;
+        source.received_us = now_us;
         source.instances = summary.instances;
         source.heard = summary.heard;
-        let was_silent = std::mem::take(&mut hall.is_forgotten);
-        let compared = hall.sources.values();
-        let compared = compared.filter(|s| now_us.saturating_sub(s.at_us) < COMPARED_US);
-        let most = compared.map(|s| s.heard).max().unwrap_or(0);
+        let was_silent = std::mem::take(&mut hall.is_silent);
+        let recent = hall.sources.values();
+        let recent = recent.filter(|s| now_us.saturating_sub(s.received_us) < COMPARISON_WINDOW_US);
+        let max_heard = recent.map(|s| s.heard).max().unwrap_or(0);
         Some(SummaryEffect {
-            replaces_loads: f64::from(summary.heard) >= f64::from(most) * COMPARED_SHARE,
+            replaces_loads: f64::from(summary.heard) >= f64::from(max_heard) * MIN_COVERAGE,
             was_silent,
         })
     }
 
-    /// Forgets aggregators that fell silent long ago; returns the halls that fell silent since this was
-    /// asked last, whose use is not known any more.
+    /// Drops aggregators that have been silent for long; returns the halls that fell silent since the last call, whose
+    /// loads are unknown from now on.
     pub fn expire(&mut self, now_us: Micros) -> Vec<u32> {
         let mut silent = Vec::new();
         for (key, hall) in &mut self.by_key {
             hall.sources
-                .retain(|_, s| now_us.saturating_sub(s.at_us) < SHARER_US);
+                .retain(|_, s| now_us.saturating_sub(s.received_us) < SHARER_US);
             let (_, heard) = hall.counts(now_us);
-            if heard == 0 && !std::mem::replace(&mut hall.is_forgotten, true) {
+            if heard == 0 && !std::mem::replace(&mut hall.is_silent, true) {
                 silent.push(*key);
             }
         }
         silent
     }
 
-    /// Returns the age of a hall's newest summary, if any is known.
+    /// Returns the age of a hall's newest summary, or `None` if there is none.
     pub fn age_us(&self, now_us: Micros, hall: u32) -> Option<Micros> {
         let sources = self.by_key.get(&hall)?.sources.values();
-        let newest_us = sources.map(|s| s.at_us).max()?;
+        let newest_us = sources.map(|s| s.received_us).max()?;
         Some(now_us.saturating_sub(newest_us))
     }
 
-    /// Returns whether nothing of any hall is known.
+    /// Returns whether no summary of any hall has been received.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
 
-    /// Counts the instances of all halls, and those of them that are heard.
+    /// Returns the number of instances of all halls, and of those that report to their aggregators.
     pub fn instance_counts(&self, now_us: Micros) -> InstanceCounts {
         let counts = self.by_key.values().map(|h| h.counts(now_us));
         let (all, heard) = counts.fold((0, 0), |(all, heard), hall| {
--- a/src/gateway/instance_count.rs
+++ b/src/gateway/instance_count.rs
@@ -1,7 +1,7 @@
-//! Keeps in the store how many instances there are, for instances that start when no other tells them.
+//! Stores the number of instances, for instances that start without reaching their peers.
 //!
-//! An instance's share of a limit is one part of as many. One that starts while it is cut off from the others would
-//! take those that it meets for all.
+//! Each instance's share of a limit is the limit divided by this number. An instance that starts while partitioned from
+//! the others would otherwise count only the peers that it reaches, and use too large a share.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,114 +13,114 @@
     store::{Store, WriteError},
 };
 
-/// The key under which the store has the number.
+/// The store key of the number.
 const KEY: &str = "instance-count";
-/// How often it is looked whether there is something to read or write.
-const LOOK: Duration = Duration::from_millis(100);
-/// A call that failed is made again after this time.
+/// Interval of checks for a due read or write.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay before a failed call is retried.
 const RETRY_US: Micros = 1_000_000;
-/// A process that starts is told by others before this, or reads the store.
-const TOLD_US: Micros = 50_000;
-/// A higher number is written once it has stood for this long.
-const RISEN_US: Micros = 2_000_000;
-/// And a lower one.
-const FALLEN_US: Micros = 60_000_000;
+/// Delay after the start before the store is read: peers usually report the number before that.
+const PEERS_WAIT_US: Micros = 50_000;
+/// A higher number is written after it has been stable for this long.
+const INCREASE_STABLE_US: Micros = 2_000_000;
+/// A lower number is written after it has been stable for this long.
+const DECREASE_STABLE_US: Micros = 60_000_000;
 
-/// The number as the store has it; 0 if it has none.
+/// The number in the store; 0 if there is none.
 #[derive(Clone, Copy, Debug, Default)]
-struct Kept {
+struct Stored {
     version: u64,
     instances: u32,
 }
 
-struct Keeper<P: Protocol, S: Store> {
+struct InstanceCountSync<P: Protocol, S: Store> {
     gateway: Arc<Gateway<P>>,
     store: S,
-    kept: Option<Kept>,
-    /// The number that differs from what is kept, and since when.
-    differs: Option<(u32, Micros)>,
+    stored: Option<Stored>,
+    /// A number that differs from the stored one, and the time since which it has been stable.
+    pending: Option<(u32, Micros)>,
     next_call_us: Micros,
 }
 
-/// Keeps the number until dropped. At the first start of all there is none to be read.
+/// Keeps the stored number up to date until dropped. Nothing is read on the first start of the deployment.
 pub async fn run<P: Protocol, S: Store>(gateway: Arc<Gateway<P>>, store: S, is_first_start: bool) {
     let started_us = gateway.clock.now_us();
-    let mut keeper = Keeper {
+    let mut sync = InstanceCountSync {
         gateway,
         store,
-        kept: is_first_start.then(Kept::default),
-        differs: None,
-        next_call_us: started_us + TOLD_US,
+        stored: is_first_start.then(Stored::default),
+        pending: None,
+        next_call_us: started_us + PEERS_WAIT_US,
     };
-    let mut look = time::interval(LOOK);
-    look.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut interval = time::interval(CHECK_INTERVAL);
+    interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        look.tick().await;
-        keeper.look().await;
+        interval.tick().await;
+        sync.check().await;
     }
 }
 
-impl<P: Protocol, S: Store> Keeper<P, S> {
-    async fn look(&mut self) {
+impl<P: Protocol, S: Store> InstanceCountSync<P, S> {
+    async fn check(&mut self) {
         let now_us = self.gateway.clock.now_us();
         if now_us < self.next_call_us {
             return;
         }
         let is_known = self.gateway.quota.knows_instance_count();
-        let writes = self.gateway.quota.is_first_server();
-        if self.kept.is_none() && (!is_known || writes) {
+        let is_writer = self.gateway.quota.is_first_server();
+        if self.stored.is_none() && (!is_known || is_writer) {
             return self.read().await;
         }
-        if let (Some(kept), true, true) = (self.kept, is_known, writes) {
-            self.write_if_due(now_us, kept).await;
+        if let (Some(stored), true, true) = (self.stored, is_known, is_writer) {
+            self.write_if_due(now_us, stored).await;
         }
     }
 
     async fn read(&mut self) {
         match self.store.read(KEY).await {
             Ok(object) => {
-                let kept = object.map_or(Kept::default(), |object| Kept {
+                let stored = object.map_or(Stored::default(), |object| Stored {
                     version: object.version,
                     instances: decode(&object.value),
                 });
-                let Kept { instances, .. } = kept;
+                let Stored { instances, .. } = stored;
                 log::info!(target: "ryevalve::process", instances; "instance_count_read");
                 let now_us = self.gateway.clock.now_us();
                 self.gateway.quota.restore_instance_count(now_us, instances);
-                self.kept = Some(kept);
+                self.stored = Some(stored);
             }
             Err(error) => self.failed("instance_count_not_read", &error.to_string()),
         }
     }
 
-    async fn write_if_due(&mut self, now_us: Micros, kept: Kept) {
+    async fn write_if_due(&mut self, now_us: Micros, stored: Stored) {
         let instances = self.gateway.quota.own_instances();
-        if instances == kept.instances {
-            self.differs = None;
+        if instances == stored.instances {
+            self.pending = None;
             return;
         }
-        let since_us = match self.differs {
-            Some((differs, since_us)) if differs == instances => since_us,
+        let since_us = match self.pending {
+            Some((pending, since_us)) if pending == instances => since_us,
             _ => now_us,
         };
-        self.differs = Some((instances, since_us));
-        let stands_us = match instances > kept.instances {
-            true => RISEN_US,
-            false => FALLEN_US,
+        self.pending = Some((instances, since_us));
+        let stable_us = match instances > stored.instances {
+            true => INCREASE_STABLE_US,
+            false => DECREASE_STABLE_US,
         };
-        if now_us < since_us + stands_us {
+        if now_us < since_us + stable_us {
             return;
         }
         let value = instances.to_string();
-        match self.store.write(KEY, value.into(), kept.version).await {
+        match self.store.write(KEY, value.into(), stored.version).await {
             Ok(version) => {
                 log::info!(target: "ryevalve::process", instances; "instance_count_written");
-                self.kept = Some(Kept { version, instances });
+                self.stored = Some(Stored { version, instances });
             }
-            // Another instance has written, or may be this one.
-            Err(WriteError::Conflict) => self.kept = None,
+            // Written by another instance, or by an earlier call of this one whose answer was lost.
+            Err(WriteError::Conflict) => self.stored = None,
             Err(error) => {
-                self.kept = None;
+                self.stored = None;
                 self.failed("instance_count_not_written", &error.to_string());
             }
         }
@@ -132,7 +132,7 @@
     }
 }
 
-/// Reads the number; one that cannot be read is another version's, and is replaced.
+/// Parses the number. An unreadable value was written by another version; it counts as 0 and is replaced.
 fn decode(value: &[u8]) -> u32 {
     let text = std::str::from_utf8(value).unwrap_or_default();
     text.trim().parse().unwrap_or_else(|error| {
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,7 +1,7 @@
-//! The request path over routes, discovered endpoints and organisations' limits: callers come in by
-//! [`caller_listener`], a request is run by [`run`], and [`crate::balance`] decides where it goes.
+//! The request path over routes, discovered endpoints and organisations' limits: [`caller_listener`] accepts
+//! callers, [`run`] runs a request, and [`crate::balance`] chooses its endpoint.
 //!
-//! In whose words callers and endpoints speak is a [`protocol::Protocol`]'s matter.
+//! A [`protocol::Protocol`] reads and writes the headers of callers and endpoints.
 
 mod acting;
 pub mod admission;
--- a/src/gateway/other_halls.rs
+++ b/src/gateway/other_halls.rs
@@ -1,9 +1,9 @@
-//! What an aggregator knows of the other halls, summed up for its own.
+//! Aggregates the summaries of the other halls, at an aggregator of the own hall.
 //!
-//! The own hall is told one sum of all others. Five summaries passed on as they came were 7 KB to each
-//! of 49 instances; links of 20 Mbit/s lost a part of them, and a hall's use was up to 2 s old.
+//! The own hall receives one sum of all other halls. Relaying five summaries unchanged took 7 KB to each of 49
+//! instances: links of 20 Mbit/s dropped part of them, and the loads of a hall were up to 2 s old.
 //!
-//! Free of clock and socket, so that tests drive it step by step.
+//! Uses neither clock nor sockets, so that tests can drive it step by step.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -17,13 +17,13 @@
     prelude::Micros,
 };
 
-/// The key under which all halls but the own are told; no hall's name has this hash in practice, and
-/// one that had would be counted together with it.
+/// The hall key of the sum of all other halls. In practice no hall's name hashes to it; a hall whose name did would be
+/// counted together with the sum.
 pub const OTHER_HALLS: u32 = 0;
-/// Endpoints whose speed waits to be passed on, at most: one datagram's.
-const MOST_SPEEDS: usize = 64;
+/// Maximum number of endpoints whose speed waits to be relayed: as many as fit one datagram.
+const MAX_PENDING_SPEEDS: usize = 64;
 
-/// The other halls, from their aggregators' own words.
+/// The other halls, from the summaries of their own aggregators.
 #[derive(Debug, Default)]
 pub struct OtherHalls {
     halls: Halls,
@@ -33,38 +33,38 @@
 }
 
 impl OtherHalls {
-    /// Takes a summary of another hall; false if a newer one was taken.
+    /// Applies a summary of another hall; returns whether it was applied, rather than older than one already applied.
     pub fn apply_summary(&mut self, now_us: Micros, summary: &HallSummary) -> bool {
-        let taken = self.halls.apply_summary(now_us, summary);
-        let Some(taken) = taken else {
+        let effect = self.halls.apply_summary(now_us, summary);
+        let Some(effect) = effect else {
             return false;
         };
-        if taken.replaces_loads {
+        if effect.replaces_loads {
             let loads = self.loads.entry(summary.hall).or_default();
             loads.retain(|key, _| !summary.span.contains(*key));
             loads.extend(summary.loads.iter().copied());
         }
         self.reports.extend(summary.reports.iter().copied());
         self.speeds.extend(summary.speeds.iter().copied());
-        while self.speeds.len() > MOST_SPEEDS {
+        while self.speeds.len() > MAX_PENDING_SPEEDS {
             self.speeds.pop_first();
         }
         true
     }
 
-    /// Forgets the requests of halls that fell silent.
+    /// Drops the loads of halls that fell silent.
     pub fn expire(&mut self, now_us: Micros) {
         for hall in self.halls.expire(now_us) {
             self.loads.remove(&hall);
         }
     }
 
-    /// Returns whether anything of another hall is known.
+    /// Returns whether no summary of another hall has been received.
     pub fn is_empty(&self) -> bool {
         self.halls.is_empty()
     }
 
-    /// Returns the requests of all other halls at endpoints, sorted by endpoint.
+    /// Returns the sum of the loads of all other halls, sorted by endpoint.
     pub fn loads(&self) -> Vec<(EndpointKey, InFlight)> {
         let mut sums: BTreeMap<EndpointKey, InFlight> = BTreeMap::new();
         for (key, load) in self.loads.values().flatten() {
@@ -75,8 +75,8 @@
         sums.into_iter().collect()
     }
 
-    /// Fills in how many instances the other halls have, and what came of them since this was asked
-    /// last.
+    /// Fills in the number of instances of the other halls, and the endpoint reports and speeds received since the last
+    /// call.
     pub fn fill_summary(&mut self, now_us: Micros, summary: &mut HallSummary) {
         let counts = self.halls.instance_counts(now_us);
         summary.instances = counts.all as u32;
--- a/src/gateway/protocol.rs
+++ b/src/gateway/protocol.rs
@@ -1,4 +1,4 @@
-//! How callers are read and answered and how endpoints are asked, in whatever headers they use.
+//! Abstracts over a platform's headers for requests of callers and answers of endpoints.
 
 use hyper::{
     HeaderMap, StatusCode,
@@ -11,93 +11,93 @@
     prelude::Name,
 };
 
-/// What a caller says of its request.
+/// The contents of a caller's request headers.
 #[derive(Clone, Debug, Default)]
 pub struct CallHead {
-    /// The caller's id for it, kept as it came.
+    /// The caller's id of the request, unchanged.
     pub request_id: Option<HeaderValue>,
-    /// How long the caller waits, in milliseconds.
+    /// The caller's timeout, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<Name>,
-    /// The event after which a stream goes on.
+    /// The id of the event after which a stream is to resume.
     pub resume_after: Option<u64>,
-    /// The lengths of prompt and answer.
+    /// The token counts of prompt and answer.
     pub tokens: Option<TokenCounts>,
     /// The parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
-    /// The caller's guess of the answer's tokens: right in the median, often far off.
+    /// The caller's estimate of the answer's tokens: accurate in the median, but often far off.
     pub expected_output_tokens: Option<u32>,
 }
 
-/// How long a prompt is, and its answer at most.
+/// The size of a prompt and the maximum size of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenCounts {
     /// Tokens of the prompt.
     pub prompt: u32,
-    /// The most tokens of the answer.
+    /// Maximum number of tokens of the answer.
     pub max_output: u32,
 }
 
 impl TokenCounts {
-    /// Returns both together.
+    /// Returns the sum of both.
     pub fn total(self) -> u32 {
         self.prompt.saturating_add(self.max_output)
     }
 }
 
-/// What the gateway adds to a request that it passes on.
+/// What the gateway adds to a request that it forwards to an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Forward<'a> {
-    /// The id of the endpoint's start that it is meant for.
+    /// The id of the endpoint incarnation that the request is meant for.
     pub endpoint: &'a str,
     /// The caller's organisation.
     pub organisation: Option<&'a str>,
-    /// Time left to the caller's deadline, in milliseconds.
+    /// Time left until the caller's deadline, in milliseconds.
     pub left_ms: u64,
-    /// The last event that the caller has, where the gateway takes a stream up again.
+    /// The id of the last event that the caller received, when the gateway resumes a stream.
     pub resume_after: Option<u64>,
 }
 
-/// What an endpoint says in the head of its answer.
+/// The contents of the head of an endpoint's answer.
 #[derive(Clone, Debug)]
 pub struct AnswerHead {
     /// The id of the request that it answers.
     pub request_id: Option<HeaderValue>,
-    /// It carries proof that it is the endpoint's own.
+    /// Whether it is signed, which shows that the endpoint itself answered.
     pub is_signed: bool,
-    /// It says that the request was not run.
+    /// Whether it states that the request was not run.
     pub not_executed: bool,
     /// The endpoint's load.
     pub load: Option<EndpointLoadReport>,
-    /// What it says of itself.
+    /// The endpoint's announcements.
     pub announcements: AnnouncementHeaders,
-    /// Headers that nothing here reads.
+    /// Headers that the gateway does not interpret.
     pub unread: Vec<HeaderName>,
 }
 
-/// What an endpoint's start says of itself in an answer, whatever the answer is.
+/// What an endpoint incarnation announces in the headers of an answer, whatever the answer's status.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnnouncementHeaders {
-    /// It leaves: nothing more is to be sent to it.
+    /// Whether it is leaving: it must not be sent further requests.
     pub leaves: bool,
-    /// For how long it wants nothing from this instance.
+    /// The back-off that it requests from this instance.
     pub back_off: BackOffHeader,
-    /// How many requests it takes from all instances together.
+    /// The rate limit of its requests from all instances together.
     pub limit: LimitHeader,
 }
 
-/// The headers of one platform.
+/// Reads and writes the headers of one platform.
 pub trait Protocol: Clone + Send + Sync + 'static {
-    /// Reads what a caller says of its request.
+    /// Reads the headers of a caller's request.
     fn read_call(&self, headers: &HeaderMap) -> CallHead;
 
-    /// Replaces what only the gateway may say to an endpoint.
+    /// Sets the headers that only the gateway may send to an endpoint, replacing those of the caller.
     fn write_forward(&self, headers: &mut HeaderMap, forward: &Forward<'_>);
 
     /// Reads the head of an endpoint's answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
 
-    /// Adds to a refusal what lets the caller tell its request.
+    /// Adds headers to a refusal by which the caller can match it to its request.
     fn write_refusal(&self, headers: &mut HeaderMap, request_id: Option<&HeaderValue>);
 }
--- a/src/gateway/stop.rs
+++ b/src/gateway/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: seen as not ready first, then no new connection, then the last answers.
+//! Graceful shutdown: reports not ready, then stops accepting connections, then waits for requests in flight.
 
 use std::time::Duration;
 
@@ -9,38 +9,39 @@
     prelude::Micros,
 };
 
-/// The balancer asks every second and drops an instance after two answers; callers that it sent
-/// here before that still come. After this time none does.
-const UNTIL_UNSEEN: Duration = Duration::from_millis(2_600);
-/// Left before the kill for what is still to be written.
-const BEFORE_KILL: Duration = Duration::from_millis(350);
+/// Time between reporting not ready and closing the listener. The load balancer in front of the instances checks
+/// readiness every second and removes an instance after two failed checks; callers may still be routed here before that.
+const READINESS_DELAY: Duration = Duration::from_millis(2_600);
+/// Part of the grace period reserved for writing the last output before the process is killed.
+const EXIT_MARGIN: Duration = Duration::from_millis(350);
 
-/// Stops as planned within `grace`; returns whether all requests came to their end.
+/// Shuts down within `grace`; returns whether all requests were answered.
 pub async fn stop<P: Protocol>(
     gateway: &Gateway<P>,
-    front: ListenerStop,
+    listener: ListenerStop,
     serving: JoinHandle<()>,
     grace: Duration,
 ) -> bool {
-    // Whoever stops this process counts suspensions of the machine, too.
+    // The supervisor's grace period includes time in which the machine is suspended, so it is measured by a clock that
+    // advances then.
     let clock = gateway.clock;
-    let begun_us = clock.now_us();
+    let started_us = clock.now_us();
     gateway.begin_stop();
     log::info!(target: "ryevalve::process", grace_ms = grace.as_millis() as u64; "stop_begun");
     clock
-        .sleep_until(begun_us + micros(UNTIL_UNSEEN.min(grace / 3)))
+        .sleep_until(started_us + micros(READINESS_DELAY.min(grace / 3)))
         .await;
-    front.connections.cancel();
-    front.accept.cancel();
-    let until_us = begun_us + micros(grace.saturating_sub(BEFORE_KILL));
-    let whole = clock.timeout_at(until_us, serving).await.is_some();
+    listener.connections.cancel();
+    listener.accept.cancel();
+    let until_us = started_us + micros(grace.saturating_sub(EXIT_MARGIN));
+    let all_answered = clock.timeout_at(until_us, serving).await.is_some();
     log::info!(
         target: "ryevalve::process",
-        all_answered = whole,
-        took_ms = clock.now_us().saturating_sub(begun_us) / 1_000;
+        all_answered = all_answered,
+        took_ms = clock.now_us().saturating_sub(started_us) / 1_000;
         "stopped"
     );
-    whole
+    all_answered
 }
 
 fn micros(time: Duration) -> Micros {
