--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -1,4 +1,4 @@
-//! The gateway's counters and histograms.
+//! The gateway's Prometheus metrics.
 
 use prometheus_client::{
     encoding::{EncodeLabelSet, text::encode},
@@ -13,20 +13,20 @@
 
 use crate::entry::refusal::{Refusal, Verdict};
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With an endpoint's whole answer.
+    /// An endpoint's complete answer was delivered.
     Served,
-    /// With an endpoint's failure.
+    /// An endpoint's error answer was delivered.
     EndpointError,
-    /// Refused, and not run.
+    /// Refused without being run.
     NotRun,
-    /// Given up, and may have run.
+    /// Abandoned, and possibly run.
     Unknown,
-    /// Refused for what it was.
+    /// Refused as invalid.
     BadRequest,
-    /// A stream that was cut.
+    /// The stream was cut off.
     Broken,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Returns its name in logs and labels.
+    /// Returns the name of the outcome in logs and labels.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Served => "served",
@@ -53,85 +53,85 @@
     }
 }
 
-/// Labels of what is counted by route and outcome.
+/// Labels of metrics by route and outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RouteLabels {
     /// The route's name.
     pub route: String,
-    /// How requests ended.
+    /// The outcome, from [`Outcome::as_str`].
     pub outcome: &'static str,
 }
 
-/// Everything that a gateway counts.
+/// All metrics of a gateway. Fields have the names of their metrics.
 #[derive(Debug)]
 pub struct GatewayMetrics {
     registry: Registry,
     requests: Family<RouteLabels, Counter>,
-    /// Time from a request's arrival to its first event or whole answer.
+    /// Time from a request's arrival to its first event or complete answer, in seconds.
     pub first_seconds: Histogram,
     /// Connections opened to endpoints.
     pub connections_opened: Counter,
-    /// Retries that the budget left no room for.
+    /// Retries denied by the retry budget.
     pub retries_denied: Counter,
-    /// Requests refused because endpoints ended under them.
+    /// Requests refused because endpoints crashed while running them.
     pub requests_blocked: Counter,
-    /// Requests sent to endpoints that had named a limit.
+    /// Requests sent to endpoints that announced a rate limit.
     pub sent_to_limited: Counter,
-    /// Permits for such endpoints that this instance asked for.
+    /// Permits for such endpoints that this instance requested.
     pub permits_asked: Counter,
-    /// Permits that it gave, to itself too.
+    /// Permits that this instance granted, including those to itself.
     pub permits_given: Counter,
-    /// Permits that it had and gave back.
+    /// Permits that this instance received and returned unused.
     pub permits_unused: Counter,
-    /// Permits that it asked for without an answer.
+    /// Permit requests of this instance that were not answered.
     pub permits_unanswered: Counter,
-    /// Requests for whose quota another instance was asked.
+    /// Requests for which this instance requested quota from another.
     pub quota_asked: Counter,
-    /// Those for which a second one was asked, since the first was slow.
+    /// Requests for which quota was also requested from a second instance because the first was slow.
     pub quota_hedged: Counter,
-    /// Those for which nobody answered in time.
+    /// Requests for which no instance answered the quota request in time.
     pub quota_unanswered: Counter,
-    /// Those that did not use their quota.
+    /// Requests that did not use their quota.
     pub quota_unused: Counter,
-    /// Limits named in words that cannot be read.
+    /// Rate limits of endpoints whose header could not be parsed.
     pub limit_words_unreadable: Counter,
-    /// Words of endpoints that ask this instance for rest.
+    /// Back-off requests of endpoints to this instance.
     pub rests_asked: Counter,
-    /// Rest asked for in words that cannot be read.
+    /// Back-off requests whose header could not be parsed.
     pub rest_words_unreadable: Counter,
-    /// Headers of endpoints' answers that nothing reads.
+    /// Headers of endpoints' answers that the gateway does not interpret.
     pub answer_headers_unread: Counter,
-    /// Calls to the store that brought nothing.
+    /// Failed calls to the store.
     pub store_failures: Counter,
-    /// Entries of endpoints that could not be read: another writer's.
+    /// Endpoint entries in the store that could not be parsed, as another program wrote them.
     pub entries_unused: Counter,
     /// Datagrams from other instances that were dropped.
     pub datagrams_dropped: Counter,
-    /// Bytes told to other instances.
+    /// Bytes sent to other instances in datagrams.
     pub told_bytes: Counter,
-    /// Instances that were put off when they asked for a configuration.
+    /// Requests of other instances for a configuration that were deferred.
     pub copies_put_off: Counter,
-    /// Places at endpoints that this instance asked another for.
+    /// Reservations that this instance requested from another.
     pub places_asked: Counter,
-    /// Those of them for which no answer came that could be used.
+    /// Reservation requests of this instance without a usable answer.
     pub places_unanswered: Counter,
-    /// Places that others asked this instance for.
+    /// Reservations that other instances requested from this one.
     pub places_decided: Counter,
-    /// Updates sent to other instances.
+    /// Update datagrams sent to other instances.
     pub updates_sent: Counter,
-    /// Updates that could not be sent.
+    /// Update datagrams that could not be sent.
     pub updates_unsent: Counter,
-    /// Questions to other instances on how fresh what they know of the store is.
+    /// Requests to other instances for the freshness of their copy of the store's state.
     pub freshness_asked: Counter,
-    /// Updates taken from other instances.
+    /// Update datagrams received from other instances.
     pub updates_received: Counter,
-    /// Instances, heard or not, this one included.
+    /// Instances including this one, whether their reports arrive or not.
     pub instances: Gauge,
     /// Instances that report to this one.
     pub reporters: Gauge,
-    /// Age of the newest summary of the own hall.
+    /// Age of the newest summary of the own hall, in seconds.
     pub hall_summary_age_seconds: Gauge<f64, std::sync::atomic::AtomicU64>,
-    /// Age of the newest summary of all other halls.
+    /// Age of the newest summary of all other halls, in seconds.
     pub far_summary_age_seconds: Gauge<f64, std::sync::atomic::AtomicU64>,
     config_version: Gauge,
     config_age_seconds: Gauge<f64, std::sync::atomic::AtomicU64>,
@@ -199,28 +199,28 @@
     }
 }
 
-/// What is read from elsewhere when the counters are shown.
+/// Values of gauges that are read from other parts of the gateway when metrics are exported.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct GatewayReadings {
-    /// The configuration in force.
+    /// Version of the configuration in force.
     pub config_version: u64,
-    /// For how long it has not been known to be the newest, in seconds.
+    /// Time since the configuration was last known to be the newest, in seconds.
     pub config_age_s: f64,
-    /// For how long the endpoints have not been known to be as the store has them, in seconds.
+    /// Time since the endpoints were last known to match the store, in seconds.
     pub endpoints_age_s: f64,
-    /// Endpoints in use.
+    /// Number of endpoints in use.
     pub endpoints: usize,
-    /// Endpoints that named a limit.
+    /// Number of endpoints that announced a rate limit.
     pub limited_endpoints: usize,
-    /// Endpoints that said that they leave, those that have left among them.
+    /// Number of endpoints that announced their departure, including those that have left.
     pub leaving_endpoints: usize,
-    /// Endpoints that asked this instance for rest and have not served since.
+    /// Number of endpoints that asked this instance to back off and have not served a request since.
     pub resting_endpoints: usize,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub waiting: usize,
-    /// Instances heard of late, this one included.
+    /// Number of instances seen recently, including this one.
     pub instances_heard: usize,
-    /// Connections to endpoints that rest.
+    /// Number of idle connections to endpoints.
     pub resting_connections: usize,
 }
 
@@ -253,7 +253,7 @@
         self.register_exchange();
         self.register_endpoint_limits();
         self.register_quota();
-        self.register_endpoint_words();
+        self.register_endpoint_announcements();
         let registry = &mut self.registry;
         let version = "Version of the configuration in force";
         registry.register("config_version", version, self.config_version.clone());
@@ -320,7 +320,7 @@
         );
     }
 
-    fn register_endpoint_words(&mut self) {
+    fn register_endpoint_announcements(&mut self) {
         let registry = &mut self.registry;
         let leaving = "Endpoints that said that they leave, those that have left among them";
         registry.register("leaving_endpoints", leaving, self.leaving_endpoints.clone());
@@ -344,8 +344,8 @@
 
     fn register_exchange(&mut self) {
         let registry = &mut self.registry;
-        let told = "Bytes told to other instances by datagrams";
-        registry.register("told_bytes", told, self.told_bytes.clone());
+        let sent_bytes = "Bytes told to other instances by datagrams";
+        registry.register("told_bytes", sent_bytes, self.told_bytes.clone());
         let put_off = "Instances put off when they asked for a configuration";
         registry.register("copies_put_off", put_off, self.copies_put_off.clone());
         let asked = "Places at endpoints that another instance was asked for";
@@ -378,7 +378,7 @@
         registry.register("far_summary_age_seconds", age, gauge);
     }
 
-    /// Counts a request that ended.
+    /// Counts a request by route and outcome.
     pub fn record_outcome(&self, route: &str, outcome: Outcome) {
         let labels = RouteLabels {
             route: route.to_owned(),
@@ -387,7 +387,7 @@
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// Returns everything as Prometheus text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self, readings: GatewayReadings) -> String {
         self.config_version.set(readings.config_version as i64);
         self.config_age_seconds.set(readings.config_age_s);
--- a/src/gateway/report.rs
+++ b/src/gateway/report.rs
@@ -1,5 +1,5 @@
-//! What the log says of how requests ended: a line for each that was refused, late, failed or tried
-//! again, and for a sample of the rest.
+//! Logs the outcome of requests: a line for each that was refused, late, failed or retried, and for a sample of the
+//! rest.
 
 use hyper::{StatusCode, header::HeaderValue};
 use rand::RngExt;
@@ -18,41 +18,41 @@
     prelude::{Micros, Name},
 };
 
-/// What happened to a request, for its line.
+/// What happened to a request, for its log line.
 #[derive(Clone, Debug, Default)]
 pub struct Trace {
-    /// Its route.
+    /// The name of its route.
     pub route: Option<Name>,
-    /// How long its caller said that it waits, in milliseconds.
+    /// The timeout that its caller declared, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// For how long its caller had waited before this try, as far as is known.
+    /// How long its caller had waited in earlier attempts, as estimated, in milliseconds.
     pub waited_ms: u64,
-    /// The organisation that it is of.
+    /// The organisation of its caller.
     pub organisation: Option<Name>,
-    /// Why the organisation's limit left no room.
+    /// The denial by the organisation's usage limit, if any.
     pub denied: Option<Denied>,
-    /// The endpoint that it was sent to last.
+    /// The id of the endpoint that it was sent to last.
     pub endpoint: Option<Name>,
-    /// How many endpoints it was sent to.
+    /// Number of endpoints that it was placed at.
     pub attempts: u32,
-    /// Why an attempt or the request failed.
+    /// Why the last failed attempt, or the request, failed.
     pub reason: Option<&'static str>,
-    /// What it is known by when it comes again, if an endpoint failed it.
+    /// The fingerprint that identifies a repetition of the request, if an endpoint failed while running it.
     pub fingerprint: Option<Fingerprint>,
-    /// What was expected of the last endpoint.
+    /// The expected performance at the last endpoint.
     pub expected: Option<Expected>,
-    /// The longest pause between two events of a stream.
+    /// The longest gap between two events of a stream.
     pub longest_gap_us: Micros,
 }
 
 impl Trace {
-    fn shown_fingerprint(&self) -> String {
+    fn fingerprint_for_log(&self) -> String {
         self.fingerprint
             .map_or_else(|| "-".to_owned(), |f| f.to_string())
     }
 }
 
-/// Writes the line of a request that was at an endpoint when it ended; `endings` is how many have so far.
+/// Logs that an endpoint crashed while it ran a request; `endings` is the number of crashes under this request so far.
 pub fn log_crash<P: Protocol>(gateway: &Gateway<P>, job: &Job, endpoint: &str, endings: usize) {
     let blocked_us = gateway.blocked_us(|| job.fingerprint());
     let fingerprint = job.fingerprint().to_string();
@@ -68,7 +68,7 @@
     );
 }
 
-/// Counts a refusal and writes its line.
+/// Counts and logs a refusal.
 pub fn note_refusal<P: Protocol>(
     gateway: &Gateway<P>,
     trace: &Trace,
@@ -78,7 +78,7 @@
 ) {
     let route = trace.route.as_deref().unwrap_or("-");
     gateway.metrics.record_outcome(route, Outcome::of(refusal));
-    // One that is blocked is refused whatever the load.
+    // A blocked request is refused whatever the load, so it does not count as a sign of overload.
     if refusal.retry_after_ms.is_some() && refusal.reason != refuse::ENDS_ENDPOINTS {
         gateway.note_refused();
     }
@@ -92,7 +92,7 @@
         status = refusal.status.as_u16(),
         reason = refusal.reason,
         last_failure = trace.reason.unwrap_or("-"),
-        fingerprint = trace.shown_fingerprint(),
+        fingerprint = trace.fingerprint_for_log(),
         endpoint = trace.endpoint.as_deref().unwrap_or("-"),
         attempts = trace.attempts,
         held_ms,
@@ -112,10 +112,10 @@
     );
 }
 
-/// One in this many answers in time has a line; all others do.
+/// One in this many answers that met their targets at the first attempt is logged; all others are logged.
 pub const SAMPLE_INTERVAL: u32 = 16;
 
-/// Writes the line of an answer that came from an endpoint.
+/// Logs an answer that came from an endpoint.
 pub fn log_answer<P: Protocol>(
     gateway: &Gateway<P>,
     job: &Job,
@@ -128,8 +128,8 @@
     let target_gap_us = job.route.target_gap.as_micros() as Micros;
     let in_time =
         first_us <= job.placement_request.target_us && trace.longest_gap_us <= target_gap_us;
-    let is_plain = outcome == Outcome::Served && in_time && attempts <= 1;
-    if is_plain && rand::rng().random_range(0..SAMPLE_INTERVAL) > 0 {
+    let is_sampled = outcome == Outcome::Served && in_time && attempts <= 1;
+    if is_sampled && rand::rng().random_range(0..SAMPLE_INTERVAL) > 0 {
         return;
     }
     log::info!(
@@ -148,7 +148,7 @@
         waited_before_ms = trace.waited_ms,
         endpoint = trace.endpoint.as_deref().unwrap_or("-"),
         last_failure = trace.reason.unwrap_or("-"),
-        fingerprint = trace.shown_fingerprint(),
+        fingerprint = trace.fingerprint_for_log(),
         expected_first_ms = trace.expected.map_or(0.0, |e| e.first_ms.round()),
         endpoint_requests = trace.expected.map_or(0.0, |e| e.there.round()),
         endpoint_event_ms = trace.expected.map_or(0.0, |e| e.event_ms.round()),
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a gateway share.
+//! The state that the parts of a gateway share.
 
 use std::{
     collections::HashMap,
@@ -46,61 +46,63 @@
     prelude::{Micros, Name},
 };
 
-/// A key may be used this much less long than operators allow after it was taken away: a watch may
-/// hear nothing for a second while changes are made. At most the share below of what they allow.
+/// Margin by which the use of a revoked key ends before the time that operators allow: a watch may receive nothing for
+/// a second while changes are made. Capped at the share below of the time allowed.
 const FRESHNESS_MARGIN_US: Micros = 1_200_000;
-/// With less left, calm instances would refuse keys between one word of the store and the next.
+/// Maximum margin as a share of the time allowed. With less time left, instances in normal operation would refuse keys
+/// between two confirmations by the store.
 const FRESHNESS_MARGIN_SHARE: f64 = 0.25;
 
-/// An instance's address is told to others for this long after it was met.
+/// An instance's address is passed on to others for this long after it was last noted.
 const ADDRESS_LIFETIME_US: Micros = 10_000_000;
 
-/// Figures that a gateway is run by; they may change while it runs.
+/// Operating parameters of a gateway; they may change while it runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GatewayBounds {
-    /// How long a key may be used after it was taken away.
+    /// How long a key may be used after it was revoked.
     pub revoke_us: Micros,
-    /// How long after its word that it leaves an endpoint may be sent requests.
+    /// How long an endpoint may be sent requests after it announced its departure.
     pub drain: StalenessBound,
-    /// How long after a configuration an instance may act by the one before.
+    /// How long an instance may use a configuration after it was replaced.
     pub config_apply: StalenessBound,
-    /// That is kept even if it means refusing callers while nothing newer can be learned.
+    /// Whether the bound on the use of revoked keys holds even if callers must be refused while the store's state cannot
+    /// be confirmed.
     pub is_revocation_strict: bool,
-    /// Retries of a service.
+    /// Retry limits of a service.
     pub retries: RetryBounds,
-    /// How far above its limit an organisation may come.
+    /// How far an organisation may exceed its usage limit.
     pub tolerance: Tolerance,
-    /// How long after an evacuation an endpoint of the data centre may be sent requests; none where there are no
-    /// evacuations.
+    /// How long endpoints of a data centre may be sent requests after its evacuation; `None` where evacuations are not
+    /// supported.
     pub evacuate: Option<StalenessBound>,
-    /// How far above its rate a cold endpoint may be asked.
+    /// How far the request rate of a cold endpoint may exceed its limit.
     pub cold: ColdTolerance,
 }
 
 impl GatewayBounds {
-    /// Returns how long after a configuration an instance may act by the one before, and use its keys.
+    /// Returns how long an instance may use a configuration, including its keys, after it was replaced.
     pub fn config(&self) -> StalenessBound {
         StalenessBound(self.config_apply.0.min(self.revoke_us))
     }
 
-    /// Returns how old the configuration may be for its keys to be used.
+    /// Returns the maximum age of a configuration whose keys may be used.
     pub fn max_key_age_us(&self) -> Micros {
         let share_us = (self.revoke_us as f64 * FRESHNESS_MARGIN_SHARE) as Micros;
         self.revoke_us - share_us.min(FRESHNESS_MARGIN_US)
     }
 }
 
-/// One gateway.
+/// A gateway: one instance's shared state.
 pub struct Gateway<P: Protocol> {
-    /// How callers and endpoints speak.
+    /// Reads and writes the headers of callers and endpoints.
     pub protocol: P,
-    /// The clock.
+    /// The clock of the instance.
     pub clock: Clock,
     /// The configuration in force.
     pub config: CurrentConfig,
     /// Connections to endpoints.
     pub connections: KeptConnections,
-    /// The counters.
+    /// The metrics.
     pub metrics: GatewayMetrics,
     bounds: Mutex<GatewayBounds>,
     balancer: Mutex<Balancer>,
@@ -108,50 +110,50 @@
     retries: Mutex<RetryBudget>,
     caller_timeouts: Mutex<TypicalTimeouts>,
     suspects: Mutex<SuspectTable>,
-    /// When a caller that may come back was refused last; 0 if none was.
+    /// Time of the last refusal with a Retry-After; 0 if there was none.
     refused_us: AtomicU64,
-    /// Instances that share limits, and those heard of late, this one included.
+    /// Number of instances that share limits, and of those seen recently; both include this one.
     instances_known: AtomicUsize,
-    instances_heard: AtomicUsize,
-    /// Control addresses of the instances that were met of late.
+    instances_seen: AtomicUsize,
+    /// Control addresses of instances noted recently, with the time.
     recent_addresses: Mutex<HashMap<SocketAddr, Micros>>,
-    /// This instance watches the store for others.
+    /// Whether this instance watches the store for its peers.
     watches_store: AtomicBool,
-    /// This instance's place among those that watch the store, or would.
+    /// Position of this instance in the order in which instances watch the store, or would take over watching it.
     watch_position: AtomicUsize,
-    /// It starts with all others, and some of them ask the store for it.
+    /// Whether all instances start together, so that some of them read the store for this one.
     waits_for_peers: AtomicBool,
-    /// Another instance has told that it has what the store has.
+    /// Whether a peer has reported that it has the store's configuration and endpoints.
     peers_have_state: AtomicBool,
-    /// It asks others for what it lacks at its start.
+    /// Whether this instance requests what it lacks at its start from its peers.
     fetches_at_start: AtomicBool,
-    /// How fresh the endpoints are known to be.
+    /// How long ago the endpoints were last known to match the store.
     pub endpoints_staleness: Staleness,
-    /// Data centres whose endpoints get nothing.
+    /// Data centres whose endpoints are sent no requests.
     pub evacuations: Evacuations,
-    /// Asks others for places at endpoints.
+    /// Requests reservations at endpoints from other instances.
     pub reservation_client: ReservationClient,
-    /// Asks for permits to send to endpoints that take only so many requests a second, and gives them.
+    /// Requests and grants permits to send to endpoints that limit their request rate.
     pub permits: Permits,
-    /// Organisations' limits.
+    /// Usage limits of organisations.
     pub quota: Quota,
-    /// Finds out which endpoints have ended.
+    /// Checks whether endpoints crashed when their connections break.
     pub crash_checks: CrashChecks,
-    /// Headers of endpoints that nothing reads.
+    /// Headers of endpoints that the gateway does not interpret.
     pub unread_headers: UnreadHeaders,
     endpoint_lines: Mutex<LineBudget>,
     stopping: AtomicBool,
 }
 
 impl<P: Protocol> Gateway<P> {
-    /// Creates a gateway that knows nothing yet; `hall` is where it stands.
+    /// Creates a gateway in `hall`, without a configuration or endpoints.
     ///
-    /// `is_first_start` says that no instance has run before it.
+    /// `is_first_start` says that no instance of the deployment has run before.
     pub fn new(protocol: P, hall: Name, bounds: GatewayBounds, is_first_start: bool) -> Self {
         Self::with_clock(protocol, hall, bounds, is_first_start, Clock::default())
     }
 
-    /// The same by a clock that has been started.
+    /// Creates a gateway as [`Gateway::new`] does, with a clock that is running already.
     pub fn with_clock(
         protocol: P,
         hall: Name,
@@ -178,7 +180,7 @@
             suspects: Mutex::default(),
             refused_us: AtomicU64::new(0),
             instances_known: AtomicUsize::new(1),
-            instances_heard: AtomicUsize::new(1),
+            instances_seen: AtomicUsize::new(1),
             recent_addresses: Mutex::default(),
             watches_store: AtomicBool::new(false),
             watch_position: AtomicUsize::new(0),
@@ -197,12 +199,12 @@
         }
     }
 
-    /// Returns the figures in force.
+    /// Returns the parameters in force.
     pub fn bounds(&self) -> GatewayBounds {
         *lock(&self.bounds)
     }
 
-    /// Replaces the figures in force.
+    /// Replaces the parameters in force.
     pub fn set_bounds(&self, bounds: GatewayBounds) {
         *lock(&self.bounds) = bounds;
         self.quota.set_tolerance(bounds.tolerance);
@@ -210,7 +212,7 @@
         self.set_cold_rates();
     }
 
-    /// Works out how many requests a second cold endpoints get.
+    /// Derives the request rate limits of cold endpoints from the configuration and the parameters.
     fn set_cold_rates(&self) {
         let Some(table) = self.config.table() else {
             return;
@@ -228,18 +230,18 @@
         self.balancer().set_cold_rates(rates.collect());
     }
 
-    /// Returns the balancer; not to be held across a wait.
+    /// Locks the balancer. The guard must not be held across an await.
     pub fn balancer(&self) -> MutexGuard<'_, Balancer> {
         lock(&self.balancer)
     }
 
-    /// Returns what is known of requests that end endpoints; not to be held across a wait.
+    /// Locks the table of requests suspected of crashing endpoints. The guard must not be held across an await.
     pub fn suspects(&self) -> MutexGuard<'_, SuspectTable> {
         lock(&self.suspects)
     }
 
-    /// Returns for how much longer a request is to reach no endpoint, since those that ran it ended. What it is
-    /// known by is worked out only while some request is suspected.
+    /// Returns for how much longer a request is blocked because endpoints crashed while running it, or `None` if it is
+    /// not blocked. `fingerprint` is called only while some request is suspected.
     pub fn blocked_us(&self, fingerprint: impl FnOnce() -> Fingerprint) -> Option<Micros> {
         if self.suspects().is_empty() {
             return None;
@@ -250,18 +252,18 @@
         self.suspects().blocked_us(now_us, fingerprint, endpoints)
     }
 
-    /// Notes that a request ran to its end.
+    /// Notes that a request ran to completion.
     pub fn note_request_completed(&self, fingerprint: impl FnOnce() -> Fingerprint) {
         let now_us = self.clock.now_us();
         self.suspects().note_completed(now_us, fingerprint());
     }
 
-    /// Counts a request for a service.
+    /// Counts a request for a service towards its retry budget.
     pub fn count_request(&self, service: &Name) {
         lock(&self.retries).note_request(self.clock.now_us(), service);
     }
 
-    /// Takes a retry for a service; false if none is left.
+    /// Takes a retry of a service's budget; returns false if none is left.
     pub fn take_retry(&self, service: &Name) -> bool {
         let now_us = self.clock.now_us();
         let instances = self.instances_sharing_retries(now_us);
@@ -272,20 +274,21 @@
         taken
     }
 
-    /// Returns the retries left for a service.
+    /// Returns the retries left in a service's budget.
     pub fn retries_left(&self, service: &Name) -> f64 {
         let now_us = self.clock.now_us();
         let instances = self.instances_sharing_retries(now_us);
         lock(&self.retries).remaining(now_us, service, instances)
     }
 
-    /// Returns how many instances share a bound, those that are cut off included.
+    /// Returns how many instances share the retry budget, including those that are partitioned from this one.
     fn instances_sharing_retries(&self, now_us: Micros) -> usize {
         let divisor = self.quota.divisor(now_us) as usize;
         divisor.max(self.instance_counts().all)
     }
 
-    /// Learns how long a caller of a route waits from now; returns for how long it has waited already.
+    /// Records the timeout that a caller of a route declares, and returns how long the caller has waited already, as
+    /// estimated.
     pub fn waited_us(&self, route: &Name, timeout_us: Micros) -> Micros {
         let now_us = self.clock.now_us();
         let refused_us = self.refused_us.load(Ordering::Relaxed);
@@ -293,27 +296,27 @@
         lock(&self.caller_timeouts).waited_us(route, timeout_us, is_calm)
     }
 
-    /// Notes that a caller was refused that may come back.
+    /// Notes that a caller was refused with a Retry-After, so that it may return.
     pub fn note_refused(&self) {
         let now_us = self.clock.now_us();
         self.refused_us.store(now_us.max(1), Ordering::Relaxed);
     }
 
-    /// Returns how many instances share limits, and how many are heard.
+    /// Returns how many instances share limits, and how many of them were seen recently.
     pub fn instance_counts(&self) -> InstanceCounts {
         InstanceCounts {
             all: self.instances_known.load(Ordering::Relaxed),
-            heard: self.instances_heard.load(Ordering::Relaxed),
+            heard: self.instances_seen.load(Ordering::Relaxed),
         }
     }
 
-    /// Sets how many instances share limits, and how many are heard.
-    pub fn set_instance_counts(&self, sharers: InstanceCounts) {
-        self.instances_known.store(sharers.all, Ordering::Relaxed);
-        self.instances_heard.store(sharers.heard, Ordering::Relaxed);
+    /// Sets how many instances share limits, and how many of them were seen recently.
+    pub fn set_instance_counts(&self, counts: InstanceCounts) {
+        self.instances_known.store(counts.all, Ordering::Relaxed);
+        self.instances_seen.store(counts.heard, Ordering::Relaxed);
     }
 
-    /// Puts a configuration in force if it is newer; `from` says who had it.
+    /// Puts a configuration in force if it is newer than the current one; `from` names its source in the log.
     pub fn offer(&self, config: GatewayConfig, from: &'static str) {
         let version = config.version;
         let before = self.config.version();
@@ -335,16 +338,17 @@
         );
     }
 
-    /// Takes another instance's copy of the endpoints, which were the store's when a question was sent at
-    /// `asked_us`, if that is known.
-    pub fn apply_peer_endpoints(&self, copy: EndpointsDelta, asked_us: Option<Micros>) {
+    /// Applies another instance's copy of the endpoints.
+    ///
+    /// `fresh_at_us` is the time at which the copy is known to have matched the store, if any.
+    pub fn apply_peer_endpoints(&self, copy: EndpointsDelta, fresh_at_us: Option<Micros>) {
         let now_us = self.clock.now_us();
         let revision = copy.revision;
         let changes = {
             let mut balancer = self.balancer();
             let changes = balancer.apply_endpoints_delta(now_us, copy);
-            if let (Some(asked_us), true) = (asked_us, balancer.endpoints_revision() == revision) {
-                self.endpoints_staleness.confirm(asked_us);
+            if let (Some(fresh_at_us), true) = (fresh_at_us, balancer.endpoints_revision() == revision) {
+                self.endpoints_staleness.confirm(fresh_at_us);
             }
             changes
         };
@@ -354,16 +358,18 @@
         self.reconsider();
     }
 
-    /// Takes evacuations that were the store's when a question was sent at `asked_us`, if that is known; `from` says
-    /// who had them.
+    /// Applies a set of evacuations.
+    ///
+    /// `fresh_at_us` is the time at which the set is known to have matched the store, if any; `from` names its source
+    /// in the log.
     pub fn apply_evacuations(
         &self,
         set: EvacuationSet,
-        asked_us: Option<Micros>,
+        fresh_at_us: Option<Micros>,
         from: &'static str,
     ) {
         let revision = set.revision;
-        let change = self.evacuations.offer(set, asked_us);
+        let change = self.evacuations.offer(set, fresh_at_us);
         let Some(change) = change.filter(|change| !change.is_empty()) else {
             return;
         };
@@ -386,27 +392,28 @@
         self.reconsider();
     }
 
-    /// Does what a change of the set of endpoints asks for beside the set itself; `from` says who told.
+    /// Logs a change of an endpoint, and drops its connections if it was restarted. `from` names the source of the
+    /// change in the log.
     pub fn handle_endpoint_change(&self, id: &str, change: Change, from: &'static str) {
         if change == Change::Restarted {
             let balancer = self.balancer();
             let key = balancer.key_of(id);
             let addr = key.and_then(|key| balancer.entry(key)).map(|e| e.addr);
             drop(balancer);
-            // They lead to the start before, if to anything.
+            // Idle connections lead to the previous incarnation, if anywhere.
             addr.inspect(|addr| self.connections.forget(*addr));
         }
         self.log_endpoint_change(id, change, from);
     }
 
-    /// Writes a line on a change of the set of endpoints, if there are not too many.
+    /// Logs a change of an endpoint, unless too many were logged in this second.
     pub fn log_endpoint_change(&self, id: &str, change: Change, from: &'static str) {
-        let admitted = lock(&self.endpoint_lines).admit(self.clock.now_us());
-        if admitted.left_out > 0 {
-            let left_out = admitted.left_out;
+        let decision = lock(&self.endpoint_lines).admit(self.clock.now_us());
+        if decision.left_out > 0 {
+            let left_out = decision.left_out;
             log::info!(target: "ryevalve::endpoint", left_out; "endpoint_changes_left_out");
         }
-        if !admitted.is_written {
+        if !decision.is_written {
             return;
         }
         let (draining, revision) = {
@@ -425,7 +432,7 @@
         );
     }
 
-    /// Takes control addresses of instances; returns all that were met of late.
+    /// Notes control addresses of instances; returns all that were noted recently.
     pub fn note_addresses(&self, addrs: &[SocketAddr]) -> Vec<SocketAddr> {
         let now_us = self.clock.now_us();
         let mut addresses = lock(&self.recent_addresses);
@@ -434,71 +441,72 @@
         addresses.keys().copied().collect()
     }
 
-    /// Returns whether this instance watches the store for others.
+    /// Returns whether this instance watches the store for its peers.
     pub fn watches_store(&self) -> bool {
         self.watches_store.load(Ordering::Relaxed)
     }
 
-    /// Sets whether this instance watches the store for others.
+    /// Sets whether this instance watches the store for its peers.
     pub fn set_watches_store(&self, watches: bool) {
         self.watches_store.store(watches, Ordering::Relaxed);
     }
 
-    /// Returns this instance's place among those that watch the store, or would if others were lost.
+    /// Returns this instance's position in the order in which instances watch the store, or would take over watching it
+    /// if others were lost.
     pub fn watch_position(&self) -> usize {
         self.watch_position.load(Ordering::Relaxed)
     }
 
-    /// Sets this instance's place among those that watch the store, or would if others were lost, and that share
-    /// retries.
-    pub fn set_watch_position(&self, place: usize) {
-        self.watch_position.store(place, Ordering::Relaxed);
-        lock(&self.retries).set_position(place);
+    /// Sets this instance's position in the order in which instances watch the store, or would take over watching it if
+    /// others were lost. The same position orders the instances that share retries.
+    pub fn set_watch_position(&self, position: usize) {
+        self.watch_position.store(position, Ordering::Relaxed);
+        lock(&self.retries).set_position(position);
     }
 
-    /// Returns whether others ask the store for this instance while it starts.
+    /// Returns whether peers read the store for this instance while it starts.
     pub fn waits_for_peers(&self) -> bool {
         self.waits_for_peers.load(Ordering::Relaxed)
     }
 
-    /// Says that others ask the store for this instance while it starts.
+    /// Marks that peers read the store for this instance while it starts.
     pub fn set_waits_for_peers(&self) {
         self.waits_for_peers.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether another instance has told that it has the configuration and the endpoints.
+    /// Returns whether a peer has reported that it has the configuration and the endpoints.
     pub fn do_peers_have_state(&self) -> bool {
         self.peers_have_state.load(Ordering::Relaxed)
     }
 
-    /// Notes that another instance has the configuration and the endpoints.
+    /// Notes that a peer has the configuration and the endpoints.
     pub fn note_peers_have_state(&self) {
         self.peers_have_state.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether this instance asks others for what it lacks at its start.
+    /// Returns whether this instance requests what it lacks at its start from its peers.
     pub fn fetches_at_start(&self) -> bool {
         self.fetches_at_start.load(Ordering::Relaxed)
     }
 
-    /// Says that this instance asks others for what it lacks at its start.
+    /// Marks that this instance requests what it lacks at its start from its peers.
     pub fn set_fetches_at_start(&self) {
         self.fetches_at_start.store(true, Ordering::Relaxed);
     }
 
-    /// Returns whether a planned stop has begun.
+    /// Returns whether a graceful shutdown has started.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Begins a planned stop.
+    /// Starts a graceful shutdown.
     pub fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 }
 
-/// Locks a part of a gateway.
+/// Locks a mutex of a gateway.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // Every step leaves the state whole, so a poisoned lock is usable.
+    // No holder of a lock leaves the state inconsistent if it panics, so a poisoned lock is usable.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
