--- a/src/gateway/evacuations.rs
+++ b/src/gateway/evacuations.rs
@@ -103,7 +103,11 @@
     ///
     /// `fresh_at_us` is the time at which the set is known to have matched the store, if any: when the request that
     /// returned it was sent.
-    pub fn offer(&self, set: EvacuationSet, fresh_at_us: Option<Micros>) -> Option<EvacuationChange> {
+    pub fn offer(
+        &self,
+        set: EvacuationSet,
+        fresh_at_us: Option<Micros>,
+    ) -> Option<EvacuationChange> {
         let change = {
             let mut known = self.lock();
             if set.revision < known.revision {
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -1,4 +1,4 @@
-//! Runs one request: checks it, places it, sends it, and gives it one final answer.
+//! Runs one request: checks it, places it at an endpoint, sends it, and returns one final answer.
 
 use std::{
     sync::{Arc, OnceLock},
@@ -43,21 +43,21 @@
     prelude::{Micros, Rank},
 };
 
-/// An answer of a request that may run again is given up after this many times its target, if
-/// another endpoint can be asked.
-const PATIENCE_TARGETS: f64 = 1.5;
-/// The same for streams: under load a first event that is late is on its way, and what was read of
-/// the prompt would be read again.
-const STREAM_PATIENCE_TARGETS: f64 = 3.0;
-/// The rank at which a second attempt queues.
+/// An attempt of a repeatable request is abandoned after this many times its latency target, if it can be retried.
+const ATTEMPT_TIMEOUT_TARGETS: f64 = 1.5;
+/// The same for streams. It is longer because under load a late first event is usually on its way, and a retry would
+/// process the prompt again.
+const STREAM_ATTEMPT_TIMEOUT_TARGETS: f64 = 3.0;
+/// The most urgent rank at which a retry is queued.
 const RETRY_RANK: Rank = 2;
-/// And not before this many times what was expected of it.
-const PATIENCE_EXPECTED: f64 = 4.0;
-const PATIENCE_MIN_MS: f64 = 250.0;
-/// Endpoints that refuse a request unrun are passed over this many times.
+/// An attempt is never abandoned before this many times the expected time to its first event.
+const ATTEMPT_TIMEOUT_EXPECTED: f64 = 4.0;
+/// Minimum time before an attempt is abandoned, in milliseconds.
+const MIN_ATTEMPT_TIMEOUT_MS: f64 = 250.0;
+/// How often a request is sent elsewhere after an endpoint refused it without running it.
 const MAX_NOT_RUN: usize = 3;
-/// What has been refused comes back spread over half of the time again.
-const RETRY_SPREAD: f64 = 0.5;
+/// Random jitter of Retry-After, as a share of it, so that refused callers do not return all at once.
+const RETRY_AFTER_JITTER: f64 = 0.5;
 
 /// Answers one request.
 pub async fn answer<P: Protocol>(
@@ -71,14 +71,14 @@
         deadline_ms: head.deadline_ms,
         ..Trace::default()
     };
-    let outcome = take(&gateway, request, head, arrived_us, &mut trace).await;
-    let mut response = match outcome {
+    let result = handle(&gateway, request, head, arrived_us, &mut trace).await;
+    let mut response = match result {
         Ok(response) => response,
         Err(refusal) => {
             trace.reason = trace.reason.or(Some(refusal.reason));
             note_refusal(&gateway, &trace, &refusal, request_id.as_ref(), arrived_us);
-            let spread = spread(refusal);
-            refuse::response(&gateway.protocol, &spread, request_id.as_ref())
+            let refusal = add_jitter(refusal);
+            refuse::response(&gateway.protocol, &refusal, request_id.as_ref())
         }
     };
     if gateway.is_stopping() {
@@ -88,15 +88,16 @@
     response
 }
 
-fn spread(mut refusal: Refusal) -> Refusal {
+fn add_jitter(mut refusal: Refusal) -> Refusal {
     if let Some(ms) = refusal.retry_after_ms {
-        let factor = 1.0 + rand::rng().random_range(0.0..RETRY_SPREAD);
+        let factor = 1.0 + rand::rng().random_range(0.0..RETRY_AFTER_JITTER);
         refusal.retry_after_ms = Some((f64::from(ms) * factor) as u32);
     }
     refusal
 }
 
-async fn take<P: Protocol>(
+/// Checks a request and runs it to its final answer.
+async fn handle<P: Protocol>(
     gateway: &Arc<Gateway<P>>,
     request: Request<Incoming>,
     head: CallHead,
@@ -114,19 +115,19 @@
     let limits = table.config().caller_limits;
     let body = read_body(&parts.headers, body, limits.max_body_bytes).await?;
     let tokens = head.tokens.map(|t| t.total());
-    let name = organisation.as_ref().map(|o| o.name.clone());
+    let organisation_name = organisation.as_ref().map(|o| o.name.clone());
     let time_budget_us = time_budget_us(&route, &head);
-    trace.organisation.clone_from(&name);
+    trace.organisation.clone_from(&organisation_name);
     let fingerprint = OnceLock::new();
     refuse_blocked(gateway, trace, || {
-        let organisation = name.as_deref();
-        let work_out = || attempt::fingerprint(&parts.method, &parts.uri, organisation, &body);
-        *fingerprint.get_or_init(work_out)
+        let organisation = organisation_name.as_deref();
+        let compute = || attempt::fingerprint(&parts.method, &parts.uri, organisation, &body);
+        *fingerprint.get_or_init(compute)
     })?;
-    let limited = organisation.as_deref();
+    let limited_organisation = organisation.as_deref();
     let grant = acquire_quota(
         gateway,
-        limited,
+        limited_organisation,
         tokens,
         route.priority,
         time_budget_us,
@@ -141,8 +142,8 @@
     let engine = table.service(&service).and_then(|s| s.engine);
     let tokens_per_event = engine.map_or(1, |e| e.tokens_per_event);
     let until_us = arrived_us + time_budget_us;
-    let patience_us = head.deadline_ms.map(|ms| ms.saturating_mul(1_000));
-    let waited_us = patience_us.map_or(0, |us| gateway.waited_us(&route.name, us));
+    let timeout_us = head.deadline_ms.map(|ms| ms.saturating_mul(1_000));
+    let waited_us = timeout_us.map_or(0, |us| gateway.waited_us(&route.name, us));
     trace.waited_ms = waited_us / 1_000;
     let allowed_regions = AllowedRegions::intersection([
         route.allowed_regions.as_deref(),
@@ -171,22 +172,22 @@
         uri: parts.uri,
         headers,
         body,
-        organisation: name.clone(),
+        organisation: organisation_name.clone(),
         until_us,
         fingerprint,
     };
-    let result = Run::new(gateway.clone(), job).until_answered(trace).await;
-    let has_run = result
+    let result = Run::new(gateway.clone(), job).run_to_answer(trace).await;
+    let may_have_run = result
         .as_ref()
         .err()
         .is_none_or(|r| r.retry_after_ms.is_none());
-    if let Some(grant) = grant.filter(|_| !has_run) {
+    if let Some(grant) = grant.filter(|_| !may_have_run) {
         quota::release(gateway, grant).await;
     }
     result
 }
 
-/// Refuses a request under which endpoints ended.
+/// Refuses a request that is blocked because endpoints crashed while running it.
 fn refuse_blocked<P: Protocol>(
     gateway: &Gateway<P>,
     trace: &mut Trace,
@@ -200,24 +201,27 @@
     Err(refuse::blocked(blocked_us))
 }
 
-/// What came of sending a request to one endpoint.
-enum Tried {
+/// The outcome of an attempt to run a request at one endpoint.
+enum AttemptOutcome {
     /// The final answer.
     Answer(Response<Body>),
-    /// The endpoint did not run it; whether it was sent there at all.
-    NotRun { arrived: bool, reason: &'static str },
-    /// The endpoint may have run it, or failed to.
+    /// The endpoint did not run it. `was_sent` says whether it was sent there at all.
+    NotRun {
+        was_sent: bool,
+        reason: &'static str,
+    },
+    /// The endpoint may have run it, but no usable answer arrived.
     Failed { refusal: Box<Refusal> },
-    /// The endpoint ran it and answered with a failure.
+    /// The endpoint ran it and answered with a server error.
     Error(BufferedResponse),
 }
 
-/// A request under way.
+/// A request in flight.
 pub struct Run<P: Protocol> {
     gateway: Arc<Gateway<P>>,
     job: Arc<Job>,
-    /// What the balancer is asked; an attempt after another has its own time to wait.
-    ask: PlacementRequest,
+    /// The request to the balancer. A retry has its own arrival time and rank.
+    attempt_request: PlacementRequest,
     tried: Vec<EndpointKey>,
     runs: u32,
     not_run: usize,
@@ -227,7 +231,7 @@
     fn new(gateway: Arc<Gateway<P>>, job: Job) -> Self {
         Self {
             gateway,
-            ask: job.placement_request.clone(),
+            attempt_request: job.placement_request.clone(),
             job: Arc::new(job),
             tried: Vec::new(),
             runs: 0,
@@ -235,30 +239,30 @@
         }
     }
 
-    /// Runs the request until it has an answer. Where nothing came of sending it again, an endpoint's own
-    /// answer is passed on, though it is a failure: the caller learns what was said, not that nothing was.
-    async fn until_answered(mut self, trace: &mut Trace) -> Result<Response<Body>, Refusal> {
-        let mut made = None;
-        match self.try_endpoints(trace, &mut made).await {
+    /// Runs the request to its final answer. If the retry after an endpoint's error answer fails, that answer is
+    /// returned instead of a refusal: it tells the caller what went wrong.
+    async fn run_to_answer(mut self, trace: &mut Trace) -> Result<Response<Body>, Refusal> {
+        let mut error_response = None;
+        match self.try_endpoints(trace, &mut error_response).await {
             Ok(response) => Ok(response),
-            Err(refusal) => match made {
-                Some(whole) => Ok(self.pass_on(whole, trace)),
+            Err(refusal) => match error_response {
+                Some(response) => Ok(self.deliver(response, trace)),
                 None => Err(refusal),
             },
         }
     }
 
-    /// Tries endpoints one after the other; a failure that one answered with is left in `made`.
+    /// Tries endpoints one after the other. The last error answer of an endpoint is stored in `error_response`.
     async fn try_endpoints(
         &mut self,
         trace: &mut Trace,
-        made: &mut Option<BufferedResponse>,
+        error_response: &mut Option<BufferedResponse>,
     ) -> Result<Response<Body>, Refusal> {
         loop {
             if trace.attempts > 0 {
-                self.ask.arrived_us = self.gateway.clock.now_us();
-                // Under load a second attempt would make the first ones of others late.
-                self.ask.rank = self.ask.rank.max(RETRY_RANK);
+                self.attempt_request.arrived_us = self.gateway.clock.now_us();
+                // Under load, retries at the original rank would delay the first attempts of other requests.
+                self.attempt_request.rank = self.attempt_request.rank.max(RETRY_RANK);
             }
             let choice = self.place().await?;
             trace.endpoint = Some(choice.id.clone());
@@ -266,16 +270,16 @@
             trace.expected = Some(choice.expected);
             self.tried.push(choice.key);
             match self.try_endpoint(choice, trace).await {
-                Tried::Answer(response) => return Ok(response),
-                Tried::NotRun { arrived, reason } => {
+                AttemptOutcome::Answer(response) => return Ok(response),
+                AttemptOutcome::NotRun { was_sent, reason } => {
                     trace.reason = Some(reason);
-                    // What the gate held back was nowhere, and each endpoint does so once.
-                    let is_held_back =
+                    // A request stopped by the send check was not sent, and each endpoint stops it only once.
+                    let is_stopped =
                         [ENDPOINT_EVACUATED, ENDPOINT_LEFT, ENDPOINT_RESTS].contains(&reason);
-                    self.not_run += usize::from(!is_held_back);
-                    self.may_go_on(arrived, reason)?;
+                    self.not_run += usize::from(!is_stopped);
+                    self.check_resend(was_sent, reason)?;
                 }
-                Tried::Failed { refusal } => {
+                AttemptOutcome::Failed { refusal } => {
                     trace.reason = Some(refusal.reason);
                     trace.fingerprint = Some(self.job.fingerprint());
                     self.runs += 1;
@@ -283,21 +287,21 @@
                         return Err(*refusal);
                     }
                 }
-                Tried::Error(whole) => {
+                AttemptOutcome::Error(response) => {
                     trace.reason = Some("endpoint_error");
                     self.runs += 1;
                     if !self.may_run_again() {
-                        return Ok(self.pass_on(whole, trace));
+                        return Ok(self.deliver(response, trace));
                     }
-                    *made = Some(whole);
+                    *error_response = Some(response);
                 }
             }
         }
     }
 
-    /// Waits for an endpoint; refuses once the request's time is over.
+    /// Waits for a place at an endpoint; refuses once the request's time budget is spent.
     async fn place(&self) -> Result<Choice, Refusal> {
-        let placing = self.gateway.place(&self.ask, &self.tried);
+        let placing = self.gateway.place(&self.attempt_request, &self.tried);
         let clock = self.gateway.clock;
         match clock.timeout_at(self.job.until_us, placing).await {
             Some(Placement::Send(choice)) => Ok(choice),
@@ -306,27 +310,30 @@
                 retry_after_ms,
             }) if self.runs == 0 => Err(refuse::not_run(reason, retry_after_ms)),
             Some(_) | None if self.runs == 0 => Err(refuse::not_run("no_time_left", 500)),
-            // An earlier attempt may have run.
+            // An endpoint may have run the request in an earlier attempt.
             _ => Err(refuse::unknown("no_other_endpoint")),
         }
     }
 
-    /// Decides whether a request that was not run may be sent elsewhere.
-    fn may_go_on(&self, arrived: bool, reason: &'static str) -> Result<(), Refusal> {
-        let may = self.not_run <= MAX_NOT_RUN
+    /// Returns an error if a request that was not run must not be sent to another endpoint.
+    ///
+    /// # Errors
+    /// The refusal to return to the caller.
+    fn check_resend(&self, was_sent: bool, reason: &'static str) -> Result<(), Refusal> {
+        let may_resend = self.not_run <= MAX_NOT_RUN
             && self.has_time()
             && reason != refuse::ENDS_ENDPOINTS
-            && (!arrived || self.gateway.take_retry(&self.job.placement_request.service));
-        match may {
+            && (!was_sent || self.gateway.take_retry(&self.job.placement_request.service));
+        match may_resend {
             true => Ok(()),
             false if self.runs == 0 && reason == refuse::ENDS_ENDPOINTS => {
                 Err(refuse::blocked(self.blocked_us().unwrap_or(0)))
             }
             false if self.runs == 0 => {
-                let back_ms = self
+                let retry_after_ms = self
                     .gateway
                     .retry_after_rejections_ms(&self.job.placement_request.service);
-                Err(refuse::not_run(reason, back_ms))
+                Err(refuse::not_run(reason, retry_after_ms))
             }
             false => Err(refuse::unknown(reason)),
         }
@@ -340,7 +347,7 @@
             && self.gateway.take_retry(&self.job.placement_request.service)
     }
 
-    /// Returns for how much longer the request is to reach no endpoint, since those that ran it ended.
+    /// Returns for how much longer the request is blocked because endpoints crashed while running it, if it is.
     fn blocked_us(&self) -> Option<Micros> {
         self.gateway.blocked_us(|| self.job.fingerprint())
     }
@@ -349,132 +356,144 @@
         self.gateway.clock.now_us() + ANSWER_MARGIN_US < self.job.until_us
     }
 
-    async fn try_endpoint(&self, choice: Choice, trace: &Trace) -> Tried {
-        let until = self.attempt_until(&choice);
-        let asked = choice.clone();
-        let sent = attempt::send(&self.gateway, &self.job, choice, None, until).await;
-        let answered = match sent {
-            Ok(answered) => answered,
-            Err(failed) => return self.failed(failed, asked).await,
+    async fn try_endpoint(&self, choice: Choice, trace: &Trace) -> AttemptOutcome {
+        let deadline = self.attempt_deadline(&choice);
+        let sent_to = choice.clone();
+        let sent = attempt::send(&self.gateway, &self.job, choice, None, deadline).await;
+        let endpoint_response = match sent {
+            Ok(endpoint_response) => endpoint_response,
+            Err(error) => return self.handle_failure(error, sent_to).await,
         };
-        if answered.not_executed || answered.response.status() == StatusCode::MISDIRECTED_REQUEST {
-            return self.refused_there(answered);
+        if endpoint_response.not_executed
+            || endpoint_response.response.status() == StatusCode::MISDIRECTED_REQUEST
+        {
+            return self.handle_rejection(endpoint_response);
         }
-        let status = answered.response.status();
-        if status.is_success() && !answered.is_signed {
-            answered.in_flight.note_failure();
+        let status = endpoint_response.response.status();
+        if status.is_success() && !endpoint_response.is_signed {
+            endpoint_response.in_flight.note_failure();
             return self
-                .failed(AttemptError::Unknown("unsigned_answer"), asked)
+                .handle_failure(AttemptError::Unknown("unsigned_answer"), sent_to)
                 .await;
         }
         if status.is_success() && self.job.route.kind.is_stream() {
-            return self.start_stream(answered, trace).await;
+            return self.start_stream(endpoint_response, trace).await;
         }
-        match attempt::buffer_response(&self.gateway, answered, until).await {
-            Ok(whole) if whole.status.is_server_error() => Tried::Error(whole),
-            Ok(whole) => {
-                if whole.status.is_success() {
+        match attempt::buffer_response(&self.gateway, endpoint_response, deadline).await {
+            Ok(buffered) if buffered.status.is_server_error() => AttemptOutcome::Error(buffered),
+            Ok(buffered) => {
+                if buffered.status.is_success() {
                     self.gateway
                         .note_request_completed(|| self.job.fingerprint());
                 }
-                Tried::Answer(self.pass_on(whole, trace))
+                AttemptOutcome::Answer(self.deliver(buffered, trace))
             }
-            Err(failed) => self.failed(failed, asked).await,
+            Err(error) => self.handle_failure(error, sent_to).await,
         }
     }
 
-    /// An attempt that may be repeated is given up earlier than the request.
-    fn attempt_until(&self, choice: &Choice) -> AttemptDeadline {
-        let mut until = self.job.deadline();
-        let again = self.job.is_repeatable() && self.runs + 1 < self.job.route.max_attempts;
-        if !again
+    /// Returns when an attempt is abandoned: before the request's deadline if it can be retried.
+    fn attempt_deadline(&self, choice: &Choice) -> AttemptDeadline {
+        let mut deadline = self.job.deadline();
+        let can_retry = self.job.is_repeatable() && self.runs + 1 < self.job.route.max_attempts;
+        if !can_retry
             || self
                 .gateway
                 .retries_left(&self.job.placement_request.service)
                 < 1.0
         {
-            return until;
+            return deadline;
         }
         let target_ms = self.job.placement_request.target_us as f64 / 1e3;
-        let targets = if self.job.route.kind.is_stream() {
-            STREAM_PATIENCE_TARGETS
+        let timeout_targets = if self.job.route.kind.is_stream() {
+            STREAM_ATTEMPT_TIMEOUT_TARGETS
         } else {
-            PATIENCE_TARGETS
+            ATTEMPT_TIMEOUT_TARGETS
         };
-        let patience_ms = (target_ms * targets)
-            .max(choice.expected.first_ms * PATIENCE_EXPECTED)
-            .max(PATIENCE_MIN_MS);
-        let patience = Instant::now() + Duration::from_secs_f64(patience_ms / 1e3);
-        until.attempt_end = until.attempt_end.min(patience);
-        until
+        let timeout_ms = (target_ms * timeout_targets)
+            .max(choice.expected.first_ms * ATTEMPT_TIMEOUT_EXPECTED)
+            .max(MIN_ATTEMPT_TIMEOUT_MS);
+        let abandon_at = Instant::now() + Duration::from_secs_f64(timeout_ms / 1e3);
+        deadline.attempt_end = deadline.attempt_end.min(abandon_at);
+        deadline
     }
 
-    async fn failed(&self, failed: AttemptError, asked: Choice) -> Tried {
-        if matches!(failed, AttemptError::ConnectionLost(_)) {
-            let broke_before = self.runs > 0;
-            crash_check::on_connection_lost(&self.gateway, &self.job, asked, broke_before).await;
+    /// Returns the outcome of a failed attempt; a lost connection starts a check of whether the endpoint crashed.
+    async fn handle_failure(&self, error: AttemptError, sent_to: Choice) -> AttemptOutcome {
+        if matches!(error, AttemptError::ConnectionLost(_)) {
+            let is_retry = self.runs > 0;
+            crash_check::on_connection_lost(&self.gateway, &self.job, sent_to, is_retry).await;
         }
-        match failed {
-            AttemptError::NotSent(reason) => Tried::NotRun {
-                arrived: false,
+        match error {
+            AttemptError::NotSent(reason) => AttemptOutcome::NotRun {
+                was_sent: false,
                 reason,
             },
             AttemptError::ConnectionLost(reason) | AttemptError::Unknown(reason) => {
-                let over = self.gateway.clock.now_us() >= self.job.until_us;
-                let refusal = if over {
+                let is_timed_out = self.gateway.clock.now_us() >= self.job.until_us;
+                let refusal = if is_timed_out {
                     refuse::timed_out()
                 } else {
                     refuse::unknown(reason)
                 };
-                Tried::Failed {
+                AttemptOutcome::Failed {
                     refusal: Box::new(refusal),
                 }
             }
         }
     }
 
-    fn refused_there(&self, answered: EndpointResponse<P>) -> Tried {
-        let reason = match answered.response.status() {
+    /// Returns the outcome of an attempt that the endpoint rejected without running the request.
+    fn handle_rejection(&self, endpoint_response: EndpointResponse<P>) -> AttemptOutcome {
+        let reason = match endpoint_response.response.status() {
             StatusCode::MISDIRECTED_REQUEST => {
-                let key = answered.in_flight.choice.key;
+                let key = endpoint_response.in_flight.choice.key;
                 self.gateway.balancer().mark_endpoint_replaced(key);
                 "another_endpoint_there"
             }
             StatusCode::SERVICE_UNAVAILABLE => "endpoint_full",
             _ => "endpoint_refused",
         };
-        Tried::NotRun {
-            arrived: true,
+        AttemptOutcome::NotRun {
+            was_sent: true,
             reason,
         }
     }
 
-    async fn start_stream(&self, answered: EndpointResponse<P>, trace: &Trace) -> Tried {
-        let asked = answered.in_flight.choice.clone();
+    async fn start_stream(
+        &self,
+        endpoint_response: EndpointResponse<P>,
+        trace: &Trace,
+    ) -> AttemptOutcome {
+        let sent_to = endpoint_response.in_flight.choice.clone();
         let mut relay = Relay::new(
             self.gateway.clone(),
             self.job.clone(),
-            answered,
+            endpoint_response,
             self.tried.clone(),
             self.runs,
             trace.clone(),
         );
-        match relay.wait_first_event(self.first_event_until(&relay)).await {
-            Ok(head) => Tried::Answer(relay.into_response(head)),
-            Err(failed) => {
-                // It is not at the endpoint any more.
+        match relay
+            .wait_first_event(self.first_event_deadline(&relay))
+            .await
+        {
+            Ok(head) => AttemptOutcome::Answer(relay.into_response(head)),
+            Err(error) => {
+                // The request is no longer in flight at the endpoint.
                 drop(relay);
-                self.failed(failed, asked).await
+                self.handle_failure(error, sent_to).await
             }
         }
     }
 
-    fn first_event_until(&self, relay: &Relay<P>) -> AttemptDeadline {
-        self.attempt_until(relay.choice())
+    fn first_event_deadline(&self, relay: &Relay<P>) -> AttemptDeadline {
+        self.attempt_deadline(relay.choice())
     }
 
-    fn pass_on(&self, whole: BufferedResponse, trace: &Trace) -> Response<Body> {
-        let outcome = if whole.status.is_success() {
+    /// Counts and logs an endpoint's complete answer, and returns it for the caller.
+    fn deliver(&self, buffered: BufferedResponse, trace: &Trace) -> Response<Body> {
+        let outcome = if buffered.status.is_success() {
             Outcome::Served
         } else {
             Outcome::EndpointError
@@ -485,10 +504,10 @@
             .record_outcome(&self.job.route.name, outcome);
         let took_us = gateway.clock.now_us() - self.job.placement_request.arrived_us;
         gateway.metrics.first_seconds.observe(took_us as f64 / 1e6);
-        log_answer(gateway, &self.job, outcome, whole.status, took_us, trace);
-        let mut response = Response::new(full(whole.body));
-        *response.status_mut() = whole.status;
-        *response.headers_mut() = whole.headers;
+        log_answer(gateway, &self.job, outcome, buffered.status, took_us, trace);
+        let mut response = Response::new(full(buffered.body));
+        *response.status_mut() = buffered.status;
+        *response.headers_mut() = buffered.headers;
         response
     }
 }
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -65,8 +65,8 @@
     pub drain: StalenessBound,
     /// How long an instance may use a configuration after it was replaced.
     pub config_apply: StalenessBound,
-    /// Whether the bound on the use of revoked keys holds even if callers must be refused while the store's state cannot
-    /// be confirmed.
+    /// Whether the bound on the use of revoked keys holds even if callers must be refused while the store's state
+    /// cannot be confirmed.
     pub is_revocation_strict: bool,
     /// Retry limits of a service.
     pub retries: RetryBounds,
@@ -347,7 +347,9 @@
         let changes = {
             let mut balancer = self.balancer();
             let changes = balancer.apply_endpoints_delta(now_us, copy);
-            if let (Some(fresh_at_us), true) = (fresh_at_us, balancer.endpoints_revision() == revision) {
+            if let (Some(fresh_at_us), true) =
+                (fresh_at_us, balancer.endpoints_revision() == revision)
+            {
                 self.endpoints_staleness.confirm(fresh_at_us);
             }
             changes
--- a/src/gateway/stop.rs
+++ b/src/gateway/stop.rs
@@ -10,7 +10,7 @@
 };
 
 /// Time between reporting not ready and closing the listener. The load balancer in front of the instances checks
-/// readiness every second and removes an instance after two failed checks; callers may still be routed here before that.
+/// readiness every second and removes an instance after two failed checks; until then it routes callers here.
 const READINESS_DELAY: Duration = Duration::from_millis(2_600);
 /// Part of the grace period reserved for writing the last output before the process is killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(350);
--- a/tests/edge/control.rs
+++ b/tests/edge/control.rs
@@ -1,4 +1,4 @@
-//! Configurations, keys, drains, outages of the store, and signals.
+//! Configurations, API keys, drains, outages of the store, and signals.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::support::{Edge, config};
 
 #[tokio::test]
-async fn a_revoked_key_is_refused_and_an_older_configuration_is_not_taken() {
+async fn a_revoked_key_is_refused_and_an_older_configuration_is_not_applied() {
     let edge = Edge::start(1).await;
     assert_eq!(edge.call("/once/", "r-1").await.status, StatusCode::OK);
     edge.platform.set("config", "main", config(7, &["another"]));
@@ -26,40 +26,43 @@
 }
 
 #[tokio::test]
-async fn without_the_store_keys_are_judged_for_seconds_and_then_refused_as_not_run() {
+async fn without_the_store_keys_are_accepted_for_seconds_and_then_refused_as_not_run() {
     let edge = Edge::start(1).await;
     edge.platform.fault(|f| f.silent = true);
     time::sleep(Duration::from_millis(1_500)).await;
     assert_eq!(edge.call("/once/", "r-1").await.status, StatusCode::OK);
     time::sleep(Duration::from_millis(3_500)).await;
-    let got = edge.call("/once/", "r-2").await;
-    assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(got.retry_after_s().is_some());
+    let response = edge.call("/once/", "r-2").await;
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert!(response.retry_after_s().is_some());
     assert!(!edge.is_ready().await);
     assert_eq!(edge.runners[0].runs("r-2"), 0);
     edge.platform.fault(|f| f.silent = false);
     let edge = &edge;
     edge.until(|| edge.is_ready()).await;
     assert_eq!(edge.call("/once/", "r-3").await.status, StatusCode::OK);
-    // Lines are written by a thread of their own, some time after what they tell of.
+    // A separate thread writes the log, some time after the events.
     edge.until(|| async { edge.has_logged("store_lost") && edge.has_logged("store_regained") })
         .await;
 }
 
 #[tokio::test]
-async fn without_strict_revocation_known_keys_are_served_by_the_last_configuration() {
+async fn without_strict_revocation_known_keys_are_served_under_the_last_configuration() {
     let edge = Edge::start_with(1, "strictRevocation = false").await;
     edge.platform.fault(|f| f.silent = true);
     time::sleep(Duration::from_millis(5_000)).await;
-    assert!(!edge.is_ready().await, "others may know more");
-    let got = edge.call("/once/", "r-1").await;
-    assert_eq!(got.status, StatusCode::OK);
-    // Keys and routes may have been added: what is not known is not judged.
+    assert!(
+        !edge.is_ready().await,
+        "others may have a newer configuration"
+    );
+    let response = edge.call("/once/", "r-1").await;
+    assert_eq!(response.status, StatusCode::OK);
+    // Keys and routes may have been added, so unknown ones get a refusal to retry rather than a denial.
     let unknown = [("authorization", "Token new")];
-    let got = edge.call_with("/once/", "r-2", &unknown).await;
-    assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
-    let got = edge.call("/new/", "r-3").await;
-    assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
+    let response = edge.call_with("/once/", "r-2", &unknown).await;
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    let response = edge.call("/new/", "r-3").await;
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     edge.platform.fault(|f| f.silent = false);
     edge.platform.set("config", "main", config(7, &["another"]));
     let edge = &edge;
@@ -67,30 +70,34 @@
         .await;
 }
 
-/// Routes and keys were judged by how long a key may be used after it was taken away, whatever the time
-/// in which a configuration has to be in force: with 5 s for the one and 2 s for the other, callers of a new
-/// route were told for 1.8 s too long that there is none. Found by the trace of an endpoint that was used for
-/// too long: its bound was not among the settings that are read, and neither was this one.
+/// Guards against denying unknown routes and keys by a configuration that may have been replaced. Only the bound on the
+/// use of revoked keys was applied to it, not the bound on applying configurations, which was missing from the settings
+/// that are read, as was the drain bound of endpoints. With 5 s for the former and 2 s for the latter, callers of a new
+/// route were told "no such route" for 1.8 s too long.
 #[tokio::test]
-async fn what_is_not_known_is_not_denied_by_a_configuration_that_may_be_out_of_force() {
+async fn unknown_routes_and_keys_are_not_denied_by_a_configuration_that_may_be_outdated() {
     let bounds = "configApplyMs = 2000\nrevokeMs = 20000";
     let edge = Edge::start_with(1, bounds).await;
     edge.platform.fault(|f| f.silent = true);
     time::sleep(Duration::from_millis(3_000)).await;
-    let got = edge.call("/new/", "r-1").await;
-    assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(got.retry_after_s().is_some());
+    let response = edge.call("/new/", "r-1").await;
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert!(response.retry_after_s().is_some());
     let unknown = [("authorization", "Token new")];
-    let got = edge.call_with("/once/", "r-2", &unknown).await;
-    assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
-    let got = edge.call("/once/", "r-3").await;
-    assert_eq!(got.status, StatusCode::OK, "what is known is served");
+    let response = edge.call_with("/once/", "r-2", &unknown).await;
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    let response = edge.call("/once/", "r-3").await;
+    assert_eq!(
+        response.status,
+        StatusCode::OK,
+        "known routes and keys are served"
+    );
 }
 
-/// An instance that asks again at once after a watch without news would ask a store that does not wait some hundred
-/// times a second.
+/// Guards against a busy loop: an instance that repeats a watch at once when it returns no change would send some
+/// hundred requests per second to a store that does not hold watches open.
 #[tokio::test]
-async fn a_store_that_answers_watches_at_once_is_not_asked_without_end() {
+async fn a_store_that_answers_watches_at_once_is_polled_at_a_bounded_rate() {
     let edge = Edge::start(1).await;
     edge.platform.fault(|f| f.hurried = true);
     let before = edge.platform.counts().reads;
@@ -101,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn while_the_store_is_away_drains_hold_and_requests_without_a_key_are_served() {
+async fn during_a_store_outage_drains_hold_and_requests_without_a_key_are_served() {
     let edge = Edge::start(2).await;
     edge.entry(0, "draining");
     time::sleep(Duration::from_millis(1_000)).await;
@@ -109,27 +116,27 @@
     time::sleep(Duration::from_millis(5_000)).await;
     let before = edge.runners[0].seen().len();
     for number in 0..10 {
-        let got = edge.call("/open/", &format!("r-{number}")).await;
-        assert_eq!(got.status, StatusCode::OK);
+        let response = edge.call("/open/", &format!("r-{number}")).await;
+        assert_eq!(response.status, StatusCode::OK);
     }
     assert_eq!(edge.runners[0].seen().len(), before);
 }
 
 #[tokio::test]
-async fn a_draining_endpoint_gets_no_new_request() {
+async fn a_draining_endpoint_gets_no_new_requests() {
     let edge = Edge::start(2).await;
     edge.entry(0, "draining");
     time::sleep(Duration::from_millis(1_000)).await;
     let before = edge.runners[0].seen().len();
     for number in 0..10 {
-        let got = edge.call("/once/", &format!("r-{number}")).await;
-        assert_eq!(got.status, StatusCode::OK);
+        let response = edge.call("/once/", &format!("r-{number}")).await;
+        assert_eq!(response.status, StatusCode::OK);
     }
     assert_eq!(edge.runners[0].seen().len(), before);
 }
 
 #[tokio::test]
-async fn forgotten_history_is_made_up_for_by_a_new_list() {
+async fn a_new_list_is_read_when_the_store_has_dropped_its_history() {
     let edge = Edge::start(2).await;
     edge.platform.remove("servers", "i-0");
     edge.platform.forget_history();
@@ -149,16 +156,16 @@
     assert_eq!(
         edge.runners[0].seen().len(),
         before,
-        "the removed one is gone"
+        "the removed endpoint gets no requests"
     );
 }
 
 #[tokio::test]
-async fn a_planned_stop_lets_a_stream_come_to_its_end() {
+async fn a_graceful_shutdown_lets_a_stream_finish() {
     let mut edge = Edge::start(1).await;
-    // Eight events, within the route's time-out of 3 s.
+    // Eight events, within the route's timeout of 3 s.
     edge.runners[0].pace(Duration::from_millis(320));
-    let got = {
+    let response = {
         let edge = &edge;
         let calling = edge.call("/resume/stream", "r-1");
         let stopping = async {
@@ -167,17 +174,17 @@
             time::sleep(Duration::from_millis(200)).await;
             assert!(!edge.is_ready().await);
         };
-        let (got, ()) = tokio::join!(calling, stopping);
-        got
+        let (response, ()) = tokio::join!(calling, stopping);
+        response
     };
     let whole: String = (1..=EVENTS).map(|number| event("r-1", number)).collect();
-    assert!(got.is_whole);
-    assert_eq!(got.text(), whole);
+    assert!(response.is_whole);
+    assert_eq!(response.text(), whole);
     assert_eq!(edge.exit_code().await, Some(0));
 }
 
 #[tokio::test]
-async fn a_reload_says_so_and_cuts_nothing() {
+async fn a_reload_is_logged_and_cuts_no_stream() {
     let edge = Edge::start(1).await;
     edge.runners[0].pace(Duration::from_millis(100));
     let calling = edge.call("/resume/stream", "r-1");
@@ -185,8 +192,8 @@
         time::sleep(Duration::from_millis(300)).await;
         edge.signal("HUP");
     };
-    let (got, ()) = tokio::join!(calling, reloading);
-    assert!(got.is_whole);
+    let (response, ()) = tokio::join!(calling, reloading);
+    assert!(response.is_whole);
     let edge = &edge;
     edge.until(|| async {
         edge.lines()
@@ -197,7 +204,7 @@
 }
 
 #[tokio::test]
-async fn every_refusal_has_a_line_with_what_decided_it() {
+async fn every_refusal_is_logged_with_its_reason() {
     let edge = Edge::start(1).await;
     edge.runners[0].fault(standins::runner::Fault::Full);
     edge.call("/once/", "r-full").await;
--- a/tests/edge/evacuations.rs
+++ b/tests/edge/evacuations.rs
@@ -1,4 +1,4 @@
-//! Data centres that operators evacuate: nothing is sent to their endpoints until the evacuation is taken back.
+//! Evacuated data centres: nothing is sent to their endpoints until the operators withdraw the evacuation.
 
 use std::{
     sync::Arc,
@@ -24,7 +24,7 @@
     skipped_instances: 0,
 };
 
-/// Moves an endpoint's entry to another data centre, and waits until all instances know.
+/// Moves an endpoint's entry to another data centre, and waits until all instances have applied it.
 async fn move_to(site: &Site, endpoint: usize, data_centre: &str) {
     let mut spec = entry(site.runners[endpoint].addr);
     spec["zone"] = data_centre.into();
@@ -55,18 +55,21 @@
     .await;
 }
 
-/// One process over its own settings: the bound is read there.
+/// Runs a separate process, which reads the bound from its settings file.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_process_sends_nothing_to_an_evacuated_data_centre_and_refuses_where_no_other_is_left() {
+async fn a_process_sends_nothing_to_an_evacuated_data_centre_and_refuses_if_no_other_is_left() {
     let edge = Edge::start_with(1, "evacuateMs = 2000").await;
     assert_eq!(edge.call("/again/w", "r-before").await.status, 200);
-    // What stands in the object says nothing: its name is the data centre's.
+    // The object's name is the data centre; its contents are ignored.
     edge.platform.set(KIND, "hall", json!({"reason": "fire"}));
     time::sleep(EVACUATE).await;
     let sent = Instant::now();
-    let got = edge.call("/again/w", "r-evacuated").await;
-    assert_eq!(got.status, 503);
-    assert!(got.retry_after_s().is_some_and(|s| s > 0.1), "{got:?}");
+    let response = edge.call("/again/w", "r-evacuated").await;
+    assert_eq!(response.status, 503);
+    assert!(
+        response.retry_after_s().is_some_and(|s| s > 0.1),
+        "{response:?}"
+    );
     assert!(sent.elapsed() < Duration::from_millis(300));
     assert_eq!(edge.runners[0].runs("r-evacuated"), 0);
     edge.platform.remove(KIND, "hall");
@@ -74,9 +77,9 @@
     assert_eq!(edge.call("/again/w", "r-after").await.status, 200);
 }
 
-/// Only few instances watch the store: the others learn of it from those.
+/// Only a few instances watch the store; the others receive the evacuation from them.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_instance_of_a_group_sends_to_an_evacuated_data_centre() {
+async fn no_instance_of_a_cluster_sends_to_an_evacuated_data_centre() {
     for (net, instances) in [(70, 3), (71, 18)] {
         let site = Arc::new(Site::start(net, instances, 2).await);
         move_to(&site, 0, "b").await;
@@ -95,16 +98,16 @@
         assert_eq!(during.served, during.total(), "{during:?}");
         site.platform.remove(KIND, "b");
         until_evacuated(&site, false).await;
-        let taken_back = Instant::now();
+        let withdrawn_at = Instant::now();
         send_load(&site, PLAIN).await;
-        let back = arrivals(&site, 0, taken_back);
-        assert!(back > 0, "{instances} instances: it serves again");
+        let arrived = arrivals(&site, 0, withdrawn_at);
+        assert!(arrived > 0, "{instances} instances: it serves again");
     }
 }
 
-/// While the store is away an evacuation stays in force, also at instances that start meanwhile.
+/// During an outage of the store an evacuation stays in force, also at instances that start meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuation_outlasts_the_store_and_reaches_those_that_start_later() {
+async fn an_evacuation_outlasts_a_store_outage_and_reaches_instances_that_start_later() {
     let mut site = Site::start(72, 7, 2).await;
     move_to(&site, 0, "b").await;
     site.platform.set(KIND, "b", json!({}));
@@ -126,9 +129,9 @@
     assert_eq!(arrivals(&site, 0, from), 0);
 }
 
-/// A cold endpoint bears so many requests a second, of all instances together.
+/// The rate limit of a cold endpoint applies to the requests of all instances together.
 #[tokio::test(flavor = "multi_thread")]
-async fn instances_together_ask_a_cold_endpoint_no_more_than_it_bears() {
+async fn instances_together_keep_the_rate_limit_of_a_cold_endpoint() {
     for (net, instances) in [(73, 7), (74, 18)] {
         let site = Arc::new(Site::start(net, instances, 2).await);
         let mut with_bound = config(4, &["key-of-the-tests"]);
@@ -139,7 +142,7 @@
         cold["warmupLeftMs"] = 4_000.into();
         site.platform.set("servers", "e0-0", cold);
         let key = EndpointKey::of("e0-0");
-        until("the endpoint to be known for cold", || {
+        until("the endpoint to be known as cold", || {
             site.instances.iter().all(|instance| {
                 let now_us = instance.gateway.clock.now_us();
                 instance.gateway.balancer().rate(now_us, key).is_some()
@@ -152,7 +155,7 @@
             lasts: Duration::from_millis(2_500),
             ..PLAIN
         };
-        let ended = send_load(&site, demand).await;
+        let outcomes = send_load(&site, demand).await;
         let seen = site.runners[0].seen();
         let at: Vec<Instant> = seen.iter().map(|s| s.at).filter(|at| *at > known).collect();
         let in_a_second = |from: &Instant| {
@@ -162,6 +165,6 @@
         let most = at.iter().map(in_a_second).max().unwrap_or(0);
         assert!(most <= 11, "{instances} instances: {most} in a second");
         assert!(at.len() >= 3, "{} in all: it gets some", at.len());
-        assert_eq!(ended.served, ended.total(), "{ended:?}");
+        assert_eq!(outcomes.served, outcomes.total(), "{outcomes:?}");
     }
 }
--- a/tests/edge/main.rs
+++ b/tests/edge/main.rs
@@ -1,4 +1,5 @@
-//! The `edge` program as a process of its own, among a store and endpoints that misbehave.
+//! Tests the `edge` command with a store and endpoints that misbehave, as a separate process and as instances in the
+//! test process.
 
 mod allowed_regions;
 mod answers;
--- a/tests/edge/site.rs
+++ b/tests/edge/site.rs
@@ -1,4 +1,4 @@
-//! Instances in this process among endpoints and a store, over real sockets, with callers that send them requests.
+//! A deployment in the test process: instances, endpoints and a store, connected by real sockets.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,24 +12,24 @@
 };
 
 const HALLS: [&str; 3] = ["a", "b", "c"];
-/// An endpoint that ended is back after this time.
+/// Delay after which an endpoint that crashed is started again.
 pub const RESTART_DELAY: Duration = Duration::from_millis(400);
 
-/// How long after an evacuation its endpoints may be sent requests.
+/// How long endpoints may be sent requests after the evacuation of their data centre.
 pub const EVACUATE: Duration = Duration::from_secs(2);
 
-/// Endpoints, a store and instances of one deployment.
+/// The endpoints, store and instances of one deployment.
 pub struct Site {
     pub platform: Arc<Platform>,
     pub runners: Arc<Vec<Runner>>,
     pub instances: Vec<Instance>,
-    /// Where the instances take callers.
+    /// The addresses at which the instances accept callers, by instance.
     pub callers: Vec<SocketAddr>,
-    /// Instances that were lost; their addresses are not used again.
-    lost: usize,
+    /// Number of instances that were killed; their addresses are not reused.
+    killed: usize,
     port: u16,
     net: u8,
-    /// Starts endpoints again that have ended.
+    /// The task that restarts crashed endpoints.
     pub restarting: JoinHandle<()>,
 }
 
@@ -44,13 +44,13 @@
         "state": "ready", "warmupLeftMs": 0, "sequence": 1})
 }
 
-/// Starts endpoints that have ended again, at the same address under a new id.
-async fn start_again(platform: Arc<Platform>, runners: Arc<Vec<Runner>>) {
+/// Restarts crashed endpoints, at the same address under a new id.
+async fn restart_endpoints(platform: Arc<Platform>, runners: Arc<Vec<Runner>>) {
     let mut starts = vec![0; runners.len()];
     loop {
         time::sleep(Duration::from_millis(10)).await;
-        let ended = (0..runners.len()).find(|index| runners[*index].has_ended());
-        let Some(index) = ended else { continue };
+        let crashed = (0..runners.len()).find(|index| runners[*index].has_ended());
+        let Some(index) = crashed else { continue };
         time::sleep(RESTART_DELAY).await;
         platform.remove("servers", &format!("e{index}-{}", starts[index]));
         starts[index] += 1;
@@ -61,7 +61,7 @@
 }
 
 impl Site {
-    /// Starts endpoints and instances, and waits until the instances know each other.
+    /// Starts endpoints and instances, and waits until the instances have received each other's reports.
     pub async fn start(net: u8, instances: usize, endpoints: usize) -> Self {
         let platform = Arc::new(Platform::start().await);
         platform.set("config", "main", config(3, &["key-of-the-tests"]));
@@ -74,13 +74,13 @@
             runners.push(runner);
         }
         let runners = Arc::new(runners);
-        let restarting = tokio::spawn(start_again(platform.clone(), runners.clone()));
+        let restarting = tokio::spawn(restart_endpoints(platform.clone(), runners.clone()));
         let mut site = Self {
             platform,
             runners,
             instances: Vec::new(),
             callers: Vec::new(),
-            lost: 0,
+            killed: 0,
             port: free_port(net).await,
             net,
             restarting,
@@ -89,33 +89,33 @@
         site
     }
 
-    /// Starts instances that are to know each other.
+    /// Starts instances, and waits until they have received each other's reports and are ready.
     pub async fn start_instances(&mut self, instances: usize) {
         for _ in 0..instances {
             self.start_instance().await;
         }
         let site = self;
-        let knows =
+        let is_joined =
             |i: &Instance| i.gateway.instance_counts().heard == instances && i.gateway.is_ready();
-        until("all to know each other", || {
-            site.instances.iter().all(knows)
+        until("all instances to receive reports of each other", || {
+            site.instances.iter().all(is_joined)
         })
         .await;
-        // Whoever reported to others before does not any more.
+        // Instances may report to other aggregators than at first; this lets the former ones stop.
         time::sleep(Duration::from_millis(300)).await;
     }
 
-    /// Ends all instances as a kill does.
+    /// Stops all instances abruptly, as a kill does.
     pub fn kill_all(&mut self) {
-        self.lost += self.instances.len();
+        self.killed += self.instances.len();
         self.instances.clear();
         self.callers.clear();
     }
 
     /// Starts one more instance.
     pub async fn start_instance(&mut self) {
-        let number = self.lost + self.instances.len();
-        let seeds: Vec<SocketAddr> = (self.lost..self.lost + 3)
+        let number = self.killed + self.instances.len();
+        let seeds: Vec<SocketAddr> = (self.killed..self.killed + 3)
             .map(|n| SocketAddr::new(address(self.net, n), self.port))
             .collect();
         let place = Place {
@@ -137,11 +137,11 @@
         self.instances.push(instance);
     }
 
-    /// Sends one try of some work to an instance.
+    /// Sends a request to an instance, and returns its response.
     pub async fn call(&self, instance: usize, path: &str, id: &str, body: &str) -> CallerResponse {
         let mut request = request(path, id, &[]);
         *request.body_mut() = body.to_owned().into();
-        let got = exchange(self.callers[instance], request).await;
-        got.expect("an answer")
+        let response = exchange(self.callers[instance], request).await;
+        response.expect("an answer")
     }
 }
--- a/tests/edge/support.rs
+++ b/tests/edge/support.rs
@@ -1,4 +1,4 @@
-//! Starts the program among stand-ins, and calls it.
+//! Starts the program with a store and endpoints that are test stand-ins, and sends it requests.
 
 use std::{
     fs,
@@ -18,12 +18,12 @@
 use tokio::{net::TcpStream, time};
 
 pub const KEY: &str = "Token key-of-the-tests";
-/// Far above what anything here takes: only a hang reaches it.
-const PATIENCE: Duration = Duration::from_secs(40);
+/// Timeout of every wait. It is far above what any of them takes, so that only a hang reaches it.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 static NEXT: AtomicU16 = AtomicU16::new(1);
 
-/// One instance among stand-ins.
+/// One instance, as a separate process, with its stand-ins.
 pub struct Edge {
     pub platform: Platform,
     pub runners: Vec<Runner>,
@@ -34,13 +34,13 @@
     dir: PathBuf,
 }
 
-/// What a caller got.
+/// The response that a caller received.
 #[derive(Debug)]
 pub struct CallerResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
-    /// The body came to its end.
+    /// Whether the body was received to its end.
     pub is_whole: bool,
 }
 
@@ -54,7 +54,8 @@
     }
 }
 
-/// The routes `/once/`, `/again/`, `/often/`, `/resume/` and `/fixed/` of `h.example`, keyed.
+/// Returns a configuration with the routes `/once/`, `/again/`, `/often/`, `/resume/` and `/fixed/` of `h.example`,
+/// which need an API key, and `/open/`, which needs none.
 pub fn config(version: u64, keys: &[&str]) -> Value {
     let route = |name: &str, kind: &str, attempts: u32, resume: bool| {
         json!({
@@ -85,12 +86,12 @@
 }
 
 impl Edge {
-    /// Starts one instance before `count` endpoints, and waits until it is ready.
+    /// Starts one instance with `count` endpoints, and waits until it is ready.
     pub async fn start(count: usize) -> Self {
         Self::start_with(count, "").await
     }
 
-    /// The same with further lines of settings under `bounds`.
+    /// Starts one instance as [`Edge::start`] does, with additional settings lines under `[bounds]`.
     pub async fn start_with(count: usize, bounds: &str) -> Self {
         let platform = Platform::start().await;
         platform.set("config", "main", config(3, &["key-of-the-tests"]));
@@ -136,23 +137,23 @@
     pub async fn is_ready(&self) -> bool {
         let request = Request::get("/readyz").header("host", "x");
         let request = request.body(Full::default()).unwrap();
-        let got = exchange(self.ready, request).await;
-        got.is_some_and(|g| g.status == StatusCode::OK)
+        let response = exchange(self.ready, request).await;
+        response.is_some_and(|r| r.status == StatusCode::OK)
     }
 
-    /// Waits until something holds.
+    /// Waits until a condition holds; fails after [`WAIT_TIMEOUT`].
     pub async fn until<F: Future<Output = bool>>(&self, holds: impl Fn() -> F) {
         let waiting = async {
             while !holds().await {
                 time::sleep(Duration::from_millis(20)).await;
             }
         };
-        time::timeout(PATIENCE, waiting)
+        time::timeout(WAIT_TIMEOUT, waiting)
             .await
-            .expect("it holds in time");
+            .expect("the condition to hold in time");
     }
 
-    /// Sends a request under an id and returns what came.
+    /// Sends a request with the given id, and returns its response.
     pub async fn call(&self, path: &str, id: &str) -> CallerResponse {
         self.call_with(path, id, &[]).await
     }
@@ -165,10 +166,10 @@
     ) -> CallerResponse {
         let request = request(path, id, headers);
         let calling = exchange(self.callers, request);
-        let got = time::timeout(PATIENCE, calling)
+        let response = time::timeout(WAIT_TIMEOUT, calling)
             .await
             .expect("an answer in time");
-        got.expect("an answer")
+        response.expect("an answer")
     }
 
     pub fn entry(&self, index: usize, state: &str) {
@@ -191,17 +192,17 @@
                 time::sleep(Duration::from_millis(20)).await;
             }
         };
-        time::timeout(PATIENCE, waiting)
+        time::timeout(WAIT_TIMEOUT, waiting)
             .await
-            .expect("an end in time")
+            .expect("the process to exit in time")
     }
 
-    /// Returns whether an event is in the log.
+    /// Returns whether the log contains an event.
     pub fn has_logged(&self, event: &str) -> bool {
         self.lines().iter().any(|line| line["event"] == event)
     }
 
-    /// Returns the log's whole lines.
+    /// Returns the complete lines of the log.
     pub fn lines(&self) -> Vec<Value> {
         let text = fs::read_to_string(&self.log).unwrap();
         let whole = text.rsplit_once('\n').map_or("", |(whole, _)| whole);
@@ -214,7 +215,7 @@
 
 impl Drop for Edge {
     fn drop(&mut self) {
-        // Errors only say that it has ended already.
+        // An error means that the process has exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_dir_all(&self.dir);
@@ -269,7 +270,7 @@
     builder.body(Full::from("a prompt")).unwrap()
 }
 
-/// Sends a request on a connection of its own; none if it brought no answer.
+/// Sends a request on a new connection; returns `None` if no response arrived.
 pub async fn exchange(addr: SocketAddr, request: Request<Full<Bytes>>) -> Option<CallerResponse> {
     let stream = TcpStream::connect(addr).await.ok()?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
--- a/tests/edge/suspension.rs
+++ b/tests/edge/suspension.rs
@@ -1,8 +1,8 @@
-//! An instance's machine is suspended for seconds: the steady clock stands, the callers' and the store's time goes on.
+//! An instance's machine is suspended for seconds: the monotonic clock stops, while time goes on for callers and store.
 //!
-//! The story: what an instance knows of the store is as old as the time since it asked. By a clock that stands
-//! during a suspension it was new right after one, and requests went to endpoints that had left meanwhile; and a
-//! request whose time was over was held on for as long as the machine had slept.
+//! Guards against measuring ages and deadlines by a clock that stops during a suspension. The state from the store then
+//! looked fresh right after the suspension, so that requests went to endpoints that had left meanwhile, and a request
+//! whose deadline had passed was held for as long as the machine had been suspended.
 
 use std::{
     net::SocketAddr,
@@ -23,7 +23,7 @@
     support::{config, exchange, request},
 };
 
-/// Longer than any bound and any time-out here.
+/// Longer than any bound and timeout in these tests.
 const SUSPENDED: Duration = Duration::from_secs(6);
 
 struct Site {
@@ -67,7 +67,7 @@
             .expect("a port");
         let callers = listener.local_addr().expect("an address");
         instance.serve(listener);
-        until("it to be ready", || instance.gateway.is_ready()).await;
+        until("the instance to be ready", || instance.gateway.is_ready()).await;
         Self {
             platform,
             runners,
@@ -79,9 +79,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_endpoint_that_left_during_a_suspension_is_sent_nothing() {
+async fn an_endpoint_that_left_during_a_suspension_is_sent_no_requests() {
     let site = Site::start(33).await;
-    // No news comes to a machine that is suspended.
+    // A suspended machine receives no updates from the store.
     site.platform.fault(|f| f.silent = true);
     time::sleep(DRAIN / 2).await;
     let leaves = entry(site.runners[0].addr, "draining");
@@ -90,8 +90,8 @@
     site.platform.fault(|f| f.silent = false);
     for number in 0..12 {
         let id = format!("r-{number}");
-        let got = exchange(site.callers, request("/again/", &id, &[])).await;
-        assert_eq!(got.expect("an answer").status, StatusCode::OK);
+        let response = exchange(site.callers, request("/again/", &id, &[])).await;
+        assert_eq!(response.expect("an answer").status, StatusCode::OK);
     }
     assert!(
         site.runners[0].seen().is_empty(),
@@ -100,9 +100,9 @@
     assert!(site.instance.gateway.endpoints_age_us() < DRAIN.as_micros() as u64);
 }
 
-/// The route holds requests for 3 s; without the suspension it would take as long.
+/// The route's timeout is 3 s, so without the suspension the requests would be held that long.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_whose_time_is_over_after_a_suspension_is_given_up_at_once() {
+async fn a_request_whose_deadline_passed_during_a_suspension_times_out_at_once() {
     let site = Site::start(34).await;
     for runner in &site.runners {
         runner.fault(Fault::Mute);
@@ -114,9 +114,12 @@
             time::sleep(Duration::from_millis(300)).await;
             source.suspend(SUSPENDED);
         });
-        let got = exchange(site.callers, request(path, path, &[])).await;
-        assert_eq!(got.expect("an answer").status, StatusCode::GATEWAY_TIMEOUT);
-        suspending.await.expect("it ends");
+        let response = exchange(site.callers, request(path, path, &[])).await;
+        assert_eq!(
+            response.expect("an answer").status,
+            StatusCode::GATEWAY_TIMEOUT
+        );
+        suspending.await.expect("the suspension ends");
     }
     let took = started.elapsed();
     assert!(
--- a/tests/gateway/halls.rs
+++ b/tests/gateway/halls.rs
@@ -1,4 +1,4 @@
-//! What an instance knows of halls from the summaries of their aggregators.
+//! State of halls, from the summaries of their aggregators.
 
 use ryevalve::{
     gateway::halls::Halls, limits::instance_counts::InstanceCounts, peers::update::HallSummary,
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn an_older_summary_is_passed_over_and_the_parts_of_one_are_taken() {
+fn older_summaries_are_ignored_and_all_parts_of_one_are_applied() {
     let mut halls = Halls::default();
     assert!(halls.apply_summary(0, &summary(1, 5)).is_some());
     assert!(
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn halls_are_counted_by_their_best_aggregator_and_forgotten_once() {
+fn halls_are_counted_by_their_best_aggregator_and_reported_silent_once() {
     let mut halls = Halls::default();
     halls.apply_summary(0, &summary(1, 1));
     let few = HallSummary {
@@ -38,8 +38,8 @@
         instances: 2,
         ..summary(2, 1)
     };
-    let taken = halls.apply_summary(0, &few).expect("news");
-    assert!(!taken.replaces_loads, "it hears two of ten");
+    let effect = halls.apply_summary(0, &few).expect("a newer summary");
+    assert!(!effect.replaces_loads, "only two of ten report to it");
     assert_eq!(
         halls.instance_counts(MS),
         InstanceCounts { all: 10, heard: 10 }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's parts by themselves: routes, freshness, limits, discovery, placement, logs.
+//! Unit tests of the gateway's parts: routes, freshness, limits, discovery, placement and logs.
 
 mod aggregators;
 mod balancer;
--- a/tests/gateway/other_halls.rs
+++ b/tests/gateway/other_halls.rs
@@ -1,4 +1,4 @@
-//! What an aggregator sums up of other halls.
+//! Sums of the other halls' summaries, as an aggregator computes them.
 
 use ryevalve::{
     balance::load::{EndpointKey, InFlight, KeyRange},
@@ -31,29 +31,32 @@
 }
 
 #[test]
-fn halls_are_summed() {
-    let mut book = OtherHalls::default();
-    assert!(book.is_empty());
-    assert!(book.apply_summary(0, &summary(1, 1)));
-    assert!(book.apply_summary(0, &summary(2, 1)));
-    assert!(book.apply_summary(100 * MS, &summary(1, 2)));
+fn summaries_of_other_halls_are_summed() {
+    let mut other_halls = OtherHalls::default();
+    assert!(other_halls.is_empty());
+    assert!(other_halls.apply_summary(0, &summary(1, 1)));
+    assert!(other_halls.apply_summary(0, &summary(2, 1)));
+    assert!(other_halls.apply_summary(100 * MS, &summary(1, 2)));
     assert!(
-        !book.apply_summary(100 * MS, &summary(1, 1)),
-        "an older one"
+        !other_halls.apply_summary(100 * MS, &summary(1, 1)),
+        "an older summary is not applied"
     );
-    assert_eq!(book.loads(), vec![load(1, 4), load(11, 1), load(12, 1)]);
-    let mut whole = HallSummary::default();
-    book.fill_summary(200 * MS, &mut whole);
-    assert_eq!((whole.instances, whole.heard), (100, 98));
-    assert_eq!(whole.reports, vec![(EndpointKey(1), 2)]);
-    book.fill_summary(200 * MS, &mut whole);
-    assert!(whole.reports.is_empty(), "told once");
+    assert_eq!(
+        other_halls.loads(),
+        vec![load(1, 4), load(11, 1), load(12, 1)]
+    );
+    let mut sum = HallSummary::default();
+    other_halls.fill_summary(200 * MS, &mut sum);
+    assert_eq!((sum.instances, sum.heard), (100, 98));
+    assert_eq!(sum.reports, vec![(EndpointKey(1), 2)]);
+    other_halls.fill_summary(200 * MS, &mut sum);
+    assert!(sum.reports.is_empty(), "each report is relayed once");
 }
 
 #[test]
-fn a_part_of_a_summary_replaces_only_its_endpoints() {
-    let mut book = OtherHalls::default();
-    book.apply_summary(0, &summary(1, 1));
+fn a_partial_summary_replaces_only_the_loads_in_its_span() {
+    let mut other_halls = OtherHalls::default();
+    other_halls.apply_summary(0, &summary(1, 1));
     let part = HallSummary {
         span: KeyRange {
             first: EndpointKey(11),
@@ -62,19 +65,19 @@
         loads: vec![load(12, 3)],
         ..summary(1, 2)
     };
-    book.apply_summary(MS, &part);
-    assert_eq!(book.loads(), vec![load(1, 2), load(12, 3)]);
+    other_halls.apply_summary(MS, &part);
+    assert_eq!(other_halls.loads(), vec![load(1, 2), load(12, 3)]);
 }
 
 #[test]
-fn a_hall_that_fell_silent_has_no_requests_and_stays_counted() {
-    let mut book = OtherHalls::default();
-    book.apply_summary(0, &summary(1, 1));
-    book.expire(SECOND);
-    assert_eq!(book.loads().len(), 2);
-    book.expire(3 * SECOND);
-    assert!(book.loads().is_empty());
-    let mut whole = HallSummary::default();
-    book.fill_summary(3 * SECOND, &mut whole);
-    assert_eq!((whole.instances, whole.heard), (50, 0));
+fn a_silent_hall_has_no_loads_but_its_instances_still_count() {
+    let mut other_halls = OtherHalls::default();
+    other_halls.apply_summary(0, &summary(1, 1));
+    other_halls.expire(SECOND);
+    assert_eq!(other_halls.loads().len(), 2);
+    other_halls.expire(3 * SECOND);
+    assert!(other_halls.loads().is_empty());
+    let mut sum = HallSummary::default();
+    other_halls.fill_summary(3 * SECOND, &mut sum);
+    assert_eq!((sum.instances, sum.heard), (50, 0));
 }
--- a/tests/gateway/support.rs
+++ b/tests/gateway/support.rs
@@ -1,4 +1,4 @@
-//! Small values that several tests use.
+//! Small values shared by several tests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -91,7 +91,7 @@
     }
 }
 
-/// A stream's request with a prompt of one part of its own.
+/// Returns a request for a stream, whose prompt is a single part with the id `subject`.
 pub fn placement_request(
     subject: u64,
     prompt_tokens: u32,
