--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -33,7 +33,9 @@
 
 #[derive(Debug, Default)]
 struct Hall {
+    /// The hall's aggregators, by incarnation.
     sources: HashMap<Incarnation, Source>,
+    /// Whether the hall was reported as silent by [`Halls::expire`], and no summary arrived since.
     is_silent: bool,
 }
 
--- a/src/gateway/run.rs
+++ b/src/gateway/run.rs
@@ -88,6 +88,7 @@
     response
 }
 
+/// Extends the Retry-After of a refusal by a random share.
 fn add_jitter(mut refusal: Refusal) -> Refusal {
     if let Some(ms) = refusal.retry_after_ms {
         let factor = 1.0 + rand::rng().random_range(0.0..RETRY_AFTER_JITTER);
@@ -222,8 +223,11 @@
     job: Arc<Job>,
     /// The request to the balancer. A retry has its own arrival time and rank.
     attempt_request: PlacementRequest,
+    /// Endpoints chosen so far; they are not chosen again.
     tried: Vec<EndpointKey>,
+    /// Number of attempts that an endpoint may have run.
     runs: u32,
+    /// Number of attempts that an endpoint did not run, except those that the send check stopped.
     not_run: usize,
 }
 
@@ -339,6 +343,7 @@
         }
     }
 
+    /// Returns whether a request that an endpoint may have run can be run again; takes a retry of the budget if so.
     fn may_run_again(&self) -> bool {
         self.job.is_repeatable()
             && self.runs < self.job.route.max_attempts
@@ -460,6 +465,7 @@
         }
     }
 
+    /// Waits for a stream's first event, and relays the stream from then on.
     async fn start_stream(
         &self,
         endpoint_response: EndpointResponse<P>,
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -106,6 +106,7 @@
     pub metrics: GatewayMetrics,
     bounds: Mutex<GatewayBounds>,
     balancer: Mutex<Balancer>,
+    /// Channels to the tasks of queued requests, on which they receive their placement.
     pub(super) waiters: Mutex<HashMap<WaitKey, oneshot::Sender<Placement>>>,
     retries: Mutex<RetryBudget>,
     caller_timeouts: Mutex<TypicalTimeouts>,
@@ -141,7 +142,9 @@
     pub crash_checks: CrashChecks,
     /// Headers of endpoints that the gateway does not interpret.
     pub unread_headers: UnreadHeaders,
+    /// Limits the rate of log lines on changes of endpoints.
     endpoint_lines: Mutex<LineBudget>,
+    /// Whether a graceful shutdown has started.
     stopping: AtomicBool,
 }
 
