--- a/src/gateway/copies.rs
+++ b/src/gateway/copies.rs
@@ -273,7 +273,7 @@
     }
 
     async fn meet(self, _: Context, me: SocketAddr) -> Vec<SocketAddr> {
-        sample(self.source.gateway.meet(&[me]), MAX_ADDRESSES)
+        sample(self.source.gateway.note_addresses(&[me]), MAX_ADDRESSES)
     }
 
     async fn endpoints_part(
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -24,10 +24,10 @@
     gateway::{
         aggregators::{Aggregators, hall_key},
         copies,
-        far_book::{FAR_HALLS, FarBook},
         fetching::ActiveFetches,
-        hall_book::HallBook,
-        halls::{Halls, teller_of_hall},
+        hall_aggregate::HallAggregate,
+        halls::{Halls, hall_incarnation},
+        other_halls::{OTHER_HALLS, OtherHalls},
         peer_table::PeerTable,
         protocol::Protocol,
         quota,
@@ -77,8 +77,8 @@
     pub(super) sent_updates: VecDeque<SentUpdate>,
     pub(super) peer_table: PeerTable,
     pub(super) halls: Halls,
-    pub(super) hall_reports: HallBook,
-    pub(super) remote_halls: FarBook,
+    pub(super) hall_reports: HallAggregate,
+    pub(super) remote_halls: OtherHalls,
     pub(super) aggregators: Aggregators,
     /// Number of instances in the view, silent ones included.
     pub(super) instances_in_view: usize,
@@ -109,7 +109,7 @@
 impl State {
     fn known_peers(&self, now_us: Micros, view: &View) -> usize {
         let others = view.others().count().max(self.peer_table.len());
-        others.max(self.halls.sharers(now_us).all.saturating_sub(1))
+        others.max(self.halls.instance_counts(now_us).all.saturating_sub(1))
     }
 
     pub(super) fn record_sent(&mut self, sent: SentUpdate) {
@@ -230,7 +230,7 @@
         if others.is_empty() {
             return;
         }
-        let known = self.gateway.meet(&others);
+        let known = self.gateway.note_addresses(&others);
         let mut state = self.lock();
         for addr in others {
             state.peer_table.add_unseen(now_us, addr.ip());
@@ -247,7 +247,7 @@
         let cluster_size = self.count_sharers(now_us, &view);
         let has_state_change = self.take_state_changed();
         let is_suspected = self.gateway.suspects().take_has_changes();
-        let has_limits = self.gateway.balancer().take_standings_changed();
+        let has_limits = self.gateway.balancer().take_announcements_changed();
         let changed = self.gateway.balancer().take_changed() || is_suspected || has_limits;
         let is_due = {
             let mut state = self.lock();
@@ -269,7 +269,7 @@
                     .balancer()
                     .load_view_mut()
                     .set_hall_aggregator(false);
-                self.gateway.reserver.set_issuers(Vec::new());
+                self.gateway.reservation_client.set_issuers(Vec::new());
                 self.send_to_all(now_us, &view, is_due).await;
             }
             ClusterSize::Large => {
@@ -309,7 +309,7 @@
         let me = self.settings.me.incarnation;
         let before_me = chosen.iter().take_while(|m| m.info.incarnation != me);
         let issuers = before_me.map(|m| m.info.peer_addr.ip()).collect();
-        self.gateway.reserver.set_issuers(issuers);
+        self.gateway.reservation_client.set_issuers(issuers);
         self.gateway
             .balancer()
             .load_view_mut()
@@ -330,7 +330,7 @@
             state.is_watcher = position.is_some_and(|p| p < WATCHERS);
             state.watchers = self.watchers(&by_rank);
             self.gateway
-                .set_place_to_watch(position.unwrap_or(by_rank.len()));
+                .set_watch_position(position.unwrap_or(by_rank.len()));
         }
         let is_settled = self.is_seed || self.gateway.clock.now_us() >= VIEW_SETTLING_US;
         let watches = state.is_watcher && is_settled;
@@ -353,8 +353,8 @@
                     known,
                 )
             } else {
-                let halls = silent_halls.into_iter().map(teller_of_hall).collect();
-                let heard = state.halls.sharers(now_us).heard.max(1);
+                let halls = silent_halls.into_iter().map(hall_incarnation).collect();
+                let heard = state.halls.instance_counts(now_us).heard.max(1);
                 let all = (known + 1).max(heard);
                 let sharers = InstanceCounts { all, heard };
                 (ClusterSize::Large, halls, sharers, sharers)
@@ -381,7 +381,7 @@
             }
         }
         self.update_metrics(now_us, sharers);
-        self.gateway.set_sharers(sharers);
+        self.gateway.set_instance_counts(sharers);
         self.gateway
             .balancer()
             .load_view_mut()
@@ -407,14 +407,18 @@
         let metrics = &self.gateway.metrics;
         metrics.instances.set(sharers.all as i64);
         metrics.hall_summary_age_seconds.set(age_s(self.my_hall));
-        metrics.far_summary_age_seconds.set(age_s(FAR_HALLS));
-        let reporters = state.hall_reports.headcount(now_us).heard.saturating_sub(1);
+        metrics.far_summary_age_seconds.set(age_s(OTHER_HALLS));
+        let reporters = state
+            .hall_reports
+            .instance_counts(now_us)
+            .heard
+            .saturating_sub(1);
         metrics.reporters.set(i64::from(reporters));
     }
 
     /// Returns the log value for the halls that a summary source covers.
     pub(super) fn summary_scope(&self, source: Incarnation) -> &'static str {
-        if source == teller_of_hall(FAR_HALLS) {
+        if source == hall_incarnation(OTHER_HALLS) {
             "other_halls"
         } else {
             "own_hall"
--- a/src/gateway/fetching.rs
+++ b/src/gateway/fetching.rs
@@ -169,7 +169,7 @@
         let revision = gateway.balancer().endpoints_revision();
         let answer = copies::fetch_endpoints(addr, self.codec.clone(), revision, gateway.clock);
         if let Some(copy) = answer.await? {
-            gateway.take_endpoints(copy.value, copy.fresh_at_us);
+            gateway.apply_peer_endpoints(copy.value, copy.fresh_at_us);
         }
         Ok(())
     }
@@ -187,7 +187,7 @@
         }
         // Some known instances may not be in the view yet.
         let me = self.settings.me.peer_addr;
-        let known = self.gateway.meet(&[]).into_iter();
+        let known = self.gateway.note_addresses(&[]).into_iter();
         let other = known.filter(|addr| *addr != me).choose(&mut rng);
         other.map(|addr| addr.ip())
     }
--- a/src/gateway/freshness_checks.rs
+++ b/src/gateway/freshness_checks.rs
@@ -22,7 +22,7 @@
 
     /// Returns the time since the endpoints were last known to match the store.
     pub fn endpoints_age_us(&self) -> Micros {
-        self.endpoints.age_us(self.clock.now_us())
+        self.endpoints_staleness.age_us(self.clock.now_us())
     }
 
     /// Returns the time since the evacuations were last known to match the store.
@@ -42,7 +42,7 @@
 
     /// Returns whether the endpoints are fresh enough to use.
     pub fn endpoints_freshness(&self) -> Freshness {
-        self.freshness(&self.endpoints, self.bounds().drain)
+        self.freshness(&self.endpoints_staleness, self.bounds().drain)
     }
 
     /// Returns whether the configuration is fresh enough to use.
@@ -63,7 +63,7 @@
     /// Without this, an instance that gets no changes from others would use endpoints that have left. If the store
     /// does not answer, the instance continues with the endpoints it has, as all instances do in an outage.
     pub async fn wait_for_fresh_endpoints(&self) {
-        self.wait_until_fresh(&self.endpoints, self.bounds().drain)
+        self.wait_until_fresh(&self.endpoints_staleness, self.bounds().drain)
             .await;
     }
 
@@ -107,7 +107,7 @@
 
     /// Returns whether the configuration is fresh enough to check a key against.
     pub fn is_config_fresh(&self) -> bool {
-        self.config_age_us() <= self.bounds().key_age_us()
+        self.config_age_us() <= self.bounds().max_key_age_us()
     }
 
     /// Returns whether keys in the configuration in force may be used.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,7 +1,7 @@
-//! The request path over routes, discovered endpoints and organisations' limits: callers come in by
-//! [`caller_listener`], a request is run by [`run`], and [`crate::balance`] decides where it goes.
+//! The request path over routes, discovered endpoints and organisations' limits: [`caller_listener`] accepts
+//! callers, [`run`] runs a request, and [`crate::balance`] chooses its endpoint.
 //!
-//! In whose words callers and endpoints speak is a [`protocol::Protocol`]'s matter.
+//! A [`protocol::Protocol`] reads and writes the headers of callers and endpoints.
 
 pub mod admission;
 pub mod aggregators;
@@ -16,16 +16,16 @@
 pub mod endpoint_announcements;
 pub mod evacuations;
 pub mod exchange;
-pub mod far_book;
 mod fetching;
 mod freshness_checks;
 mod freshness_queries;
-pub mod hall_book;
+pub mod hall_aggregate;
 pub mod halls;
 pub mod instance_count;
 pub mod limit_log;
 pub mod line_budget;
 pub mod metrics;
+pub mod other_halls;
 pub mod packed;
 pub mod peer_table;
 pub mod permits;
--- a/src/gateway/receiving.rs
+++ b/src/gateway/receiving.rs
@@ -12,8 +12,8 @@
         load_view::ClusterSize,
     },
     gateway::{
-        endpoint_announcements, exchange::Exchange, far_book::FAR_HALLS, fetching::Wanted,
-        halls::teller_of_hall, protocol::Protocol,
+        endpoint_announcements, exchange::Exchange, fetching::Wanted, halls::hall_incarnation,
+        other_halls::OTHER_HALLS, protocol::Protocol,
     },
     peers::update::{self, HallSummary, Purpose, Update, address_key},
     prelude::Micros,
@@ -70,7 +70,7 @@
             return;
         }
         self.apply_observations(now_us, &update);
-        self.lock().hall_reports.note(now_us, from, &update);
+        self.lock().hall_reports.apply_report(now_us, from, &update);
         let mut balancer = self.gateway.balancer();
         if balancer.load_view().is_hall_aggregator() {
             balancer.apply_grantee_report(now_us, update.from, &update.loads, update.settled);
@@ -99,15 +99,15 @@
     /// Applies a summary of another hall, unless a newer one is known. An aggregator merges it into its own summary of
     /// the other halls; any other instance forwards it to its aggregators.
     fn apply_remote_summary(&self, now_us: Micros, summary: HallSummary) {
-        if summary.hall == self.my_hall || summary.hall == FAR_HALLS {
+        if summary.hall == self.my_hall || summary.hall == OTHER_HALLS {
             return;
         }
         let mut state = self.lock();
-        if !state.remote_halls.note(now_us, &summary) {
+        if !state.remote_halls.apply_summary(now_us, &summary) {
             return;
         }
         if !state.hall_reports.is_aggregator(now_us) {
-            state.hall_reports.note_hall(summary);
+            state.hall_reports.queue_for_relay(summary);
         }
     }
 
@@ -122,18 +122,18 @@
                 return;
             }
             let sent = sent.filter(|_| is_own).unwrap_or_default();
-            let noted = state.halls.note(now_us, summary);
+            let noted = state.halls.apply_summary(now_us, summary);
             noted.map(|noted| (noted, sent))
         };
         let Some((noted, sent)) = noted else { return };
-        let source = teller_of_hall(summary.hall);
-        if noted.is_regained {
+        let source = hall_incarnation(summary.hall);
+        if noted.was_silent {
             let whose = self.summary_scope(source);
             log::info!(target: "ryevalve::process", whose; "summaries_regained");
         }
         let mut balancer = self.gateway.balancer();
         let has_own_reports = is_own && balancer.load_view().is_hall_aggregator();
-        if noted.takes_loads && !has_own_reports {
+        if noted.replaces_loads && !has_own_reports {
             let loads = subtract_own(&summary.loads, &sent.loads);
             balancer
                 .load_view_mut()
@@ -160,7 +160,7 @@
         let version = self.gateway.config.version();
         let revision = self.gateway.balancer().endpoints_revision();
         if update.config_version > 0 && update.endpoints_revision > 0 {
-            self.gateway.note_others_know();
+            self.gateway.note_peers_have_state();
         }
         self.fetch(from.ip(), Wanted::Config(update.config_version));
         self.fetch(from.ip(), Wanted::Endpoints(update.endpoints_revision));
@@ -169,7 +169,7 @@
         let evacuations_asked_us = update.evacuations_age_ms.and_then(asked_us);
         let evacuations = update.evacuations.clone();
         self.gateway
-            .take_evacuations(evacuations, evacuations_asked_us, "peer");
+            .apply_evacuations(evacuations, evacuations_asked_us, "peer");
         let config_asked_us = update.config_age_ms.and_then(asked_us);
         if let (Some(asked_us), true) = (config_asked_us, update.config_version == version) {
             self.gateway.config.confirm(version, asked_us);
@@ -177,7 +177,7 @@
         let is_same = update.endpoints_revision == revision;
         let endpoints_asked_us = update.endpoints_age_ms.and_then(asked_us);
         if let (Some(asked_us), true) = (endpoints_asked_us, is_same) {
-            self.gateway.endpoints.confirm(asked_us);
+            self.gateway.endpoints_staleness.confirm(asked_us);
         }
     }
 }
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -13,8 +13,8 @@
     balance::load::split_loads,
     gateway::{
         exchange::{Exchange, SentUpdate},
-        far_book::FAR_HALLS,
-        hall_book::News,
+        hall_aggregate::Observations,
+        other_halls::OTHER_HALLS,
         protocol::Protocol,
         report_intervals::ReportIntervals,
     },
@@ -124,13 +124,13 @@
                 let observations = self.take_own_observations();
                 let mut state = self.lock();
                 let hall_reports = &mut state.hall_reports;
-                hall_reports.note_news(
+                hall_reports.note_observations(
                     &observations.reports,
                     &observations.read,
                     &observations.seen,
                     &observations.dead,
                 );
-                News::default()
+                Observations::default()
             }
             (false, true) => return,
             (false, false) => self.take_own_observations(),
@@ -142,7 +142,7 @@
             plain.halls = self
                 .lock()
                 .hall_reports
-                .take_to_pass_on(FORWARDED_SUMMARIES);
+                .take_relay_queue(FORWARDED_SUMMARIES);
         }
         let mut with_observations = plain.clone();
         self.add_observations(&mut with_observations, observations);
@@ -216,7 +216,7 @@
     /// Returns the summaries of this hall, which together cover all endpoints.
     fn own_summaries(&self, now_us: Micros, update: &mut Update) -> Vec<HallSummary> {
         let state = self.lock();
-        let headcount = state.hall_reports.headcount(now_us);
+        let headcount = state.hall_reports.instance_counts(now_us);
         let loads = state.hall_reports.loads(now_us, &update.loads);
         update.loads = Vec::new();
         let parts = split_loads(&loads, LOADS_PER_SUMMARY).into_iter();
@@ -243,12 +243,12 @@
         state.remote_summary_at_us = now_us;
         let loads = state.remote_halls.loads();
         let mut whole = HallSummary {
-            hall: FAR_HALLS,
+            hall: OTHER_HALLS,
             by: self.settings.me.incarnation,
             seq: update.seq,
             ..HallSummary::default()
         };
-        state.remote_halls.complete(now_us, &mut whole);
+        state.remote_halls.fill_summary(now_us, &mut whole);
         let parts = split_loads(&loads, LOADS_PER_SUMMARY).into_iter();
         let parts = parts.map(|(span, loads)| HallSummary {
             span,
@@ -274,7 +274,7 @@
         let observations = {
             let mut state = self.lock();
             update.echoes = state.hall_reports.echoes(self.gateway.clock.now_us());
-            state.hall_reports.take_news()
+            state.hall_reports.take_observations()
         };
         self.add_observations(&mut update, observations);
         let mut datagrams = Vec::new();
@@ -282,7 +282,7 @@
             if index > 0 {
                 update.suspects = Vec::new();
                 update.standings = Vec::new();
-                self.add_observations(&mut update, News::default());
+                self.add_observations(&mut update, Observations::default());
                 update.seq = self.next_seq();
             }
             update.halls = vec![summary.clone()];
@@ -331,7 +331,7 @@
         };
         if is_due && let Some(first) = summaries.first_mut() {
             let mut state = self.lock();
-            first.reports = state.hall_reports.take_far_reports();
+            first.reports = state.hall_reports.take_reports_for_other_halls();
             let round_number = state.round_number;
             drop(state);
             first.speeds = self
@@ -403,7 +403,7 @@
     pub(super) fn next_update(&self, now_us: Micros, purpose: Purpose) -> Update {
         let seq = self.next_seq();
         // Read before the loads, so that the loads include all settled reservations.
-        let settled = self.gateway.reserver.settled();
+        let settled = self.gateway.reservation_client.settled();
         let loads = self.gateway.balancer().load_view().own_loads();
         self.lock().record_sent(SentUpdate {
             seq,
@@ -428,10 +428,10 @@
     }
 
     /// Returns this instance's observations since the last call.
-    fn take_own_observations(&self) -> News {
+    fn take_own_observations(&self) -> Observations {
         let round_number = self.lock().round_number;
         let mut balancer = self.gateway.balancer();
-        News {
+        Observations {
             reports: balancer.load_view_mut().take_unaccounted_load(),
             read: balancer.take_cached_chains(CHAINS_PER_UPDATE),
             seen: balancer.take_speed_samples(round_number, SPEED_SAMPLES_PER_UPDATE),
@@ -445,10 +445,10 @@
         update.standings = self
             .gateway
             .balancer()
-            .take_standings_to_send(now_us, audience);
+            .take_announcements_to_send(now_us, audience);
     }
 
-    fn add_observations(&self, update: &mut Update, observations: News) {
+    fn add_observations(&self, update: &mut Update, observations: Observations) {
         update.reports = observations.reports;
         update.read = observations.read;
         update.seen = observations.seen;
--- a/src/platform/store_watch.rs
+++ b/src/platform/store_watch.rs
@@ -223,18 +223,18 @@
 ) -> Option<Duration> {
     let now_us = gateway.clock.now_us();
     let poll = Duration::from_micros(POLL_US);
-    let wait_us = match gateway.do_others_know() {
+    let wait_us = match gateway.do_peers_have_state() {
         true => MAX_FIRST_START_WAIT_US,
         false => FIRST_START_WAIT_US,
     };
-    if gateway.waits_for_others() && now_us < wait_us {
+    if gateway.waits_for_peers() && now_us < wait_us {
         return Some(poll);
     }
     let age_us = handler.staleness().age_us(now_us);
     // Without other live instances, nobody could pass on a change.
-    let turns_before = match gateway.sharers().heard {
+    let turns_before = match gateway.instance_counts().heard {
         0 | 1 => 0,
-        _ => gateway.place_to_watch().saturating_sub(WATCHERS),
+        _ => gateway.watch_position().saturating_sub(WATCHERS),
     };
     let left_us = handler
         .bound()
@@ -261,7 +261,7 @@
     if !had_changes {
         return wait;
     }
-    let part = gateway.place_to_watch() % WATCHERS + 1;
+    let part = gateway.watch_position() % WATCHERS + 1;
     wait * part as u32 / WATCHERS as u32
 }
 
@@ -271,7 +271,7 @@
     if gateway.watches_store() {
         return pause;
     }
-    let groups = (gateway.sharers().all / RETRY_GROUP_SIZE).max(1) as u32;
+    let groups = (gateway.instance_counts().all / RETRY_GROUP_SIZE).max(1) as u32;
     let max_delay = Duration::from_micros(bound.0).mul_f64(MAX_RETRY_SHARE);
     (pause * groups).min(max_delay)
 }
@@ -448,7 +448,7 @@
             .balancer()
             .upsert_endpoint(entry, metadata.revision);
         if let Some(change) = upserted {
-            self.gateway.endpoint_changed(&id, change, "store");
+            self.gateway.handle_endpoint_change(&id, change, "store");
         }
     }
 
@@ -458,7 +458,7 @@
         let change = balancer.remove_endpoint(now_us, name, revision);
         drop(balancer);
         if let Some(change) = change {
-            self.gateway.endpoint_changed(name, change, "store");
+            self.gateway.handle_endpoint_change(name, change, "store");
         }
     }
 
@@ -477,7 +477,7 @@
 
     fn advance(&self, revision: u64, sent_us: Micros) {
         self.gateway.balancer().advance_endpoints_revision(revision);
-        self.gateway.endpoints.confirm(sent_us);
+        self.gateway.endpoints_staleness.confirm(sent_us);
         self.gateway.reconsider();
     }
 }
@@ -487,7 +487,7 @@
     const KIND: &'static str = endpoints::KIND;
 
     fn staleness(&self) -> &Staleness {
-        &self.gateway.endpoints
+        &self.gateway.endpoints_staleness
     }
 
     fn bound(&self) -> StalenessBound {
@@ -511,7 +511,7 @@
                 .balancer()
                 .retain_listed_endpoints(now_us, listing.revision, |id| names.contains(id));
         for (id, change) in changes {
-            self.gateway.endpoint_changed(&id, change, "store");
+            self.gateway.handle_endpoint_change(&id, change, "store");
         }
         for skipped in listing.unreadable {
             self.skip(listing.revision, skipped);
@@ -571,7 +571,7 @@
         if left_out > 0 {
             log::error!(target: "ryevalve::process", left_out; "evacuations_left_out");
         }
-        self.gateway.take_evacuations(set, Some(sent_us), "store");
+        self.gateway.apply_evacuations(set, Some(sent_us), "store");
     }
 
     /// Adds the data centre of an unreadable object: only the name matters, not the content.
--- a/tests/edge/change_propagation.rs
+++ b/tests/edge/change_propagation.rs
@@ -53,7 +53,7 @@
                 service: "plain".into(),
                 weight: 1,
             }],
-            homes: None,
+            allowed_regions: None,
         }
     };
     GatewayConfig {
@@ -177,7 +177,7 @@
         all.push((instance, store_proxy));
     }
     until("all instances to see each other", || {
-        let seen_instances = |i: &Instance| i.gateway.sharers().heard;
+        let seen_instances = |i: &Instance| i.gateway.instance_counts().heard;
         all.iter().all(|(i, _)| seen_instances(i) == all.len())
     })
     .await;
--- a/tests/edge/cluster.rs
+++ b/tests/edge/cluster.rs
@@ -155,7 +155,7 @@
 
     /// Fetches missing state from other instances, as a non-seed does at its start.
     pub fn fetch_at_start(&mut self) {
-        self.gateway.fetch_at_start();
+        self.gateway.set_fetches_at_start();
         let fetching = self.exchange.clone().fetch_at_start();
         self.tasks.push(tokio::spawn(fetching));
     }
@@ -253,7 +253,7 @@
         deadline_us: now_us + 10_000_000,
         rank: 0,
         other_hall_cost: 0.0,
-        homes: AllowedRegions::default(),
+        allowed_regions: AllowedRegions::default(),
         draw: 7,
     }
 }
--- a/tests/edge/large_cluster.rs
+++ b/tests/edge/large_cluster.rs
@@ -65,7 +65,7 @@
             all: INSTANCES,
             heard,
         };
-        all.iter().all(|i| i.gateway.sharers() == expected)
+        all.iter().all(|i| i.gateway.instance_counts() == expected)
     };
     until("all instances to see each other", || {
         all_see(&all, INSTANCES)
--- a/tests/edge/main.rs
+++ b/tests/edge/main.rs
@@ -1,12 +1,13 @@
-//! The `edge` program as a process of its own, among a store and endpoints that misbehave.
+//! Tests the `edge` command with a store and endpoints that misbehave, as a separate process and as instances in the
+//! test process.
 
+mod allowed_regions;
 mod answers;
 mod change_propagation;
 mod cluster;
 mod control;
 mod endpoint_limits;
 mod evacuations;
-mod homes;
 mod large_cluster;
 mod large_copies;
 mod leaving_endpoints;
--- a/tests/edge/store_lists.rs
+++ b/tests/edge/store_lists.rs
@@ -107,7 +107,7 @@
         removed: Vec::new(),
         is_whole: true,
     };
-    instance.gateway.take_endpoints(copy, None);
+    instance.gateway.apply_peer_endpoints(copy, None);
 }
 
 /// Guards against calls that grow with instances times endpoints: an instance that gets no changes from others must
@@ -130,7 +130,7 @@
 async fn an_instance_lists_again_if_the_history_is_gone_and_no_peer_helps() {
     let platform = start_store().await;
     let mut instance = start_instance(63).await;
-    instance.gateway.fetch_at_start();
+    instance.gateway.set_fetches_at_start();
     apply_all_endpoints(&platform, &instance);
     platform.set("servers", &id(1), entry("draining"));
     platform.forget_history();
--- a/tests/gateway/growth.rs
+++ b/tests/gateway/growth.rs
@@ -143,9 +143,9 @@
 #[test]
 fn endpoint_log_lines_are_bounded_and_omitted_ones_counted() {
     let mut budget = LineBudget::default();
-    let written = (0..3_000).filter(|n| budget.ask(SECOND + n * 10).is_written);
+    let written = (0..3_000).filter(|n| budget.admit(SECOND + n * 10).is_written);
     assert_eq!(written.count(), 200);
-    let next = budget.ask(3 * SECOND);
+    let next = budget.admit(3 * SECOND);
     assert!(next.is_written);
     assert_eq!(next.left_out, 2_800);
 }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The gateway's parts by themselves: routes, freshness, limits, discovery, placement, logs.
+//! Unit tests of the gateway's parts: routes, freshness, limits, discovery, placement and logs.
 
 mod aggregators;
 mod balancer;
@@ -14,16 +14,16 @@
 mod endpoint_rests_weighed;
 mod events;
 mod explain;
-mod far_book;
 mod grants;
 mod growth;
-mod hall_book;
+mod hall_aggregate;
 mod halls;
 mod headers;
 mod leaving;
 mod limit_history;
 mod limits;
 mod logs;
+mod other_halls;
 mod packed;
 mod peer_table;
 mod prefixes;
--- a/tests/gateway/staleness.rs
+++ b/tests/gateway/staleness.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     current_config::bounds,
-    support::{SECOND, ask, entry},
+    support::{SECOND, entry, placement_request},
 };
 
 const BOUND: StalenessBound = StalenessBound(2 * SECOND);
@@ -85,7 +85,9 @@
     for id in ["leaving", "staying"] {
         gateway.balancer().upsert_endpoint(entry(id, "h", 4), 1);
     }
-    gateway.endpoints.confirm(gateway.clock.now_us().max(1));
+    gateway
+        .endpoints_staleness
+        .confirm(gateway.clock.now_us().max(1));
     gateway.into()
 }
 
@@ -101,19 +103,19 @@
     time::sleep(Duration::from_millis(1_900)).await;
     let querying = gateway.clone();
     let follower = tokio::spawn(async move {
-        querying.endpoints.query_wanted().await;
+        querying.endpoints_staleness.query_wanted().await;
         let now_us = querying.clock.now_us();
         querying
-            .endpoints
+            .endpoints_staleness
             .query_started(now_us, BOUND, Duration::ZERO);
         time::sleep(Duration::from_millis(100)).await;
         drain_leaving(&querying);
-        querying.endpoints.query_answered();
-        querying.endpoints.confirm(now_us);
+        querying.endpoints_staleness.query_answered();
+        querying.endpoints_staleness.confirm(now_us);
     });
     for _ in 0..3 {
         let placed = gateway
-            .place(&ask(7, 100, 0, gateway.clock.now_us()), &[])
+            .place(&placement_request(7, 100, 0, gateway.clock.now_us()), &[])
             .await;
         assert_matches!(placed, Placement::Send(choice) if &*choice.id == "staying");
     }
@@ -127,21 +129,21 @@
     let started = time::Instant::now();
     let querying = gateway.clone();
     tokio::spawn(async move {
-        querying.endpoints.query_wanted().await;
+        querying.endpoints_staleness.query_wanted().await;
         let now_us = querying.clock.now_us();
         querying
-            .endpoints
+            .endpoints_staleness
             .query_started(now_us, BOUND, Duration::ZERO);
     });
     let placed = gateway
-        .place(&ask(7, 100, 0, gateway.clock.now_us()), &[])
+        .place(&placement_request(7, 100, 0, gateway.clock.now_us()), &[])
         .await;
     assert_matches!(placed, Placement::Send(_));
     let delay = started.elapsed();
     assert!(delay <= Duration::from_millis(340), "{delay:?}");
     let second_started = time::Instant::now();
     let placed = gateway
-        .place(&ask(7, 100, 0, gateway.clock.now_us()), &[])
+        .place(&placement_request(7, 100, 0, gateway.clock.now_us()), &[])
         .await;
     assert_matches!(placed, Placement::Send(_));
     assert_eq!(second_started.elapsed(), Duration::ZERO);
@@ -153,7 +155,7 @@
     time::sleep(Duration::from_millis(1_900)).await;
     let started = time::Instant::now();
     let placed = gateway
-        .place(&ask(7, 100, 0, gateway.clock.now_us()), &[])
+        .place(&placement_request(7, 100, 0, gateway.clock.now_us()), &[])
         .await;
     assert_matches!(placed, Placement::Send(_));
     assert!(started.elapsed() <= Duration::from_millis(340));
