--- a/src/operator/drains.rs
+++ b/src/operator/drains.rs
@@ -1,4 +1,4 @@
-//! Orders to drain, passed among instances so that they hold without the platform.
+//! Drain orders. Instances exchange them directly, so drains work while the platform's store is unavailable.
 
 use std::{collections::BTreeMap, hash::Hasher};
 
@@ -6,7 +6,7 @@
 
 use crate::prelude::{Incarnation, Name};
 
-/// What a drain order is about.
+/// What a drain order applies to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainTarget {
@@ -16,27 +16,27 @@
     Hall(Name),
 }
 
-/// Orders drain orders: the later stamp wins, on every instance alike.
+/// Total order of drain orders: the highest stamp wins, so all instances converge on the same order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Above any that the giver had seen.
+    /// Higher than any counter known to the issuing instance.
     pub counter: u64,
-    /// The instance that took the order; decides between equal counters.
+    /// The instance that issued the order; breaks ties between equal counters.
     pub taken_by: Incarnation,
 }
 
-/// The last order about one target.
+/// The latest order for one target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DrainOrder {
-    /// What it is about.
+    /// The endpoint or hall.
     pub target: DrainTarget,
-    /// Whether to drain or to take work again.
+    /// Whether to drain the target or to send it new requests again.
     pub draining: bool,
-    /// Its place in the order of orders.
+    /// Decides which of two orders for the target wins.
     pub stamp: Stamp,
-    /// Who gave it.
+    /// The operator who gave it.
     pub by: Name,
-    /// When, in seconds since 1970.
+    /// When it was given, in seconds since 1970.
     pub at_s: u64,
 }
 
@@ -47,13 +47,13 @@
 }
 
 impl Drains {
-    /// Returns whether the endpoint is to take no new work.
+    /// Returns whether the endpoint must get no new requests, because it or its hall is draining.
     pub fn is_draining(&self, endpoint: &Name, hall: &Name) -> bool {
         let of = |target| self.orders.get(&target).is_some_and(|o| o.draining);
         of(DrainTarget::Endpoint(endpoint.clone())) || of(DrainTarget::Hall(hall.clone()))
     }
 
-    /// Makes an order that comes after all that are known here.
+    /// Creates an order with a stamp above all that are known here.
     pub fn next(
         &self,
         target: DrainTarget,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Takes orders; returns whether any was news.
+    /// Merges orders from elsewhere. Returns whether any of them replaced a known one or was new.
     pub fn merge(&mut self, orders: impl IntoIterator<Item = DrainOrder>) -> bool {
         let mut news = false;
         for order in orders {
@@ -88,12 +88,12 @@
         news
     }
 
-    /// Returns the last order about each target.
+    /// Returns the latest order for each target.
     pub fn orders(&self) -> impl Iterator<Item = &DrainOrder> {
         self.orders.values()
     }
 
-    /// Returns a hash by which instances see whether they know the same.
+    /// Returns a hash of all stamps, by which instances detect that their drain orders differ.
     pub fn hash(&self) -> u64 {
         let mut hasher = std::hash::DefaultHasher::new();
         for order in self.orders.values() {
--- a/src/operator/execute.rs
+++ b/src/operator/execute.rs
@@ -1,4 +1,4 @@
-//! Carries out a command on behalf of an operator, asking the other instances where need be.
+//! Executes an operator's command and queries the other instances where the answer needs their rows.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -25,30 +25,33 @@
     store::Store,
 };
 
-/// How long the other instances have to answer a question.
+/// Timeout for another instance's answer to a query.
 const ASK_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Rows in a reply if the query has no `limit`.
 const DEFAULT_LIMIT: usize = 200;
 const MAX_LIMIT: usize = 10_000;
+/// Characters of a command's text that are kept in the command log.
 const TEXT_KEPT: usize = 200;
 
-/// Who gives a command.
+/// The authenticated operator who sent a command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Caller {
     /// Their name in the configuration.
     pub name: Name,
-    /// What they may do.
+    /// Their permission.
     pub may: Permission,
 }
 
-/// Parts of an answer, and who gave none.
+/// The instances' parts of an answer, and the instances whose part is missing.
 pub struct Gathered {
-    /// The parts that came.
+    /// The parts received.
     pub parts: Vec<QueryPart>,
     /// Instances that did not answer.
     pub missing: Vec<String>,
 }
 
-/// Carries out a command; the same id again gets the first one's reply.
+/// Executes a command. A command that changes state runs once per id: a repeated id gets the first reply from the
+/// command log.
 pub async fn execute<S: Store>(
     instance: &Arc<Instance<S>>,
     caller: &Caller,
@@ -124,7 +127,7 @@
     reply
 }
 
-/// Pools that nothing was sent to yet have a leader all the same.
+/// Adds rows for pools that no leader reported because they have had no requests yet; their leader is known anyway.
 fn add_unseen_pools<S: Store>(instance: &Instance<S>, rows: &mut Vec<Row>) {
     for (pool, leader) in query::pool_leaders(instance) {
         if rows.iter().any(|r| text(r.get("pool")) == pool) {
@@ -146,7 +149,7 @@
     }
 }
 
-/// Asks every instance, this one included.
+/// Runs a command's text on every instance, this one included, and collects the parts.
 pub async fn gather<S: Store>(instance: &Arc<Instance<S>>, question: &str) -> Gathered {
     let view = instance.gossip.view();
     let away = view.others().cloned();
@@ -165,7 +168,7 @@
     gathered
 }
 
-/// Instances that may hold something but cannot be asked.
+/// Instances that may hold rows but cannot be queried: dead ones, and listed addresses that were never reached.
 fn unaskable(view: &View) -> Vec<String> {
     let dead = view.members.iter().filter(|m| m.liveness == Liveness::Dead);
     let dead = dead.map(|m| m.info.name.to_string());
--- a/src/operator/http.rs
+++ b/src/operator/http.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: commands, the dump, counters and health.
+//! The operators' HTTP listener: commands, state dump, metrics, health and readiness.
 
 use std::{convert::Infallible, sync::Arc, time::Duration};
 
@@ -32,22 +32,23 @@
 
 const MAX_BODY_BYTES: usize = 2 << 20;
 const MAX_CONNECTIONS: usize = 200;
+/// Timeout for a request's headers and, separately, for its body.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// A wrong key is answered only after this time.
+/// Delay before the answer to a wrong key, which slows down guessing.
 const WRONG_KEY_PAUSE: Duration = Duration::from_secs(1);
 const MAX_ID_BYTES: usize = 100;
 
-/// A command as it is sent.
+/// JSON body of a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CommandBody {
     /// Its text.
     pub text: String,
-    /// Its id; the same again is not carried out twice.
+    /// Its id; a command that changes state is not executed twice under one id. Generated if missing.
     #[serde(default)]
     pub id: Option<String>,
 }
 
-/// Serves operators for as long as it is polled.
+/// Accepts and serves operators' connections until the future is dropped.
 pub async fn serve<S: Store>(instance: Arc<Instance<S>>, listener: TcpListener) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
@@ -71,7 +72,7 @@
         let instance = instance.clone();
         async move { Ok::<_, Infallible>(answer(instance, request).await) }
     });
-    // An error here is the operator's leaving.
+    // An error here means that the client disconnected.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(TIMEOUT)
@@ -139,7 +140,7 @@
     respond(StatusCode::UNAUTHORIZED, "text/plain", text)
 }
 
-/// Finds whose key is shown; a wrong one waits first.
+/// Returns the caller whose key the request carries. A wrong key is delayed by `WRONG_KEY_PAUSE`.
 async fn authenticate<S: Store>(instance: &Instance<S>, headers: &HeaderMap) -> Option<Caller> {
     let found = find_caller(instance, headers);
     if found.is_none() {
@@ -152,7 +153,7 @@
 fn find_caller<S: Store>(instance: &Instance<S>, headers: &HeaderMap) -> Option<Caller> {
     let value = headers.get(AUTHORIZATION)?.to_str().ok()?;
     let digest = key_digest(value.strip_prefix("Bearer ")?);
-    // Digests are compared, so the time taken says nothing of the key.
+    // Compares digests, so that the comparison's duration reveals nothing about the key.
     if digest == key_digest(instance.settings.operator_key.expose()) {
         return Some(Caller {
             name: "operator-key".into(),
@@ -191,7 +192,7 @@
         let text = format!("the id is empty or longer than {MAX_ID_BYTES} bytes\n");
         return respond(StatusCode::BAD_REQUEST, "text/plain", text);
     }
-    // In a task of its own: an operator who leaves does not stop a command half way.
+    // Runs in its own task, so that a client that disconnects does not cancel a command half way.
     let task =
         tokio::spawn(async move { execute::execute(&instance, &caller, &id, &body.text).await });
     match task.await {
@@ -207,12 +208,12 @@
     }
 }
 
-/// Returns an id that no other command has.
+/// Returns a random 64-bit command id in hexadecimal.
 pub fn new_id() -> String {
     format!("{:016x}", rand::random::<u64>())
 }
 
-/// Returns the state of this process; no key is in it.
+/// Returns the state of this process as JSON, without any keys.
 async fn dump<S: Store>(instance: &Arc<Instance<S>>) -> String {
     const SHOWN: usize = 10_000;
     let mut ids = instance.registry.ids();
--- a/src/operator/language.rs
+++ b/src/operator/language.rs
@@ -1,6 +1,6 @@
 //! The operators' language: its grammar, its parser and its text form.
 //!
-//! The grammar stands in docs/OPERATIONS.md. What is parsed prints as a text that parses to the same.
+//! The grammar is documented in docs/OPERATIONS.md. A parsed command formats to a text that parses to an equal command.
 
 use std::fmt;
 
@@ -17,7 +17,7 @@
     prelude::RequestId,
 };
 
-/// What is asked about.
+/// What a query lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// Requests that wait.
@@ -26,11 +26,11 @@
     Running,
     /// Requests that were shed.
     Shed,
-    /// Requests that ended, in whatever way.
+    /// Requests that ended, with any outcome.
     Ended,
     /// Endpoints, as their pools' leaders see them.
     Endpoints,
-    /// Instances, as the one that answers sees them.
+    /// Instances, in the membership view of the answering instance.
     Instances,
     /// Events.
     Events,
@@ -46,7 +46,7 @@
     Commands,
 }
 
-/// Names of sources, as they are written.
+/// Names of the sources in the language.
 pub const SOURCES: [(&str, Source); 12] = [
     ("queued", Source::Queued),
     ("running", Source::Running),
@@ -103,7 +103,7 @@
     "waiting",
 ];
 
-/// How a field is compared.
+/// Comparison operator of a condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
     /// `=`
@@ -125,16 +125,16 @@
 pub struct Condition {
     /// The field.
     pub field: String,
-    /// How it is compared.
+    /// The operator.
     pub comparison: Comparison,
-    /// With what.
+    /// The value to compare with, as written.
     pub value: String,
 }
 
-/// What is made of the rows of a group.
+/// Aggregate over the rows of a group.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Summary {
-    /// Their number.
+    /// Number of rows.
     Count,
     /// The sum of a field.
     Sum(String),
@@ -142,24 +142,24 @@
     Percentiles(String),
 }
 
-/// A question.
+/// A query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
-    /// What it is about.
+    /// What it lists.
     pub source: Source,
-    /// Which rows; all must hold.
+    /// Conditions on the rows; all must hold.
     pub conditions: Vec<Condition>,
     /// Fields to group by.
     pub group_by: Vec<String>,
-    /// What to make of each group; none lists the rows.
+    /// Aggregate for each group; without one the rows are listed.
     pub summary: Option<Summary>,
-    /// Field to order by, and whether from the largest.
+    /// Field to order by, and whether in descending order.
     pub order_by: Option<(String, bool)>,
-    /// The most rows to show.
+    /// Maximum number of rows to show.
     pub limit: Option<usize>,
 }
 
-/// What a drain is about.
+/// What a drain applies to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Place {
     /// One endpoint.
@@ -184,15 +184,15 @@
 /// A command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Asks.
+    /// Lists or summarises rows.
     Query(Query),
-    /// Asks why a request waits or how it ended.
+    /// Explains why a request waits or how it ended.
     Why(RequestId),
-    /// Asks for the report of an event.
+    /// Reports on an event.
     ReportEvent(String),
-    /// Asks for the recorded traffic as a trace.
+    /// Returns the recorded traffic as a trace.
     Trace,
-    /// Keeps new work from a place, or lets it in again.
+    /// Drains an endpoint or hall (`true`), or sends it new requests again (`false`).
     Drain(Place, bool),
     /// Stops an instance as planned.
     StopInstance(String),
@@ -223,18 +223,18 @@
         /// Only if this version is in force.
         at_version: Option<u64>,
     },
-    /// Lets an event start now.
+    /// Starts an event now.
     StartEvent(String),
     /// Moves an event's start, in seconds since 1970.
     MoveEvent(String, u64),
     /// Ends an event now.
     EndEvent(String),
-    /// Gives an endpoint an order.
+    /// Sends an order to an endpoint.
     Order(String, EndpointOrder),
 }
 
 impl Command {
-    /// Returns whether it only asks.
+    /// Returns whether the command changes nothing, so that read permission suffices.
     pub fn only_asks(&self) -> bool {
         matches!(
             self,
@@ -243,12 +243,12 @@
     }
 }
 
-/// A text that is no command.
+/// Syntax error in a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SyntaxError {
-    /// Where it stops making sense, in bytes from the start.
+    /// Position of the unexpected word, in bytes from the start.
     pub at: usize,
-    /// The word there.
+    /// The unexpected word; empty at the end of the text.
     pub word: String,
     /// What was expected.
     pub expected: String,
@@ -267,10 +267,10 @@
 
 type Parsed<T> = Result<T, ErrMode<ContextError>>;
 
-/// Reads a command.
+/// Parses a command.
 ///
 /// # Errors
-/// Points at the word that makes no sense, with what was expected.
+/// Returns the position of the first unexpected word, with what was expected there.
 ///
 /// ```
 /// use ryevalve::operator::language::parse;
@@ -333,7 +333,7 @@
     StrContext::Expected(StrContextValue::Description(text))
 }
 
-/// Reads one whole word and checks that it is `word`.
+/// Parses one whole word that must equal `word`; restores the input otherwise.
 fn keyword<'i>(word: &'static str) -> impl FnMut(&mut &'i str) -> Parsed<()> {
     move |input: &mut &'i str| {
         let start = *input;
@@ -353,7 +353,7 @@
     Err(ErrMode::Cut(error))
 }
 
-/// Looks at the next word of letters without taking it.
+/// Returns the next word of letters and underscores without consuming it.
 fn peek_word<'i>(input: &&'i str) -> &'i str {
     let end = input.find(|c: char| !c.is_ascii_alphabetic() && c != '_');
     &input[..end.unwrap_or(input.len())]
--- a/src/operator/log.rs
+++ b/src/operator/log.rs
@@ -1,4 +1,4 @@
-//! The commands given through this instance, with who, when and what came of them.
+//! Log of the commands received by this instance, with operator, time and reply.
 
 use std::{
     collections::VecDeque,
@@ -9,24 +9,25 @@
 
 use crate::prelude::Name;
 
+/// Commands kept; the oldest is evicted first.
 const KEPT: usize = 2_000;
 
-/// One command that was given.
+/// A logged command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GivenCommand {
-    /// Its id; the same id again is answered from here.
+    /// Its id; a repeated command with this id gets the logged reply.
     pub id: String,
-    /// Who gave it.
+    /// The operator who sent it.
     pub by: Name,
-    /// When, in seconds since 1970.
+    /// When it was executed, in seconds since 1970.
     pub at_s: u64,
-    /// The command, shortened.
+    /// The command's text, truncated.
     pub text: String,
-    /// What came of it.
+    /// The reply to it.
     pub reply: Reply,
 }
 
-/// How a command ended.
+/// Outcome of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
@@ -34,27 +35,27 @@
     Done,
     /// It was refused; nothing was changed.
     Refused,
-    /// It makes no sense; nothing was changed.
+    /// It is invalid; nothing was changed.
     BadInput,
     /// Whether it took effect is not known.
     Unknown,
 }
 
-/// What an operator is answered.
+/// The reply to an operator's command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
-    /// How it ended.
+    /// The command's outcome.
     pub status: Status,
-    /// In a sentence, if there is more to say than the rows.
+    /// Explanation in a sentence; empty if the rows say everything.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub message: String,
     /// The rows.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub rows: Vec<serde_json::Map<String, serde_json::Value>>,
-    /// Instances that did not answer; the rows are then not all.
+    /// Instances that did not answer. If there are any, the rows are incomplete.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub missing: Vec<String>,
-    /// Rows left out for length.
+    /// Number of rows omitted because of the limits on rows.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub left_out: u64,
 }
@@ -64,7 +65,7 @@
 }
 
 impl Reply {
-    /// Makes a reply without rows.
+    /// Creates a reply without rows.
     pub fn new(status: Status, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -76,14 +77,14 @@
     }
 }
 
-/// The last commands given through this instance.
+/// The most recent commands received by this instance.
 #[derive(Debug, Default)]
 pub struct CommandLog {
     given: Mutex<VecDeque<GivenCommand>>,
 }
 
 impl CommandLog {
-    /// Remembers a command.
+    /// Adds a command and evicts the oldest if the log is full.
     pub fn add(&self, command: GivenCommand) {
         let mut given = self.given.lock().unwrap_or_else(PoisonError::into_inner);
         if given.len() == KEPT {
@@ -92,13 +93,13 @@
         given.push_back(command);
     }
 
-    /// Returns what came of the command with that id, if it is remembered.
+    /// Returns the command with that id, if it is still in the log.
     pub fn find(&self, id: &str) -> Option<GivenCommand> {
         let given = self.given.lock().unwrap_or_else(PoisonError::into_inner);
         given.iter().find(|c| c.id == id).cloned()
     }
 
-    /// Returns all that are remembered, the oldest first.
+    /// Returns all logged commands, the oldest first.
     pub fn snapshot(&self) -> Vec<GivenCommand> {
         let given = self.given.lock().unwrap_or_else(PoisonError::into_inner);
         given.iter().cloned().collect()
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! What operators ask and order.
+//! Operators' queries and commands: language, listener, execution, reports and drains.
 
 pub mod drains;
 pub mod execute;
--- a/src/operator/orders.rs
+++ b/src/operator/orders.rs
@@ -1,4 +1,5 @@
-//! Orders: drains, stops, cancellations, changes of the configuration, orders to endpoints.
+//! Executes commands that change state: drains, instance stops, cancellations, configuration changes and orders
+//! to endpoints.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -35,13 +36,15 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 const WRITE_TRIES: u32 = 5;
-/// How long a change is waited for on all instances.
+/// How long an accepted change waits to be in force on all instances before the operator is answered.
 const IN_FORCE_WAIT: Duration = Duration::from_secs(3);
 const IN_FORCE_POLL: Duration = Duration::from_millis(25);
-/// The object that numbers orders to endpoints and keeps the weight store's rate.
+/// Key of the stored object with the last fence number and the recent weight loads, which are rate limited.
 const FENCE_KEY: &str = "fences";
 
-/// Carries out an order.
+/// Executes a command that changes state.
+///
+/// `id` identifies the command; repeating a configuration change under the same id does not apply it twice.
 pub async fn carry_out<S: Store>(
     instance: &Arc<Instance<S>>,
     caller: &Caller,
@@ -84,7 +87,7 @@
 
 fn end_now(event: &mut Event) {
     let now_s = unix_s();
-    // One that has not begun is moved to the past, so that no room is kept for it.
+    // An event that has not started is moved to the past, so that no capacity is reserved for it.
     event.starts_at_s = event.starts_at_s.min(now_s.saturating_sub(1));
     event.duration_s = now_s.saturating_sub(event.starts_at_s).max(1);
 }
@@ -138,7 +141,8 @@
     reply
 }
 
-/// Tells all instances the drain orders; returns how many know them, of how many.
+/// Sends the drain orders to all other instances. Returns how many instances have them, this one included, and the
+/// number of instances.
 async fn spread_drains<S: Store>(instance: &Arc<Instance<S>>) -> (usize, usize) {
     let orders: Vec<_> = instance.config.drains().orders().cloned().collect();
     let view = instance.gossip.view();
@@ -214,16 +218,19 @@
     }
 }
 
-/// A change of the configuration: conditional, and settled if its answer is lost.
+/// A change of the configuration.
+///
+/// It is a conditional write. If the store's answer is lost, the stored history shows whether the change was applied.
 struct Change<'a, S: Store> {
     instance: &'a Arc<Instance<S>>,
     caller: &'a Caller,
     id: &'a str,
 }
 
-/// What one round of a change came to.
+/// Result of one attempt to write a change.
 enum Round {
     Ended(Reply),
+    /// Nothing was written; the change can be retried.
     Again,
     /// The write may have taken effect.
     InDoubt,
@@ -236,7 +243,8 @@
             Err(faults) => return bad_config(&faults),
         };
         let what = "the whole configuration";
-        // A whole document rests on what its writer saw: a change in between is not overwritten.
+        // A whole document is based on the version its author read, so a change made since then must not be
+        // overwritten.
         let whole = at_version.or(Some(self.instance.config.current().version));
         self.commit(whole, what, |_| Ok(config.clone())).await
     }
@@ -330,6 +338,7 @@
         refused("the platform does not take writes now; nothing was changed")
     }
 
+    /// Reads the stored configuration, applies `edit` and writes the result if the version is unchanged.
     async fn round(
         &self,
         at_version: Option<u64>,
@@ -371,8 +380,8 @@
         {
             Ok(_) => Round::Ended(self.accepted(&stored, stored.version).await),
             Err(WriteError::Conflict | WriteError::NotWritten { .. }) => Round::Again,
-            // Read again: it is there under this id, or the same write is tried again, which can
-            // take effect only if the first never does.
+            // The next attempt reads the object again. Either the change is in the history under this id, or the
+            // same write is repeated, which can succeed only if the first never takes effect.
             Err(WriteError::Unknown { .. }) => Round::InDoubt,
         }
     }
@@ -400,7 +409,8 @@
         stored.history.drain(..over);
     }
 
-    /// Says that the change is accepted, and on how many instances it is in force.
+    /// Installs the accepted version here and waits until all instances have it, at most `IN_FORCE_WAIT`. The reply
+    /// states on how many instances it is in force.
     async fn accepted(&self, stored: &StoredConfig, version: u64) -> Reply {
         if let Ok(versioned) = stored.versioned() {
             self.instance.config.install(versioned);
@@ -418,6 +428,7 @@
     }
 }
 
+/// Returns on how many instances the version is in force, and the number of instances present.
 fn in_force<S: Store>(instance: &Instance<S>, version: u64) -> (usize, usize) {
     let view = instance.gossip.view();
     let others = view.others().filter(|m| m.digest.config_version >= version);
@@ -425,6 +436,7 @@
     (others.count() + own, view.present().count())
 }
 
+/// Returns a refusal if the change is for another version than the stored one.
 fn raced(stored: &StoredConfig, at_version: Option<u64>) -> Option<Reply> {
     let wanted = at_version?;
     if wanted == stored.version {
@@ -448,7 +460,7 @@
     error.source().map_or_else(String::new, ToString::to_string)
 }
 
-/// Reads an object's fields, as TOML lines or as one inline table.
+/// Parses an object's fields, given as TOML lines or as one inline table.
 fn object_fields(toml: &str) -> Result<Map<String, Value>, String> {
     let text = if toml.starts_with('{') {
         format!("object = {toml}")
@@ -463,13 +475,14 @@
     }
 }
 
-/// Numbers orders, and remembers when weights were last loaded.
+/// The last fence number given to an order, and the times of recent weight loads in seconds since 1970.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Fences {
     last: u64,
     loads_at_s: Vec<u64>,
 }
 
+/// Weight loads within this window count against `weight_loads_per_minute`.
 const LOAD_WINDOW_S: u64 = 60;
 
 async fn order_endpoint<S: Store>(
@@ -494,7 +507,9 @@
     send_order(endpoint, order, fence).await
 }
 
-/// Takes the next number from the platform; only then is the order given.
+/// Allocates the next fence number in the platform's store. An order is sent only after this succeeds.
+///
+/// With `loads_per_minute`, the order also counts as a weight load and is refused above that rate.
 async fn next_fence<S: Store>(
     instance: &Arc<Instance<S>>,
     loads_per_minute: Option<u32>,
@@ -522,7 +537,7 @@
         }
         fences.last += 1;
         let value = serde_json::to_vec(&fences).unwrap_or_default();
-        // A number whose answer was lost is skipped, which does no harm.
+        // If the answer to a write is lost, its number is skipped. Gaps are harmless.
         if instance
             .store
             .write(FENCE_KEY, value.into(), version)
--- a/src/operator/query.rs
+++ b/src/operator/query.rs
@@ -1,4 +1,4 @@
-//! Answers a question about one instance: its rows, or what is made of them.
+//! Runs a query on one instance: produces its rows, or their summary by group.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -20,25 +20,25 @@
     store::Store,
 };
 
-/// The most rows that one instance sends.
+/// Maximum number of rows that one instance sends.
 const MAX_ROWS: usize = 5_000;
-/// Requests looked at before others get a turn.
+/// Requests processed before the task yields to others.
 const ROWS_PER_TURN: usize = 500;
-/// The most groups that one instance sends.
+/// Maximum number of groups that one instance sends.
 const MAX_GROUPS: usize = 2_000;
 const BUCKETS_PER_DOUBLING: f64 = 8.0;
 
-/// One row.
+/// One row: values by field name.
 pub type Row = Map<String, Value>;
 
-/// What one instance made of a group's rows.
+/// Summary of a group's rows; summaries of several instances can be merged.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Group {
-    /// How many.
+    /// Number of rows.
     pub count: u64,
-    /// The sum of the field asked for.
+    /// Sum of the summarised field.
     pub sum: f64,
-    /// How many lie in each bucket, an eighth of a doubling wide.
+    /// Number of values by bucket of a logarithmic histogram, with eight buckets per doubling.
     pub buckets: BTreeMap<u32, u64>,
 }
 
@@ -50,7 +50,7 @@
         *self.buckets.entry(bucket(value)).or_default() += 1;
     }
 
-    /// Takes in what another instance made of the same group.
+    /// Adds another instance's summary of the same group.
     pub fn merge(&mut self, other: &Self) {
         self.count += other.count;
         self.sum += other.sum;
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the value that a share `q` stays at or below, up to a bucket's width.
+    /// Returns the `q` quantile (0 to 1), rounded up to the edge of its bucket; 0 without values.
     pub fn quantile(&self, q: f64) -> f64 {
         let total: u64 = self.buckets.values().sum();
         let wanted = (total as f64 * q).ceil() as u64;
@@ -83,7 +83,7 @@
     edge.round()
 }
 
-/// Answers another instance's question about this one.
+/// Runs a command's text on this instance and returns its part of the answer; empty for anything but a query.
 pub async fn answer_part<S: Store>(instance: &Arc<Instance<S>>, text: &str) -> QueryPart {
     match language::parse(text) {
         Ok(Command::Query(query)) => part(instance, &query).await,
@@ -94,7 +94,8 @@
     }
 }
 
-/// Says what this instance knows of a request: as its entry, as its pool's leader.
+/// Explains what this instance knows of a request as its entry instance, as its pool's leader and from the record of
+/// ended requests.
 async fn why<S: Store>(instance: &Arc<Instance<S>>, id: RequestId) -> QueryPart {
     let mut rows = Vec::new();
     for view in instance.registry.views_of(&[id]) {
@@ -127,7 +128,7 @@
     QueryPart { rows, left_out: 0 }
 }
 
-/// Answers a question about this instance.
+/// Runs a query on this instance.
 pub async fn part<S: Store>(instance: &Arc<Instance<S>>, query: &Query) -> QueryPart {
     let mut collector = Collector::new(query);
     match query.source {
@@ -145,7 +146,7 @@
     collector.finish()
 }
 
-/// Returns whether every instance has rows of its own for a source.
+/// Returns whether each instance has its own rows for a source, so that all must be queried.
 pub fn is_spread(source: Source) -> bool {
     matches!(
         source,
@@ -216,7 +217,7 @@
     }
 }
 
-/// Returns whether a row meets a condition; numbers are compared as numbers.
+/// Returns whether a row satisfies a condition. Values that are both numeric are compared as numbers, others as text.
 pub fn holds(condition: &Condition, row: &Row) -> bool {
     use std::cmp::Ordering;
     let found = row.get(&condition.field);
@@ -238,7 +239,7 @@
     }
 }
 
-/// Returns a value as operators write it.
+/// Formats a value as operators write it; `-` for a missing one.
 pub fn text(value: Option<&Value>) -> String {
     match value {
         None | Some(Value::Null) => "-".to_owned(),
@@ -278,7 +279,7 @@
             row["event"] = json!(event.map(|e| &e.name));
             collector.add(row);
         }
-        // The lock is free in between, and so is this thread.
+        // Releases the registry's lock and this thread between chunks.
         tokio::task::yield_now().await;
     }
 }
@@ -486,7 +487,7 @@
     }
 }
 
-/// Returns the pool slices and who leads them, as this instance sees it.
+/// Returns the leader's name for each pool slice, according to this instance's membership view.
 pub fn pool_leaders<S: Store>(instance: &Instance<S>) -> BTreeMap<String, String> {
     let view = instance.gossip.view();
     let slices = slice::all_slices(&instance.config.current().config);
--- a/src/operator/report.rs
+++ b/src/operator/report.rs
@@ -1,4 +1,4 @@
-//! Reports: one event, and the recorded traffic as a trace.
+//! Reports across all instances: the report of an event, and the recorded traffic as a trace.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -19,10 +19,10 @@
     store::Store,
 };
 
-/// The most trace lines that one instance sends.
+/// Maximum number of trace lines that one instance sends.
 const MAX_TRACE_LINES: usize = 20_000;
 
-/// What happened to one tier's requests during an event.
+/// Outcomes of one tier's requests during an event.
 #[derive(Default)]
 struct TierCounts {
     offered: u64,
@@ -34,7 +34,7 @@
     wasted_prefill: u64,
 }
 
-/// Reports an event: goodput by tier, waste, refusals with reasons, slow endpoints.
+/// Reports on an event: goodput and wasted prefill tokens by tier, refusals by reason, and slow endpoints.
 pub async fn event<S: Store>(instance: &Arc<Instance<S>>, name: &str) -> Reply {
     let current = instance.config.current();
     let events = &current.config.events;
--- a/src/operator/table.rs
+++ b/src/operator/table.rs
@@ -1,4 +1,4 @@
-//! Shows a reply as a table.
+//! Formats a reply as text tables.
 
 use std::fmt::Write;
 
@@ -7,7 +7,7 @@
     query::{Row, text},
 };
 
-/// Columns that come first, in this order; the rest follow by name.
+/// Columns that come first, in this order; the others follow by name.
 const FIRST: [&str; 8] = [
     "id",
     "name",
@@ -19,13 +19,13 @@
     "endpoint",
 ];
 
-/// Returns the reply as text for people.
+/// Formats a reply for a terminal.
 pub fn render(reply: &Reply) -> String {
     let mut out = String::new();
     if !reply.message.is_empty() {
         let _ = writeln!(out, "{}", with_status(reply));
     }
-    // Rows of different kinds make a table each.
+    // Each run of rows with the same columns becomes a table.
     let mut rest = reply.rows.as_slice();
     while let Some(first) = rest.first() {
         let columns = columns(first);
