--- a/src/operator/drains.rs
+++ b/src/operator/drains.rs
@@ -49,8 +49,8 @@
 impl Drains {
     /// Returns whether the endpoint must get no new requests, because it or its hall is draining.
     pub fn is_draining(&self, endpoint: &Name, hall: &Name) -> bool {
-        let of = |target| self.orders.get(&target).is_some_and(|o| o.draining);
-        of(DrainTarget::Endpoint(endpoint.clone())) || of(DrainTarget::Hall(hall.clone()))
+        let drained = |target| self.orders.get(&target).is_some_and(|o| o.draining);
+        drained(DrainTarget::Endpoint(endpoint.clone())) || drained(DrainTarget::Hall(hall.clone()))
     }
 
     /// Creates an order with a stamp above all that are known here.
@@ -59,12 +59,12 @@
         target: DrainTarget,
         draining: bool,
         by: Name,
-        me: Incarnation,
+        incarnation: Incarnation,
     ) -> DrainOrder {
         let newest = self.orders.values().map(|o| o.stamp.counter).max();
         let stamp = Stamp {
             counter: newest.unwrap_or(0) + 1,
-            taken_by: me,
+            taken_by: incarnation,
         };
         DrainOrder {
             target,
@@ -77,15 +77,15 @@
 
     /// Merges orders from elsewhere. Returns whether any of them replaced a known one or was new.
     pub fn merge(&mut self, orders: impl IntoIterator<Item = DrainOrder>) -> bool {
-        let mut news = false;
+        let mut changed = false;
         for order in orders {
             let known = self.orders.get(&order.target);
             if known.is_none_or(|k| k.stamp < order.stamp) {
                 self.orders.insert(order.target.clone(), order);
-                news = true;
+                changed = true;
             }
         }
-        news
+        changed
     }
 
     /// Returns the latest order for each target.
--- a/src/operator/execute.rs
+++ b/src/operator/execute.rs
@@ -11,7 +11,7 @@
     instance::Instance,
     operator::{
         language::{self, Command, Query, Source, Summary},
-        log::{GivenCommand, Reply, Status},
+        log::{LoggedCommand, Reply, Status},
         orders,
         query::{self, Group, Row, text},
         report,
@@ -26,12 +26,12 @@
 };
 
 /// Timeout for another instance's answer to a query.
-const ASK_TIMEOUT: Duration = Duration::from_millis(1_500);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Rows in a reply if the query has no `limit`.
 const DEFAULT_LIMIT: usize = 200;
 const MAX_LIMIT: usize = 10_000;
 /// Characters of a command's text that are kept in the command log.
-const TEXT_KEPT: usize = 200;
+const MAX_LOGGED_CHARS: usize = 200;
 
 /// The authenticated operator who sent a command.
 #[derive(Clone, Debug, PartialEq)]
@@ -39,7 +39,7 @@
     /// Their name in the configuration.
     pub name: Name,
     /// Their permission.
-    pub may: Permission,
+    pub permission: Permission,
 }
 
 /// The instances' parts of an answer, and the instances whose part is missing.
@@ -62,30 +62,30 @@
         Ok(command) => command,
         Err(error) => return Reply::new(Status::BadInput, error.to_string()),
     };
-    if command.only_asks() {
-        return ask(instance, command).await;
+    if command.is_read_only() {
+        return run_read_only(instance, command).await;
     }
-    if caller.may < Permission::Order {
+    if caller.permission < Permission::Order {
         return Reply::new(Status::Refused, "this key is for asking only");
     }
-    if let Some(given) = instance.commands.find(id) {
-        return given.reply;
+    if let Some(logged) = instance.commands.find(id) {
+        return logged.reply;
     }
-    let reply = orders::carry_out(instance, caller, id, command).await;
+    let reply = orders::execute_order(instance, caller, id, command).await;
     log::info!("command {id} by {}: {:?}", caller.name, reply.status);
-    instance.commands.add(GivenCommand {
+    instance.commands.add(LoggedCommand {
         id: id.to_owned(),
         by: caller.name.clone(),
         at_s: unix_s(),
-        text: text.chars().take(TEXT_KEPT).collect(),
+        text: text.chars().take(MAX_LOGGED_CHARS).collect(),
         reply: reply.clone(),
     });
     reply
 }
 
-async fn ask<S: Store>(instance: &Arc<Instance<S>>, command: Command) -> Reply {
+async fn run_read_only<S: Store>(instance: &Arc<Instance<S>>, command: Command) -> Reply {
     match command {
-        Command::Query(query) => answer(instance, query).await,
+        Command::Query(query) => execute_query(instance, query).await,
         Command::Why(id) => {
             let gathered = gather(instance, &Command::Why(id).to_string()).await;
             let rows = rows_of(&gathered);
@@ -102,12 +102,12 @@
     }
 }
 
-async fn answer<S: Store>(instance: &Arc<Instance<S>>, query: Query) -> Reply {
-    let gathered = if query::is_spread(query.source) {
+async fn execute_query<S: Store>(instance: &Arc<Instance<S>>, query: Query) -> Reply {
+    let gathered = if query::is_per_instance(query.source) {
         gather(instance, &Command::Query(query.clone()).to_string()).await
     } else {
         Gathered {
-            parts: vec![query::part(instance, &query).await],
+            parts: vec![query::run(instance, &query).await],
             missing: Vec::new(),
         }
     };
@@ -116,19 +116,19 @@
         Some(summary) => summary_rows(&query, summary, &gathered),
     };
     if query.source == Source::Pools && query.summary.is_none() {
-        add_unseen_pools(instance, &mut rows);
+        add_idle_pools(instance, &mut rows);
     }
-    order(&mut rows, &query);
+    sort_rows(&mut rows, &query);
     let limit = query.limit.unwrap_or(DEFAULT_LIMIT).min(MAX_LIMIT);
-    let over = rows.len().saturating_sub(limit) as u64;
+    let excess = rows.len().saturating_sub(limit) as u64;
     rows.truncate(limit);
     let mut reply = reply(rows, gathered, "");
-    reply.left_out += over;
+    reply.left_out += excess;
     reply
 }
 
 /// Adds rows for pools that no leader reported because they have had no requests yet; their leader is known anyway.
-fn add_unseen_pools<S: Store>(instance: &Instance<S>, rows: &mut Vec<Row>) {
+fn add_idle_pools<S: Store>(instance: &Instance<S>, rows: &mut Vec<Row>) {
     for (pool, leader) in query::pool_leaders(instance) {
         if rows.iter().any(|r| text(r.get("pool")) == pool) {
             continue;
@@ -150,14 +150,15 @@
 }
 
 /// Runs a command's text on every instance, this one included, and collects the parts.
-pub async fn gather<S: Store>(instance: &Arc<Instance<S>>, question: &str) -> Gathered {
+pub async fn gather<S: Store>(instance: &Arc<Instance<S>>, command_text: &str) -> Gathered {
     let view = instance.gossip.view();
-    let away = view.others().cloned();
-    let asked = away.map(|member| ask_one(instance, member, question.to_owned()));
-    let (own, answers) = tokio::join!(query::answer_part(instance, question), join_all(asked));
+    let other_members = view.others().cloned();
+    let calls =
+        other_members.map(|member| query_instance(instance, member, command_text.to_owned()));
+    let (own, answers) = tokio::join!(query::answer_part(instance, command_text), join_all(calls));
     let mut gathered = Gathered {
         parts: vec![own],
-        missing: unaskable(&view),
+        missing: unreachable_instances(&view),
     };
     for answer in answers {
         match answer {
@@ -169,27 +170,27 @@
 }
 
 /// Instances that may hold rows but cannot be queried: dead ones, and listed addresses that were never reached.
-fn unaskable(view: &View) -> Vec<String> {
+fn unreachable_instances(view: &View) -> Vec<String> {
     let dead = view.members.iter().filter(|m| m.liveness == Liveness::Dead);
     let dead = dead.map(|m| m.info.name.to_string());
     dead.chain(view.unmet.iter().map(ToString::to_string))
         .collect()
 }
 
-async fn ask_one<S: Store>(
+async fn query_instance<S: Store>(
     instance: &Arc<Instance<S>>,
     member: Member,
-    question: String,
+    command_text: String,
 ) -> Result<QueryPart, String> {
     let addr = member.info.peer_addr;
     let call = instance
         .peers
-        .call(addr, ASK_TIMEOUT, |client, context| async move {
-            client.query(context, question).await
+        .call(addr, QUERY_TIMEOUT, |client, context| async move {
+            client.query(context, command_text).await
         });
-    let answered = tokio::time::timeout(ASK_TIMEOUT, call).await;
+    let outcome = tokio::time::timeout(QUERY_TIMEOUT, call).await;
     let name = || member.info.name.to_string();
-    answered.map_err(|_| name())?.map_err(|_| name())
+    outcome.map_err(|_| name())?.map_err(|_| name())
 }
 
 /// Returns the rows of all parts.
@@ -229,12 +230,12 @@
     rows.collect()
 }
 
-fn order(rows: &mut [Row], query: &Query) {
-    let Some((field, down)) = &query.order_by else {
+fn sort_rows(rows: &mut [Row], query: &Query) {
+    let Some((field, descending)) = &query.order_by else {
         return;
     };
     rows.sort_by(|a, b| compare(a.get(field), b.get(field)));
-    if *down {
+    if *descending {
         rows.reverse();
     }
 }
--- a/src/operator/http.rs
+++ b/src/operator/http.rs
@@ -33,9 +33,9 @@
 const MAX_BODY_BYTES: usize = 2 << 20;
 const MAX_CONNECTIONS: usize = 200;
 /// Timeout for a request's headers and, separately, for its body.
-const TIMEOUT: Duration = Duration::from_secs(10);
+const READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// Delay before the answer to a wrong key, which slows down guessing.
-const WRONG_KEY_PAUSE: Duration = Duration::from_secs(1);
+const WRONG_KEY_DELAY: Duration = Duration::from_secs(1);
 const MAX_ID_BYTES: usize = 100;
 
 /// JSON body of a command.
@@ -75,7 +75,7 @@
     // An error here means that the client disconnected.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(TIMEOUT)
+        .header_read_timeout(READ_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
@@ -126,12 +126,12 @@
     instance.metrics.text(instance.readings())
 }
 
-fn respond(status: StatusCode, kind: &'static str, text: String) -> Response<Body> {
+fn respond(status: StatusCode, content_type: &'static str, text: String) -> Response<Body> {
     let mut response = Response::new(full(text));
     *response.status_mut() = status;
     response
         .headers_mut()
-        .insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+        .insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
 
@@ -140,12 +140,12 @@
     respond(StatusCode::UNAUTHORIZED, "text/plain", text)
 }
 
-/// Returns the caller whose key the request carries. A wrong key is delayed by `WRONG_KEY_PAUSE`.
+/// Returns the caller whose key the request carries. A wrong key is delayed by `WRONG_KEY_DELAY`.
 async fn authenticate<S: Store>(instance: &Instance<S>, headers: &HeaderMap) -> Option<Caller> {
     let found = find_caller(instance, headers);
     if found.is_none() {
         instance.metrics.bad_requests.inc();
-        time::sleep(WRONG_KEY_PAUSE).await;
+        time::sleep(WRONG_KEY_DELAY).await;
     }
     found
 }
@@ -157,16 +157,16 @@
     if digest == key_digest(instance.settings.operator_key.expose()) {
         return Some(Caller {
             name: "operator-key".into(),
-            may: Permission::Order,
+            permission: Permission::Order,
         });
     }
-    let shown = hex::encode(digest);
+    let digest_hex = hex::encode(digest);
     let config = instance.config.current();
     let mut operators = config.config.operators.iter();
-    let operator = operators.find(|o| o.key_sha256.eq_ignore_ascii_case(&shown))?;
+    let operator = operators.find(|o| o.key_sha256.eq_ignore_ascii_case(&digest_hex))?;
     Some(Caller {
         name: operator.name.clone(),
-        may: operator.may,
+        permission: operator.may,
     })
 }
 
@@ -176,7 +176,7 @@
     request: Request<Incoming>,
 ) -> Response<Body> {
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
-    let Ok(Ok(body)) = time::timeout(TIMEOUT, body).await else {
+    let Ok(Ok(body)) = time::timeout(READ_TIMEOUT, body).await else {
         let text = format!("the body is longer than {MAX_BODY_BYTES} bytes, slow or cut\n");
         return respond(StatusCode::BAD_REQUEST, "text/plain", text);
     };
@@ -215,10 +215,10 @@
 
 /// Returns the state of this process as JSON, without any keys.
 async fn dump<S: Store>(instance: &Arc<Instance<S>>) -> String {
-    const SHOWN: usize = 10_000;
+    const MAX_DUMPED_REQUESTS: usize = 10_000;
     let mut ids = instance.registry.ids();
     ids.sort_unstable();
-    ids.truncate(SHOWN);
+    ids.truncate(MAX_DUMPED_REQUESTS);
     let config = instance.config.current();
     let drains = instance.config.drains();
     let settings = &instance.settings;
--- a/src/operator/language.rs
+++ b/src/operator/language.rs
@@ -235,7 +235,7 @@
 
 impl Command {
     /// Returns whether the command changes nothing, so that read permission suffices.
-    pub fn only_asks(&self) -> bool {
+    pub fn is_read_only(&self) -> bool {
         matches!(
             self,
             Self::Query(_) | Self::Why(_) | Self::ReportEvent(_) | Self::Trace
@@ -288,20 +288,20 @@
         Err(ErrMode::Backtrack(error) | ErrMode::Cut(error)) => Some(error),
         Err(ErrMode::Incomplete(_)) => None,
     };
-    let left = input.trim_start();
-    let at = text.len() - left.len();
-    let word: String = left
+    let remaining = input.trim_start();
+    let at = text.len() - remaining.len();
+    let word: String = remaining
         .split_whitespace()
         .next()
         .unwrap_or_default()
         .to_owned();
-    let expected = error.as_ref().and_then(expected_of);
+    let expected = error.as_ref().and_then(expected_from);
     let expected = expected.unwrap_or("the end of the command, or `where`, `group by`, `count`, `sum`, `percentiles`, `order by`, `limit`");
-    let expected = with_hint(&word, expected);
+    let expected = add_suggestion(&word, expected);
     Err(SyntaxError { at, word, expected })
 }
 
-fn expected_of(error: &ContextError) -> Option<&'static str> {
+fn expected_from(error: &ContextError) -> Option<&'static str> {
     error.context().find_map(|context| match context {
         StrContext::Expected(StrContextValue::Description(text)) => Some(*text),
         _ => None,
@@ -312,19 +312,19 @@
     "show", "why", "report", "trace", "drain", "undrain", "stop", "cancel", "apply", "set",
     "remove", "start", "move", "end", "order",
 ];
-const A_COMMAND: &str = "a command";
-const A_FIELD: &str = "a field";
-const A_SOURCE: &str = "what to show";
+const EXPECTED_COMMAND: &str = "a command";
+const EXPECTED_FIELD: &str = "a field";
+const EXPECTED_SOURCE: &str = "what to show";
 
-fn with_hint(word: &str, expected: &'static str) -> String {
+fn add_suggestion(word: &str, expected: &'static str) -> String {
     let sources = || SOURCES.iter().map(|(name, _)| *name);
     match expected {
-        A_COMMAND => format!(
+        EXPECTED_COMMAND => format!(
             "{expected}; {}",
             suggestion(word, VERBS.into_iter().chain(sources()))
         ),
-        A_FIELD => format!("{expected}; {}", suggestion(word, FIELDS)),
-        A_SOURCE => format!("{expected}; {}", suggestion(word, sources())),
+        EXPECTED_FIELD => format!("{expected}; {}", suggestion(word, FIELDS)),
+        EXPECTED_SOURCE => format!("{expected}; {}", suggestion(word, sources())),
         other => other.to_owned(),
     }
 }
@@ -359,7 +359,7 @@
     &input[..end.unwrap_or(input.len())]
 }
 
-fn take_word<'i>(input: &mut &'i str) -> Parsed<&'i str> {
+fn consume_word<'i>(input: &mut &'i str) -> Parsed<&'i str> {
     let word = peek_word(input);
     *input = &input[word.len()..];
     multispace0.parse_next(input)?;
@@ -369,25 +369,25 @@
 fn command(input: &mut &str) -> Parsed<Command> {
     let verb = peek_word(input);
     if let Some((_, source)) = SOURCES.iter().find(|(name, _)| *name == verb) {
-        take_word(input)?;
+        consume_word(input)?;
         return query(input, *source).map(Command::Query);
     }
     if !VERBS.contains(&verb) {
-        return fail(A_COMMAND);
+        return fail(EXPECTED_COMMAND);
     }
-    take_word(input)?;
+    consume_word(input)?;
     match verb {
         "show" => show(input),
         "why" => id(input).map(Command::Why),
         "report" => {
-            word_or(input, "event", "`event` and its name")?;
+            require_keyword(input, "event", "`event` and its name")?;
             name(input).map(Command::ReportEvent)
         }
         "trace" => Ok(Command::Trace),
         "drain" => place(input).map(|p| Command::Drain(p, true)),
         "undrain" => place(input).map(|p| Command::Drain(p, false)),
         "stop" => {
-            word_or(input, "instance", "`instance` and its name")?;
+            require_keyword(input, "instance", "`instance` and its name")?;
             name(input).map(Command::StopInstance)
         }
         "cancel" => id(input).map(Command::Cancel),
@@ -395,19 +395,19 @@
         "set" => set(input),
         "remove" => remove(input),
         "start" => {
-            word_or(input, "event", "`event` and its name")?;
+            require_keyword(input, "event", "`event` and its name")?;
             name(input).map(Command::StartEvent)
         }
         "move" => move_event(input),
         "end" => {
-            word_or(input, "event", "`event` and its name")?;
+            require_keyword(input, "event", "`event` and its name")?;
             name(input).map(Command::EndEvent)
         }
         _ => endpoint_order(input),
     }
 }
 
-fn word_or(input: &mut &str, word: &'static str, expected: &'static str) -> Parsed<()> {
+fn require_keyword(input: &mut &str, word: &'static str, expected: &'static str) -> Parsed<()> {
     match keyword(word).parse_next(input) {
         Ok(()) => Ok(()),
         Err(_) => fail(expected),
@@ -417,9 +417,9 @@
 fn show(input: &mut &str) -> Parsed<Command> {
     let word = peek_word(input);
     let Some((_, source)) = SOURCES.iter().find(|(name, _)| *name == word) else {
-        return fail(A_SOURCE);
+        return fail(EXPECTED_SOURCE);
     };
-    take_word(input)?;
+    consume_word(input)?;
     query(input, *source).map(Command::Query)
 }
 
@@ -439,7 +439,7 @@
         }
     }
     if opt(keyword("group")).parse_next(input)?.is_some() {
-        word_or(input, "by", "`by` and a field")?;
+        require_keyword(input, "by", "`by` and a field")?;
         query.group_by = separated(1.., field, (literal(","), multispace0)).parse_next(input)?;
         query.summary = Some(Summary::Count);
     }
@@ -447,13 +447,13 @@
         query.summary = Some(summary);
     }
     if opt(keyword("order")).parse_next(input)?.is_some() {
-        word_or(input, "by", "`by` and a field")?;
+        require_keyword(input, "by", "`by` and a field")?;
         let field = field(input)?;
-        let down = opt(keyword("desc")).parse_next(input)?.is_some();
-        if !down {
+        let descending = opt(keyword("desc")).parse_next(input)?.is_some();
+        if !descending {
             opt(keyword("asc")).parse_next(input)?;
         }
-        query.order_by = Some((field, down));
+        query.order_by = Some((field, descending));
     }
     if opt(keyword("limit")).parse_next(input)?.is_some() {
         query.limit = Some(number(input)? as usize);
@@ -463,13 +463,13 @@
 
 fn summary(input: &mut &str) -> Parsed<Summary> {
     match peek_word(input) {
-        "count" => take_word(input).map(|_| Summary::Count),
+        "count" => consume_word(input).map(|_| Summary::Count),
         "sum" => {
-            take_word(input)?;
+            consume_word(input)?;
             field(input).map(Summary::Sum)
         }
         "percentiles" => {
-            take_word(input)?;
+            consume_word(input)?;
             field(input).map(Summary::Percentiles)
         }
         _ => Err(ErrMode::Backtrack(ContextError::new())),
@@ -502,9 +502,9 @@
 fn field(input: &mut &str) -> Parsed<String> {
     let word = peek_word(input);
     if !FIELDS.contains(&word) {
-        return fail(A_FIELD);
+        return fail(EXPECTED_FIELD);
     }
-    take_word(input).map(str::to_owned)
+    consume_word(input).map(str::to_owned)
 }
 
 fn is_name_char(c: char) -> bool {
@@ -547,11 +547,11 @@
 fn place(input: &mut &str) -> Parsed<Place> {
     match peek_word(input) {
         "endpoint" => {
-            take_word(input)?;
+            consume_word(input)?;
             name(input).map(Place::Endpoint)
         }
         "hall" => {
-            take_word(input)?;
+            consume_word(input)?;
             name(input).map(Place::Hall)
         }
         _ => fail("`endpoint` or `hall`, and its name"),
@@ -562,7 +562,7 @@
     if opt(keyword("at")).parse_next(input)?.is_none() {
         return Ok(None);
     }
-    word_or(input, "version", "`version` and a number")?;
+    require_keyword(input, "version", "`version` and a number")?;
     number(input).map(Some)
 }
 
@@ -608,22 +608,22 @@
             "one of policy, hall, tier, organisation, operator, pool, service, endpoint, event",
         );
     }
-    take_word(input).map(str::to_owned)
+    consume_word(input).map(str::to_owned)
 }
 
 fn move_event(input: &mut &str) -> Parsed<Command> {
-    word_or(input, "event", "`event` and its name")?;
+    require_keyword(input, "event", "`event` and its name")?;
     let event = name(input)?;
-    word_or(input, "to", "`to` and seconds since 1970")?;
+    require_keyword(input, "to", "`to` and seconds since 1970")?;
     let at_s = number(input)?;
     Ok(Command::MoveEvent(event, at_s))
 }
 
 fn endpoint_order(input: &mut &str) -> Parsed<Command> {
-    word_or(input, "endpoint", "`endpoint` and its name")?;
+    require_keyword(input, "endpoint", "`endpoint` and its name")?;
     let endpoint = name(input)?;
-    let order = match take_word(input)? {
-        "load" => match take_word(input)? {
+    let order = match consume_word(input)? {
+        "load" => match consume_word(input)? {
             "model" => EndpointOrder::LoadModel(name(input)?),
             "adapter" => EndpointOrder::LoadAdapter(name(input)?),
             "version" => EndpointOrder::LoadVersion(name(input)?),
@@ -676,8 +676,12 @@
             Some(Summary::Percentiles(field)) => write!(f, " percentiles {field}")?,
             None => {}
         }
-        if let Some((field, down)) = &self.order_by {
-            write!(f, " order by {field}{}", if *down { " desc" } else { "" })?;
+        if let Some((field, descending)) = &self.order_by {
+            write!(
+                f,
+                " order by {field}{}",
+                if *descending { " desc" } else { "" }
+            )?;
         }
         if let Some(limit) = self.limit {
             write!(f, " limit {limit}")?;
--- a/src/operator/log.rs
+++ b/src/operator/log.rs
@@ -10,11 +10,11 @@
 use crate::prelude::Name;
 
 /// Commands kept; the oldest is evicted first.
-const KEPT: usize = 2_000;
+const MAX_COMMANDS: usize = 2_000;
 
 /// A logged command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct GivenCommand {
+pub struct LoggedCommand {
     /// Its id; a repeated command with this id gets the logged reply.
     pub id: String,
     /// The operator who sent it.
@@ -80,28 +80,28 @@
 /// The most recent commands received by this instance.
 #[derive(Debug, Default)]
 pub struct CommandLog {
-    given: Mutex<VecDeque<GivenCommand>>,
+    commands: Mutex<VecDeque<LoggedCommand>>,
 }
 
 impl CommandLog {
     /// Adds a command and evicts the oldest if the log is full.
-    pub fn add(&self, command: GivenCommand) {
-        let mut given = self.given.lock().unwrap_or_else(PoisonError::into_inner);
-        if given.len() == KEPT {
-            given.pop_front();
+    pub fn add(&self, command: LoggedCommand) {
+        let mut commands = self.commands.lock().unwrap_or_else(PoisonError::into_inner);
+        if commands.len() == MAX_COMMANDS {
+            commands.pop_front();
         }
-        given.push_back(command);
+        commands.push_back(command);
     }
 
     /// Returns the command with that id, if it is still in the log.
-    pub fn find(&self, id: &str) -> Option<GivenCommand> {
-        let given = self.given.lock().unwrap_or_else(PoisonError::into_inner);
-        given.iter().find(|c| c.id == id).cloned()
+    pub fn find(&self, id: &str) -> Option<LoggedCommand> {
+        let commands = self.commands.lock().unwrap_or_else(PoisonError::into_inner);
+        commands.iter().find(|c| c.id == id).cloned()
     }
 
     /// Returns all logged commands, the oldest first.
-    pub fn snapshot(&self) -> Vec<GivenCommand> {
-        let given = self.given.lock().unwrap_or_else(PoisonError::into_inner);
-        given.iter().cloned().collect()
+    pub fn snapshot(&self) -> Vec<LoggedCommand> {
+        let commands = self.commands.lock().unwrap_or_else(PoisonError::into_inner);
+        commands.iter().cloned().collect()
     }
 }
--- a/src/operator/orders.rs
+++ b/src/operator/orders.rs
@@ -35,17 +35,17 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
-const WRITE_TRIES: u32 = 5;
+const MAX_WRITE_ATTEMPTS: u32 = 5;
 /// How long an accepted change waits to be in force on all instances before the operator is answered.
-const IN_FORCE_WAIT: Duration = Duration::from_secs(3);
-const IN_FORCE_POLL: Duration = Duration::from_millis(25);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(3);
+const IN_FORCE_POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Key of the stored object with the last fence number and the recent weight loads, which are rate limited.
 const FENCE_KEY: &str = "fences";
 
 /// Executes a command that changes state.
 ///
 /// `id` identifies the command; repeating a configuration change under the same id does not apply it twice.
-pub async fn carry_out<S: Store>(
+pub async fn execute_order<S: Store>(
     instance: &Arc<Instance<S>>,
     caller: &Caller,
     id: &str,
@@ -56,7 +56,7 @@
         caller,
         id,
     };
-    let what = command.to_string();
+    let description = command.to_string();
     match command {
         Command::Drain(place, draining) => drain(instance, caller, place, draining).await,
         Command::StopInstance(name) => stop_instance(instance, &name).await,
@@ -74,12 +74,16 @@
         } => change.remove(&kind, &name, at_version).await,
         Command::StartEvent(name) => {
             let now_s = unix_s();
-            change.event(&name, &what, |e| e.starts_at_s = now_s).await
+            change
+                .event(&name, &description, |e| e.starts_at_s = now_s)
+                .await
         }
         Command::MoveEvent(name, at_s) => {
-            change.event(&name, &what, |e| e.starts_at_s = at_s).await
+            change
+                .event(&name, &description, |e| e.starts_at_s = at_s)
+                .await
         }
-        Command::EndEvent(name) => change.event(&name, &what, end_now).await,
+        Command::EndEvent(name) => change.event(&name, &description, end_now).await,
         Command::Order(endpoint, order) => order_endpoint(instance, &endpoint, &order).await,
         _ => Reply::new(Status::BadInput, "this is no order"),
     }
@@ -128,12 +132,12 @@
             .drains()
             .next(target, draining, caller.name.clone(), instance.incarnation);
     instance.config.merge_drains(vec![order]);
-    let (known, of) = spread_drains(instance).await;
+    let (reached, total) = broadcast_drains(instance).await;
     let verb = if draining { "draining" } else { "taking work" };
     let mut reply = done(format!(
-        "{place} is {verb}; in force on {known} of {of} instances"
+        "{place} is {verb}; in force on {reached} of {total} instances"
     ));
-    if known < of {
+    if reached < total {
         reply
             .message
             .push_str("; the others learn it when they answer again");
@@ -143,7 +147,7 @@
 
 /// Sends the drain orders to all other instances. Returns how many instances have them, this one included, and the
 /// number of instances.
-async fn spread_drains<S: Store>(instance: &Arc<Instance<S>>) -> (usize, usize) {
+async fn broadcast_drains<S: Store>(instance: &Arc<Instance<S>>) -> (usize, usize) {
     let orders: Vec<_> = instance.config.drains().orders().cloned().collect();
     let view = instance.gossip.view();
     let calls = view.others().map(|member| {
@@ -155,8 +159,8 @@
             })
     });
     let answers = join_all(calls).await;
-    let known = answers.iter().filter(|a| a.is_ok()).count();
-    (known + 1, answers.len() + 1)
+    let reached = answers.iter().filter(|a| a.is_ok()).count();
+    (reached + 1, answers.len() + 1)
 }
 
 fn find_member<S: Store>(instance: &Instance<S>, name: &str) -> Result<Member, Reply> {
@@ -228,10 +232,10 @@
 }
 
 /// Result of one attempt to write a change.
-enum Round {
-    Ended(Reply),
+enum WriteAttempt {
+    Finished(Reply),
     /// Nothing was written; the change can be retried.
-    Again,
+    Retry,
     /// The write may have taken effect.
     InDoubt,
 }
@@ -240,13 +244,14 @@
     async fn apply(&self, at_version: Option<u64>, toml: &str) -> Reply {
         let config = match check::parse(toml) {
             Ok(config) => config,
-            Err(faults) => return bad_config(&faults),
+            Err(faults) => return invalid_config(&faults),
         };
-        let what = "the whole configuration";
+        let description = "the whole configuration";
         // A whole document is based on the version its author read, so a change made since then must not be
         // overwritten.
-        let whole = at_version.or(Some(self.instance.config.current().version));
-        self.commit(whole, what, |_| Ok(config.clone())).await
+        let base_version = at_version.or(Some(self.instance.config.current().version));
+        self.commit(base_version, description, |_| Ok(config.clone()))
+            .await
     }
 
     async fn set(&self, kind: &str, at_version: Option<u64>, toml: &str) -> Reply {
@@ -295,7 +300,7 @@
             .await
     }
 
-    async fn event(&self, name: &str, what: &str, edit_event: impl Fn(&mut Event)) -> Reply {
+    async fn event(&self, name: &str, description: &str, edit_event: impl Fn(&mut Event)) -> Reply {
         let edit = |base: &Versioned| {
             let mut config = Config::clone(&base.config);
             let known: Vec<String> = config.events.iter().map(|e| e.name.to_string()).collect();
@@ -307,24 +312,27 @@
             edit_event(event);
             Ok(config)
         };
-        self.commit(None, what, edit).await
+        self.commit(None, description, edit).await
     }
 
     async fn commit(
         &self,
         at_version: Option<u64>,
-        what: &str,
+        description: &str,
         edit: impl Fn(&Versioned) -> Result<Config, String>,
     ) -> Reply {
         let mut in_doubt = false;
-        for attempt in 0..WRITE_TRIES {
+        for attempt in 0..MAX_WRITE_ATTEMPTS {
             if attempt > 0 {
                 time::sleep(retry_delay(attempt)).await;
             }
-            match self.round(at_version, what, &edit, in_doubt).await {
-                Round::Ended(reply) => return reply,
-                Round::Again => {}
-                Round::InDoubt => in_doubt = true,
+            match self
+                .try_commit(at_version, description, &edit, in_doubt)
+                .await
+            {
+                WriteAttempt::Finished(reply) => return reply,
+                WriteAttempt::Retry => {}
+                WriteAttempt::InDoubt => in_doubt = true,
             }
         }
         if in_doubt {
@@ -339,18 +347,18 @@
     }
 
     /// Reads the stored configuration, applies `edit` and writes the result if the version is unchanged.
-    async fn round(
+    async fn try_commit(
         &self,
         at_version: Option<u64>,
-        what: &str,
+        description: &str,
         edit: &impl Fn(&Versioned) -> Result<Config, String>,
         in_doubt: bool,
-    ) -> Round {
+    ) -> WriteAttempt {
         let Ok(read) = self.instance.store.read(CONFIG_KEY).await else {
             return if in_doubt {
-                Round::InDoubt
+                WriteAttempt::InDoubt
             } else {
-                Round::Again
+                WriteAttempt::Retry
             };
         };
         let expected = read.as_ref().map_or(0, |o| o.version);
@@ -358,31 +366,31 @@
             StoredConfig::read(&o.value)
         }) {
             Ok(stored) => stored,
-            Err(error) => return Round::Ended(refused(error.to_string())),
+            Err(error) => return WriteAttempt::Finished(refused(error.to_string())),
         };
         if let Some(entry) = stored.history.iter().find(|e| e.command == self.id) {
-            return Round::Ended(self.accepted(&stored, entry.version).await);
+            return WriteAttempt::Finished(self.accepted(&stored, entry.version).await);
         }
-        if let Some(reply) = raced(&stored, at_version) {
-            return Round::Ended(reply);
+        if let Some(reply) = version_conflict(&stored, at_version) {
+            return WriteAttempt::Finished(reply);
         }
         let next = match self.next_version(&stored, edit) {
             Ok(next) => next,
-            Err(reply) => return Round::Ended(reply),
+            Err(reply) => return WriteAttempt::Finished(reply),
         };
         stored.set(&next);
-        self.add_history(&mut stored, what);
+        self.add_history(&mut stored, description);
         match self
             .instance
             .store
             .write(CONFIG_KEY, stored.write(), expected)
             .await
         {
-            Ok(_) => Round::Ended(self.accepted(&stored, stored.version).await),
-            Err(WriteError::Conflict | WriteError::NotWritten { .. }) => Round::Again,
+            Ok(_) => WriteAttempt::Finished(self.accepted(&stored, stored.version).await),
+            Err(WriteError::Conflict | WriteError::NotWritten { .. }) => WriteAttempt::Retry,
             // The next attempt reads the object again. Either the change is in the history under this id, or the
             // same write is repeated, which can succeed only if the first never takes effect.
-            Err(WriteError::Unknown { .. }) => Round::InDoubt,
+            Err(WriteError::Unknown { .. }) => WriteAttempt::InDoubt,
         }
     }
 
@@ -393,37 +401,38 @@
     ) -> Result<Versioned, Reply> {
         let base = stored.versioned().map_err(|e| refused(e.to_string()))?;
         let config = edit(&base).map_err(|e| Reply::new(Status::BadInput, e))?;
-        check::verify(&config).map_err(|faults| bad_config(&faults))?;
+        check::verify(&config).map_err(|faults| invalid_config(&faults))?;
         Ok(Versioned::from_config(stored.version + 1, config))
     }
 
-    fn add_history(&self, stored: &mut StoredConfig, what: &str) {
+    fn add_history(&self, stored: &mut StoredConfig, description: &str) {
         stored.history.push(HistoryEntry {
             version: stored.version,
             by: self.caller.name.clone(),
             at_s: unix_s(),
             command: self.id.to_owned(),
-            what: what.to_owned(),
+            what: description.to_owned(),
         });
-        let over = stored.history.len().saturating_sub(MAX_HISTORY_ENTRIES);
-        stored.history.drain(..over);
+        let excess = stored.history.len().saturating_sub(MAX_HISTORY_ENTRIES);
+        stored.history.drain(..excess);
     }
 
-    /// Installs the accepted version here and waits until all instances have it, at most `IN_FORCE_WAIT`. The reply
+    /// Installs the accepted version here and waits until all instances have it, at most `IN_FORCE_TIMEOUT`. The reply
     /// states on how many instances it is in force.
     async fn accepted(&self, stored: &StoredConfig, version: u64) -> Reply {
         if let Ok(versioned) = stored.versioned() {
             self.instance.config.install(versioned);
         }
-        let deadline = time::Instant::now() + IN_FORCE_WAIT;
+        let deadline = time::Instant::now() + IN_FORCE_TIMEOUT;
         loop {
-            let (have, of) = in_force(self.instance, version);
-            if have == of || time::Instant::now() >= deadline {
-                let message =
-                    format!("accepted as version {version}; in force on {have} of {of} instances");
+            let (up_to_date, total) = in_force(self.instance, version);
+            if up_to_date == total || time::Instant::now() >= deadline {
+                let message = format!(
+                    "accepted as version {version}; in force on {up_to_date} of {total} instances"
+                );
                 return done(message);
             }
-            time::sleep(IN_FORCE_POLL).await;
+            time::sleep(IN_FORCE_POLL_INTERVAL).await;
         }
     }
 }
@@ -437,21 +446,21 @@
 }
 
 /// Returns a refusal if the change is for another version than the stored one.
-fn raced(stored: &StoredConfig, at_version: Option<u64>) -> Option<Reply> {
-    let wanted = at_version?;
-    if wanted == stored.version {
+fn version_conflict(stored: &StoredConfig, at_version: Option<u64>) -> Option<Reply> {
+    let requested = at_version?;
+    if requested == stored.version {
         return None;
     }
     let last = stored.history.last();
     let by = last.map_or("somebody", |e| &*e.by);
-    let what = last.map_or("", |e| e.what.as_str());
+    let description = last.map_or("", |e| e.what.as_str());
     Some(refused(format!(
-        "not accepted: version {} was made by {by} ({what}), and the change is for version {wanted}",
+        "not accepted: version {} was made by {by} ({description}), and the change is for version {requested}",
         stored.version
     )))
 }
 
-fn bad_config(faults: &[check::Fault]) -> Reply {
+fn invalid_config(faults: &[check::Fault]) -> Reply {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     Reply::new(Status::BadInput, lines.join("\n"))
 }
@@ -498,9 +507,9 @@
             suggestion(name, known)
         ));
     };
-    let loads = !matches!(order, EndpointOrder::Role(_));
+    let loads_weights = !matches!(order, EndpointOrder::Role(_));
     let per_minute = current.config.policy.weight_loads_per_minute;
-    let fence = match next_fence(instance, loads.then_some(per_minute)).await {
+    let fence = match next_fence(instance, loads_weights.then_some(per_minute)).await {
         Ok(fence) => fence,
         Err(reply) => return reply,
     };
@@ -514,7 +523,7 @@
     instance: &Arc<Instance<S>>,
     loads_per_minute: Option<u32>,
 ) -> Result<u64, Reply> {
-    for attempt in 0..WRITE_TRIES {
+    for attempt in 0..MAX_WRITE_ATTEMPTS {
         if attempt > 0 {
             time::sleep(retry_delay(attempt)).await;
         }
--- a/src/operator/query.rs
+++ b/src/operator/query.rs
@@ -23,7 +23,7 @@
 /// Maximum number of rows that one instance sends.
 const MAX_ROWS: usize = 5_000;
 /// Requests processed before the task yields to others.
-const ROWS_PER_TURN: usize = 500;
+const ROWS_PER_CHUNK: usize = 500;
 /// Maximum number of groups that one instance sends.
 const MAX_GROUPS: usize = 2_000;
 const BUCKETS_PER_DOUBLING: f64 = 8.0;
@@ -86,8 +86,8 @@
 /// Runs a command's text on this instance and returns its part of the answer; empty for anything but a query.
 pub async fn answer_part<S: Store>(instance: &Arc<Instance<S>>, text: &str) -> QueryPart {
     match language::parse(text) {
-        Ok(Command::Query(query)) => part(instance, &query).await,
-        Ok(Command::Why(id)) => why(instance, id).await,
+        Ok(Command::Query(query)) => run(instance, &query).await,
+        Ok(Command::Why(id)) => why_part(instance, id).await,
         Ok(Command::ReportEvent(name)) => report::event_part(instance, &name).await,
         Ok(Command::Trace) => report::trace_part(instance),
         _ => QueryPart::default(),
@@ -96,7 +96,7 @@
 
 /// Explains what this instance knows of a request as its entry instance, as its pool's leader and from the record of
 /// ended requests.
-async fn why<S: Store>(instance: &Arc<Instance<S>>, id: RequestId) -> QueryPart {
+async fn why_part<S: Store>(instance: &Arc<Instance<S>>, id: RequestId) -> QueryPart {
     let mut rows = Vec::new();
     for view in instance.registry.views_of(&[id]) {
         let mut row = held_row(instance, &view);
@@ -129,7 +129,7 @@
 }
 
 /// Runs a query on this instance.
-pub async fn part<S: Store>(instance: &Arc<Instance<S>>, query: &Query) -> QueryPart {
+pub async fn run<S: Store>(instance: &Arc<Instance<S>>, query: &Query) -> QueryPart {
     let mut collector = Collector::new(query);
     match query.source {
         Source::Queued | Source::Running => held_rows(instance, query, &mut collector).await,
@@ -147,7 +147,7 @@
 }
 
 /// Returns whether each instance has its own rows for a source, so that all must be queried.
-pub fn is_spread(source: Source) -> bool {
+pub fn is_per_instance(source: Source) -> bool {
     matches!(
         source,
         Source::Queued
@@ -260,8 +260,8 @@
     let waiting = query.source == Source::Queued;
     let config = instance.config.current();
     let ids = instance.registry.ids();
-    for turn in ids.chunks(ROWS_PER_TURN) {
-        for view in instance.registry.views_of(turn) {
+    for chunk in ids.chunks(ROWS_PER_CHUNK) {
+        for view in instance.registry.views_of(chunk) {
             if is_waiting(view.stage) != waiting {
                 continue;
             }
@@ -271,8 +271,8 @@
                 .and_then(|e| config.config.endpoint(e));
             let event = config.config.events.iter().find(|e| {
                 let now_s = crate::clock::unix_s();
-                let on = now_s >= e.starts_at_s && now_s <= e.starts_at_s + e.duration_s;
-                on && view.pool.split('@').next() == Some(&e.pool)
+                let active = now_s >= e.starts_at_s && now_s <= e.starts_at_s + e.duration_s;
+                active && view.pool.split('@').next() == Some(&e.pool)
             });
             let mut row = held_row(instance, &view);
             row["hall"] = json!(hall.map(|e| &e.hall));
@@ -319,10 +319,10 @@
     let config = instance.config.current();
     let ended = instance.recorder.snapshot();
     let now_ms = instance.clock.now_us() / 1_000;
-    for turn in ended.chunks(ROWS_PER_TURN) {
-        for request in turn {
-            let shed = request.reason.as_deref().is_some_and(|r| SHED.contains(&r));
-            if query.source == Source::Shed && !shed {
+    for chunk in ended.chunks(ROWS_PER_CHUNK) {
+        for request in chunk {
+            let is_shed = request.reason.as_deref().is_some_and(|r| SHED.contains(&r));
+            if query.source == Source::Shed && !is_shed {
                 continue;
             }
             let hall = request
@@ -386,15 +386,15 @@
 }
 
 fn command_rows<S: Store>(instance: &Instance<S>, collector: &mut Collector<'_>) {
-    for given in instance.commands.snapshot() {
+    for logged in instance.commands.snapshot() {
         collector.add(json!({
-            "id": given.id,
+            "id": logged.id,
             "instance": instance.settings.name,
-            "by": given.by,
-            "at_s": given.at_s,
-            "command": given.text,
-            "outcome": given.reply.status,
-            "what": given.reply.message,
+            "by": logged.by,
+            "at_s": logged.at_s,
+            "command": logged.text,
+            "outcome": logged.reply.status,
+            "what": logged.reply.message,
         }));
     }
 }
--- a/src/operator/report.rs
+++ b/src/operator/report.rs
@@ -30,7 +30,7 @@
     late: u64,
     not_run: BTreeMap<String, u64>,
     unknown: u64,
-    left: u64,
+    caller_left: u64,
     wasted_prefill: u64,
 }
 
@@ -45,15 +45,15 @@
             format!("there is no event `{name}`; {hint}"),
         );
     }
-    let question = Command::ReportEvent(name.to_owned()).to_string();
-    let gathered = gather(instance, &question).await;
+    let command_text = Command::ReportEvent(name.to_owned()).to_string();
+    let gathered = gather(instance, &command_text).await;
     let mut tiers: BTreeMap<String, TierCounts> = BTreeMap::new();
-    let mut slow = Vec::new();
+    let mut slow_endpoint_rows = Vec::new();
     for row in rows_of(&gathered) {
         if row.contains_key("slowness") {
-            slow.push(row);
+            slow_endpoint_rows.push(row);
         } else {
-            add(tiers.entry(text(row.get("tier"))).or_default(), &row);
+            add_row(tiers.entry(text(row.get("tier"))).or_default(), &row);
         }
     }
     let order = |name: &String| current.config.tier(name).map_or(u8::MAX, |t| t.rank);
@@ -62,7 +62,7 @@
     let rows = tiers.iter().map(|(name, counts)| tier_row(name, counts));
     let rows = rows
         .filter_map(|r| r.as_object().cloned())
-        .chain(slow)
+        .chain(slow_endpoint_rows)
         .collect();
     finish(name, rows, gathered)
 }
@@ -77,7 +77,7 @@
     }
 }
 
-fn add(counts: &mut TierCounts, row: &Row) {
+fn add_row(counts: &mut TierCounts, row: &Row) {
     let count = |field: &str| row.get(field).and_then(Value::as_u64).unwrap_or(0);
     let number = count("count");
     counts.offered += number;
@@ -88,7 +88,7 @@
             let reason = text(row.get("reason"));
             *counts.not_run.entry(reason).or_default() += number;
         }
-        "caller_left" => counts.left += number,
+        "caller_left" => counts.caller_left += number,
         _ => counts.unknown += number,
     }
     counts.wasted_prefill += count("wasted_prefill_tokens");
@@ -105,7 +105,7 @@
         "late": counts.late,
         "not_run": reasons.collect::<Vec<_>>().join(", "),
         "outcome_unknown": counts.unknown,
-        "caller_left": counts.left,
+        "caller_left": counts.caller_left,
         "wasted_prefill_tokens": counts.wasted_prefill,
     })
 }
@@ -157,17 +157,20 @@
 }
 
 async fn slow_endpoints<S: Store>(instance: &Arc<Instance<S>>, pool: &str) -> Vec<String> {
-    const SLOW: f64 = 1.5;
+    const MIN_SLOWNESS: f64 = 1.5;
     let views = instance.leaders.views().await;
-    let own = views
+    let pool_views = views
         .iter()
         .filter(|v| v.pool.split('@').next() == Some(pool));
-    let slow = own.flat_map(|v| &v.endpoints).filter(|e| e.slowness > SLOW);
-    slow.map(|e| {
-        let slowness = (e.slowness * 100.0).round() / 100.0;
-        json!({"endpoint": e.name, "slowness": slowness}).to_string()
-    })
-    .collect()
+    let slow_endpoint_rows = pool_views
+        .flat_map(|v| &v.endpoints)
+        .filter(|e| e.slowness > MIN_SLOWNESS);
+    slow_endpoint_rows
+        .map(|e| {
+            let slowness = (e.slowness * 100.0).round() / 100.0;
+            json!({"endpoint": e.name, "slowness": slowness}).to_string()
+        })
+        .collect()
 }
 
 /// Returns the recorded traffic of all instances as a trace.
--- a/src/operator/table.rs
+++ b/src/operator/table.rs
@@ -8,7 +8,7 @@
 };
 
 /// Columns that come first, in this order; the others follow by name.
-const FIRST: [&str; 8] = [
+const LEADING_COLUMNS: [&str; 8] = [
     "id",
     "name",
     "key",
@@ -29,13 +29,13 @@
     let mut rest = reply.rows.as_slice();
     while let Some(first) = rest.first() {
         let columns = columns(first);
-        let same = rest
+        let run_length = rest
             .iter()
             .take_while(|r| self::columns(r) == columns)
             .count();
-        let (table, left) = rest.split_at(same);
+        let (table, remaining) = rest.split_at(run_length);
         render_table(&mut out, &columns, table);
-        rest = left;
+        rest = remaining;
     }
     if reply.rows.is_empty() && reply.message.is_empty() {
         out.push_str("nothing\n");
@@ -51,21 +51,24 @@
 }
 
 fn with_status(reply: &Reply) -> String {
-    let word = match reply.status {
+    let label = match reply.status {
         Status::Done => return reply.message.clone(),
         Status::Refused => "refused",
         Status::BadInput => "bad input",
         Status::Unknown => "unknown",
     };
-    format!("{word}: {}", reply.message)
+    format!("{label}: {}", reply.message)
 }
 
 fn columns(row: &Row) -> Vec<&str> {
-    let first = FIRST.iter().copied().filter(|c| row.contains_key(*c));
+    let first = LEADING_COLUMNS
+        .iter()
+        .copied()
+        .filter(|c| row.contains_key(*c));
     let rest = row
         .keys()
         .map(String::as_str)
-        .filter(|c| !FIRST.contains(c));
+        .filter(|c| !LEADING_COLUMNS.contains(c));
     first.chain(rest).collect()
 }
 
@@ -82,8 +85,8 @@
             longest.unwrap_or(0).max(name.len())
         })
         .collect();
-    let heads: Vec<String> = columns.iter().map(|c| (*c).to_owned()).collect();
-    for row in std::iter::once(&heads).chain(&cells) {
+    let headers: Vec<String> = columns.iter().map(|c| (*c).to_owned()).collect();
+    for row in std::iter::once(&headers).chain(&cells) {
         let mut line = String::new();
         for (cell, width) in row.iter().zip(&widths) {
             let _ = write!(line, "{cell:<width$}  ");
