--- a/tests/cluster/operators.rs
+++ b/tests/cluster/operators.rs
@@ -1,20 +1,20 @@
-//! Operators' questions and orders, at any instance.
+//! Operators' queries and commands, sent to any instance of a cluster.
 
 use ryevalve::operator::log::Status;
 
 use crate::support::*;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn any_instance_answers_for_all_and_says_who_did_not() {
+async fn any_instance_queries_all_and_lists_those_that_did_not_answer() {
     let mut cluster = Cluster::start(Plan {
         instances: 3,
         engines: vec![slow(1, 20)],
         ..Plan::default()
     })
     .await;
-    let to: Vec<_> = cluster.instances.iter().map(|i| i.callers).collect();
+    let caller_addrs: Vec<_> = cluster.instances.iter().map(|i| i.callers).collect();
     let calls = (0..9).map(|n| Call::completion("gate", &format!("p{n}"), 400, false));
-    let sent = tokio::spawn(async move { send_all(calls.collect(), &to).await });
+    let sent = tokio::spawn(async move { send_all(calls.collect(), &caller_addrs).await });
     for instance in &cluster.instances {
         until("three to be held", async || {
             let state = instance.dump().await;
@@ -47,8 +47,8 @@
         .find(|l| l.starts_with("ryevalve_waiting{tier=\"gate\"}"));
     assert!(line.is_some_and(|l| !l.ends_with(" 0")), "{line:?}");
     let id = reply.rows[0]["id"].as_str().unwrap().to_owned();
-    // It is counted as queued where it came in before its leader has decided that it waits; until
-    // then the answer is that it is held there.
+    // The entry instance counts a request as queued before the pool's leader has decided that it waits. Until then
+    // `why` answers only that the entry instance holds it.
     until("its leader to say why it waits", async || {
         let why = cluster.instances[0].command(&format!("why {id}")).await;
         format!("{why:?}").contains("endpoints have room")
@@ -69,14 +69,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_reader_may_ask_and_not_order_and_a_wrong_key_gets_nothing() {
+async fn reader_can_query_but_not_change_and_wrong_keys_are_rejected() {
     let cluster = Cluster::start(Plan::default()).await;
     let one = &cluster.instances[0];
-    let asked = one
+    let queried = one
         .command_as(READER_KEY, "show instances", None)
         .await
         .unwrap();
-    assert_eq!(asked.rows.len(), 2);
+    assert_eq!(queried.rows.len(), 2);
     let ordered = one
         .command_as(READER_KEY, "drain endpoint agent-1", None)
         .await
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn orders_to_endpoints_carry_rising_fences_within_the_weight_stores_rate() {
+async fn endpoint_orders_carry_increasing_fences_and_weight_loads_are_rate_limited() {
     let cluster = Cluster::start(Plan {
         extra_toml: "[policy]\nweight_loads_per_minute = 2\n".to_owned(),
         ..Plan::default()
@@ -142,11 +142,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_instance_is_stopped_through_another() {
+async fn instance_can_be_stopped_through_another() {
     let mut cluster = Cluster::start(Plan::default()).await;
     let reply = cluster.instances[0].command("stop instance i2").await;
     assert_eq!(reply.status, Status::Done, "{reply:?}");
     assert_eq!(cluster.instances[1].wait_exit().await, Some(0));
-    let nobody = cluster.instances[0].command("stop instance i7").await;
-    assert_eq!(nobody.status, Status::Refused);
+    let unknown_instance = cluster.instances[0].command("stop instance i7").await;
+    assert_eq!(unknown_instance.status, Status::Refused);
 }
--- a/tests/properties/language.rs
+++ b/tests/properties/language.rs
@@ -1,4 +1,4 @@
-//! The operators' language: never panics, and prints what it parsed.
+//! Parser of the operators' language: no input makes it panic, and parsed commands survive formatting.
 
 use proptest::prelude::*;
 use ryevalve::operator::language::{FIELDS, SOURCES, parse};
@@ -13,8 +13,8 @@
 
 fn command() -> impl Strategy<Value = String> {
     let source = prop::sample::select(SOURCES.to_vec()).prop_map(|(n, _)| n);
-    let compare = prop::sample::select(vec!["=", "!=", "<", "<=", ">", ">="]);
-    let condition = (field(), compare, name()).prop_map(|(f, c, v)| format!("{f} {c} {v}"));
+    let operator = prop::sample::select(vec!["=", "!=", "<", "<=", ">", ">="]);
+    let condition = (field(), operator, name()).prop_map(|(f, c, v)| format!("{f} {c} {v}"));
     let conditions = prop::collection::vec(condition, 0..3);
     let summary = prop_oneof![
         Just(String::new()),
@@ -56,27 +56,27 @@
     #![proptest_config(ProptestConfig { cases: 500, rng_seed: proptest::test_runner::RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_text_is_answered(text in "\\PC{0,80}") {
+    fn parsing_arbitrary_text_does_not_panic(text in "\\PC{0,80}") {
         let _ = parse(&text);
     }
 
     #[test]
-    fn what_is_parsed_prints_to_the_same(text in command()) {
+    fn formatted_command_parses_to_an_equal_command(text in command()) {
         let parsed = parse(&text).map_err(|e| TestCaseError::fail(format!("{text}: {e}")))?;
         prop_assert_eq!(parse(&parsed.to_string()), Ok(parsed));
     }
 
     #[test]
-    fn a_cut_command_says_where(text in command(), at in 0..60_usize) {
-        let cut: String = text.chars().take(at).collect();
-        if let Err(error) = parse(&cut) {
-            prop_assert!(error.at <= cut.len() && !error.expected.is_empty());
+    fn truncated_command_gives_a_position_and_an_expectation(text in command(), at in 0..60_usize) {
+        let truncated: String = text.chars().take(at).collect();
+        if let Err(error) = parse(&truncated) {
+            prop_assert!(error.at <= truncated.len() && !error.expected.is_empty());
         }
     }
 }
 
 #[test]
-fn errors_name_the_word_and_the_nearest() {
+fn syntax_errors_name_the_unexpected_word_and_what_was_expected() {
     let table = [
         ("queud count", "queud", "did you mean `queued`?"),
         ("drain endpont e", "endpont", "`endpoint` or `hall`"),
