--- a/src/operator/orders.rs
+++ b/src/operator/orders.rs
@@ -44,7 +44,8 @@
 
 /// Executes a command that changes state.
 ///
-/// `id` identifies the command; repeating a configuration change under the same id does not apply it twice.
+/// `id` identifies the command; a configuration change whose id is in the stored history
+/// is not applied again.
 pub async fn execute_order<S: Store>(
     instance: &Arc<Instance<S>>,
     caller: &Caller,
