--- a/src/operator/language.rs
+++ b/src/operator/language.rs
@@ -1,6 +1,6 @@
 //! The operators' language: its grammar, its parser and its text form.
 //!
-//! The grammar stands in docs/OPERATIONS.md. What is parsed prints as a text that parses to the same.
+//! The grammar is documented in docs/OPERATIONS.md. A parsed command formats to a text that parses to an equal command.
 
 use std::fmt;
 
@@ -17,7 +17,7 @@
     prelude::RequestId,
 };
 
-/// What is asked about.
+/// What a query lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     /// Requests that wait.
@@ -26,11 +26,11 @@
     Running,
     /// Requests that were shed.
     Shed,
-    /// Requests that ended, in whatever way.
+    /// Requests that ended, with any outcome.
     Ended,
     /// Endpoints, as their pools' leaders see them.
     Endpoints,
-    /// Instances, as the one that answers sees them.
+    /// Instances, in the membership view of the answering instance.
     Instances,
     /// Events.
     Events,
@@ -46,7 +46,7 @@
     Commands,
 }
 
-/// Names of sources, as they are written.
+/// Names of the sources in the language.
 pub const SOURCES: [(&str, Source); 12] = [
     ("queued", Source::Queued),
     ("running", Source::Running),
@@ -103,7 +103,7 @@
     "waiting",
 ];
 
-/// How a field is compared.
+/// Comparison operator of a condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Comparison {
     /// `=`
@@ -125,16 +125,16 @@
 pub struct Condition {
     /// The field.
     pub field: String,
-    /// How it is compared.
+    /// The operator.
     pub comparison: Comparison,
-    /// With what.
+    /// The value to compare with, as written.
     pub value: String,
 }
 
-/// What is made of the rows of a group.
+/// Aggregate over the rows of a group.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Summary {
-    /// Their number.
+    /// Number of rows.
     Count,
     /// The sum of a field.
     Sum(String),
@@ -142,24 +142,24 @@
     Percentiles(String),
 }
 
-/// A question.
+/// A query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
-    /// What it is about.
+    /// What it lists.
     pub source: Source,
-    /// Which rows; all must hold.
+    /// Conditions on the rows; all must hold.
     pub conditions: Vec<Condition>,
     /// Fields to group by.
     pub group_by: Vec<String>,
-    /// What to make of each group; none lists the rows.
+    /// Aggregate for each group; without one the rows are listed.
     pub summary: Option<Summary>,
-    /// Field to order by, and whether from the largest.
+    /// Field to order by, and whether in descending order.
     pub order_by: Option<(String, bool)>,
-    /// The most rows to show.
+    /// Maximum number of rows to show.
     pub limit: Option<usize>,
 }
 
-/// What a drain is about.
+/// What a drain applies to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Place {
     /// One endpoint.
@@ -184,15 +184,15 @@
 /// A command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Asks.
+    /// Lists or summarises rows.
     Query(Query),
-    /// Asks why a request waits or how it ended.
+    /// Explains why a request waits or how it ended.
     Why(RequestId),
-    /// Asks for the report of an event.
+    /// Reports on an event.
     ReportEvent(String),
-    /// Asks for the recorded traffic as a trace.
+    /// Returns the recorded traffic as a trace.
     Trace,
-    /// Keeps new work from a place, or lets it in again.
+    /// Drains an endpoint or hall (`true`), or sends it new requests again (`false`).
     Drain(Place, bool),
     /// Stops an instance as planned.
     StopInstance(String),
@@ -223,19 +223,19 @@
         /// Only if this version is in force.
         at_version: Option<u64>,
     },
-    /// Lets an event start now.
+    /// Starts an event now.
     StartEvent(String),
     /// Moves an event's start, in seconds since 1970.
     MoveEvent(String, u64),
     /// Ends an event now.
     EndEvent(String),
-    /// Gives an endpoint an order.
+    /// Sends an order to an endpoint.
     Order(String, EndpointOrder),
 }
 
 impl Command {
-    /// Returns whether it only asks.
-    pub fn only_asks(&self) -> bool {
+    /// Returns whether the command changes nothing, so that read permission suffices.
+    pub fn is_read_only(&self) -> bool {
         matches!(
             self,
             Self::Query(_) | Self::Why(_) | Self::ReportEvent(_) | Self::Trace
@@ -243,12 +243,12 @@
     }
 }
 
-/// A text that is no command.
+/// Syntax error in a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SyntaxError {
-    /// Where it stops making sense, in bytes from the start.
+    /// Position of the unexpected word, in bytes from the start.
     pub at: usize,
-    /// The word there.
+    /// The unexpected word; empty at the end of the text.
     pub word: String,
     /// What was expected.
     pub expected: String,
@@ -267,10 +267,10 @@
 
 type Parsed<T> = Result<T, ErrMode<ContextError>>;
 
-/// Reads a command.
+/// Parses a command.
 ///
 /// # Errors
-/// Points at the word that makes no sense, with what was expected.
+/// Returns the position of the first unexpected word, with what was expected there.
 ///
 /// ```
 /// use ryevalve::operator::language::parse;
@@ -288,20 +288,20 @@
         Err(ErrMode::Backtrack(error) | ErrMode::Cut(error)) => Some(error),
         Err(ErrMode::Incomplete(_)) => None,
     };
-    let left = input.trim_start();
-    let at = text.len() - left.len();
-    let word: String = left
+    let remaining = input.trim_start();
+    let at = text.len() - remaining.len();
+    let word: String = remaining
         .split_whitespace()
         .next()
         .unwrap_or_default()
         .to_owned();
-    let expected = error.as_ref().and_then(expected_of);
+    let expected = error.as_ref().and_then(expected_from);
     let expected = expected.unwrap_or("the end of the command, or `where`, `group by`, `count`, `sum`, `percentiles`, `order by`, `limit`");
-    let expected = with_hint(&word, expected);
+    let expected = add_suggestion(&word, expected);
     Err(SyntaxError { at, word, expected })
 }
 
-fn expected_of(error: &ContextError) -> Option<&'static str> {
+fn expected_from(error: &ContextError) -> Option<&'static str> {
     error.context().find_map(|context| match context {
         StrContext::Expected(StrContextValue::Description(text)) => Some(*text),
         _ => None,
@@ -312,19 +312,19 @@
     "show", "why", "report", "trace", "drain", "undrain", "stop", "cancel", "apply", "set",
     "remove", "start", "move", "end", "order",
 ];
-const A_COMMAND: &str = "a command";
-const A_FIELD: &str = "a field";
-const A_SOURCE: &str = "what to show";
+const EXPECTED_COMMAND: &str = "a command";
+const EXPECTED_FIELD: &str = "a field";
+const EXPECTED_SOURCE: &str = "what to show";
 
-fn with_hint(word: &str, expected: &'static str) -> String {
+fn add_suggestion(word: &str, expected: &'static str) -> String {
     let sources = || SOURCES.iter().map(|(name, _)| *name);
     match expected {
-        A_COMMAND => format!(
+        EXPECTED_COMMAND => format!(
             "{expected}; {}",
             suggestion(word, VERBS.into_iter().chain(sources()))
         ),
-        A_FIELD => format!("{expected}; {}", suggestion(word, FIELDS)),
-        A_SOURCE => format!("{expected}; {}", suggestion(word, sources())),
+        EXPECTED_FIELD => format!("{expected}; {}", suggestion(word, FIELDS)),
+        EXPECTED_SOURCE => format!("{expected}; {}", suggestion(word, sources())),
         other => other.to_owned(),
     }
 }
@@ -333,7 +333,7 @@
     StrContext::Expected(StrContextValue::Description(text))
 }
 
-/// Reads one whole word and checks that it is `word`.
+/// Parses one whole word that must equal `word`; restores the input otherwise.
 fn keyword<'i>(word: &'static str) -> impl FnMut(&mut &'i str) -> Parsed<()> {
     move |input: &mut &'i str| {
         let start = *input;
@@ -353,13 +353,13 @@
     Err(ErrMode::Cut(error))
 }
 
-/// Looks at the next word of letters without taking it.
+/// Returns the next word of letters and underscores without consuming it.
 fn peek_word<'i>(input: &&'i str) -> &'i str {
     let end = input.find(|c: char| !c.is_ascii_alphabetic() && c != '_');
     &input[..end.unwrap_or(input.len())]
 }
 
-fn take_word<'i>(input: &mut &'i str) -> Parsed<&'i str> {
+fn consume_word<'i>(input: &mut &'i str) -> Parsed<&'i str> {
     let word = peek_word(input);
     *input = &input[word.len()..];
     multispace0.parse_next(input)?;
@@ -369,25 +369,25 @@
 fn command(input: &mut &str) -> Parsed<Command> {
     let verb = peek_word(input);
     if let Some((_, source)) = SOURCES.iter().find(|(name, _)| *name == verb) {
-        take_word(input)?;
+        consume_word(input)?;
         return query(input, *source).map(Command::Query);
     }
     if !VERBS.contains(&verb) {
-        return fail(A_COMMAND);
+        return fail(EXPECTED_COMMAND);
     }
-    take_word(input)?;
+    consume_word(input)?;
     match verb {
         "show" => show(input),
         "why" => id(input).map(Command::Why),
         "report" => {
-            word_or(input, "event", "`event` and its name")?;
+            require_keyword(input, "event", "`event` and its name")?;
             name(input).map(Command::ReportEvent)
         }
         "trace" => Ok(Command::Trace),
         "drain" => place(input).map(|p| Command::Drain(p, true)),
         "undrain" => place(input).map(|p| Command::Drain(p, false)),
         "stop" => {
-            word_or(input, "instance", "`instance` and its name")?;
+            require_keyword(input, "instance", "`instance` and its name")?;
             name(input).map(Command::StopInstance)
         }
         "cancel" => id(input).map(Command::Cancel),
@@ -395,19 +395,19 @@
         "set" => set(input),
         "remove" => remove(input),
         "start" => {
-            word_or(input, "event", "`event` and its name")?;
+            require_keyword(input, "event", "`event` and its name")?;
             name(input).map(Command::StartEvent)
         }
         "move" => move_event(input),
         "end" => {
-            word_or(input, "event", "`event` and its name")?;
+            require_keyword(input, "event", "`event` and its name")?;
             name(input).map(Command::EndEvent)
         }
         _ => endpoint_order(input),
     }
 }
 
-fn word_or(input: &mut &str, word: &'static str, expected: &'static str) -> Parsed<()> {
+fn require_keyword(input: &mut &str, word: &'static str, expected: &'static str) -> Parsed<()> {
     match keyword(word).parse_next(input) {
         Ok(()) => Ok(()),
         Err(_) => fail(expected),
@@ -417,9 +417,9 @@
 fn show(input: &mut &str) -> Parsed<Command> {
     let word = peek_word(input);
     let Some((_, source)) = SOURCES.iter().find(|(name, _)| *name == word) else {
-        return fail(A_SOURCE);
+        return fail(EXPECTED_SOURCE);
     };
-    take_word(input)?;
+    consume_word(input)?;
     query(input, *source).map(Command::Query)
 }
 
@@ -439,7 +439,7 @@
         }
     }
     if opt(keyword("group")).parse_next(input)?.is_some() {
-        word_or(input, "by", "`by` and a field")?;
+        require_keyword(input, "by", "`by` and a field")?;
         query.group_by = separated(1.., field, (literal(","), multispace0)).parse_next(input)?;
         query.summary = Some(Summary::Count);
     }
@@ -447,13 +447,13 @@
         query.summary = Some(summary);
     }
     if opt(keyword("order")).parse_next(input)?.is_some() {
-        word_or(input, "by", "`by` and a field")?;
+        require_keyword(input, "by", "`by` and a field")?;
         let field = field(input)?;
-        let down = opt(keyword("desc")).parse_next(input)?.is_some();
-        if !down {
+        let descending = opt(keyword("desc")).parse_next(input)?.is_some();
+        if !descending {
             opt(keyword("asc")).parse_next(input)?;
         }
-        query.order_by = Some((field, down));
+        query.order_by = Some((field, descending));
     }
     if opt(keyword("limit")).parse_next(input)?.is_some() {
         query.limit = Some(number(input)? as usize);
@@ -463,13 +463,13 @@
 
 fn summary(input: &mut &str) -> Parsed<Summary> {
     match peek_word(input) {
-        "count" => take_word(input).map(|_| Summary::Count),
+        "count" => consume_word(input).map(|_| Summary::Count),
         "sum" => {
-            take_word(input)?;
+            consume_word(input)?;
             field(input).map(Summary::Sum)
         }
         "percentiles" => {
-            take_word(input)?;
+            consume_word(input)?;
             field(input).map(Summary::Percentiles)
         }
         _ => Err(ErrMode::Backtrack(ContextError::new())),
@@ -502,9 +502,9 @@
 fn field(input: &mut &str) -> Parsed<String> {
     let word = peek_word(input);
     if !FIELDS.contains(&word) {
-        return fail(A_FIELD);
+        return fail(EXPECTED_FIELD);
     }
-    take_word(input).map(str::to_owned)
+    consume_word(input).map(str::to_owned)
 }
 
 fn is_name_char(c: char) -> bool {
@@ -547,11 +547,11 @@
 fn place(input: &mut &str) -> Parsed<Place> {
     match peek_word(input) {
         "endpoint" => {
-            take_word(input)?;
+            consume_word(input)?;
             name(input).map(Place::Endpoint)
         }
         "hall" => {
-            take_word(input)?;
+            consume_word(input)?;
             name(input).map(Place::Hall)
         }
         _ => fail("`endpoint` or `hall`, and its name"),
@@ -562,7 +562,7 @@
     if opt(keyword("at")).parse_next(input)?.is_none() {
         return Ok(None);
     }
-    word_or(input, "version", "`version` and a number")?;
+    require_keyword(input, "version", "`version` and a number")?;
     number(input).map(Some)
 }
 
@@ -608,22 +608,22 @@
             "one of policy, hall, tier, organisation, operator, pool, service, endpoint, event",
         );
     }
-    take_word(input).map(str::to_owned)
+    consume_word(input).map(str::to_owned)
 }
 
 fn move_event(input: &mut &str) -> Parsed<Command> {
-    word_or(input, "event", "`event` and its name")?;
+    require_keyword(input, "event", "`event` and its name")?;
     let event = name(input)?;
-    word_or(input, "to", "`to` and seconds since 1970")?;
+    require_keyword(input, "to", "`to` and seconds since 1970")?;
     let at_s = number(input)?;
     Ok(Command::MoveEvent(event, at_s))
 }
 
 fn endpoint_order(input: &mut &str) -> Parsed<Command> {
-    word_or(input, "endpoint", "`endpoint` and its name")?;
+    require_keyword(input, "endpoint", "`endpoint` and its name")?;
     let endpoint = name(input)?;
-    let order = match take_word(input)? {
-        "load" => match take_word(input)? {
+    let order = match consume_word(input)? {
+        "load" => match consume_word(input)? {
             "model" => EndpointOrder::LoadModel(name(input)?),
             "adapter" => EndpointOrder::LoadAdapter(name(input)?),
             "version" => EndpointOrder::LoadVersion(name(input)?),
@@ -676,8 +676,12 @@
             Some(Summary::Percentiles(field)) => write!(f, " percentiles {field}")?,
             None => {}
         }
-        if let Some((field, down)) = &self.order_by {
-            write!(f, " order by {field}{}", if *down { " desc" } else { "" })?;
+        if let Some((field, descending)) = &self.order_by {
+            write!(
+                f,
+                " order by {field}{}",
+                if *descending { " desc" } else { "" }
+            )?;
         }
         if let Some(limit) = self.limit {
             write!(f, " limit {limit}")?;
--- a/src/operator/orders.rs
+++ b/src/operator/orders.rs
@@ -1,4 +1,5 @@
-//! Orders: drains, stops, cancellations, changes of the configuration, orders to endpoints.
+//! Executes commands that change state: drains, instance stops, cancellations, configuration changes and orders
+//! to endpoints.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -34,15 +35,18 @@
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
-const WRITE_TRIES: u32 = 5;
-/// How long a change is waited for on all instances.
-const IN_FORCE_WAIT: Duration = Duration::from_secs(3);
-const IN_FORCE_POLL: Duration = Duration::from_millis(25);
-/// The object that numbers orders to endpoints and keeps the weight store's rate.
+const MAX_WRITE_ATTEMPTS: u32 = 5;
+/// How long an accepted change waits to be in force on all instances before the operator is answered.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(3);
+const IN_FORCE_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Key of the stored object with the last fence number and the recent weight loads, which are rate limited.
 const FENCE_KEY: &str = "fences";
 
-/// Carries out an order.
-pub async fn carry_out<S: Store>(
+/// Executes a command that changes state.
+///
+/// `id` identifies the command; a configuration change whose id is in the stored history
+/// is not applied again.
+pub async fn execute_order<S: Store>(
     instance: &Arc<Instance<S>>,
     caller: &Caller,
     id: &str,
@@ -53,7 +57,7 @@
         caller,
         id,
     };
-    let what = command.to_string();
+    let description = command.to_string();
     match command {
         Command::Drain(place, draining) => drain(instance, caller, place, draining).await,
         Command::StopInstance(name) => stop_instance(instance, &name).await,
@@ -71,12 +75,16 @@
         } => change.remove(&kind, &name, at_version).await,
         Command::StartEvent(name) => {
             let now_s = unix_s();
-            change.event(&name, &what, |e| e.starts_at_s = now_s).await
+            change
+                .event(&name, &description, |e| e.starts_at_s = now_s)
+                .await
         }
         Command::MoveEvent(name, at_s) => {
-            change.event(&name, &what, |e| e.starts_at_s = at_s).await
+            change
+                .event(&name, &description, |e| e.starts_at_s = at_s)
+                .await
         }
-        Command::EndEvent(name) => change.event(&name, &what, end_now).await,
+        Command::EndEvent(name) => change.event(&name, &description, end_now).await,
         Command::Order(endpoint, order) => order_endpoint(instance, &endpoint, &order).await,
         _ => Reply::new(Status::BadInput, "this is no order"),
     }
@@ -84,7 +92,7 @@
 
 fn end_now(event: &mut Event) {
     let now_s = unix_s();
-    // One that has not begun is moved to the past, so that no room is kept for it.
+    // An event that has not started is moved to the past, so that no capacity is reserved for it.
     event.starts_at_s = event.starts_at_s.min(now_s.saturating_sub(1));
     event.duration_s = now_s.saturating_sub(event.starts_at_s).max(1);
 }
@@ -125,12 +133,12 @@
             .drains()
             .next(target, draining, caller.name.clone(), instance.incarnation);
     instance.config.merge_drains(vec![order]);
-    let (known, of) = spread_drains(instance).await;
+    let (reached, total) = broadcast_drains(instance).await;
     let verb = if draining { "draining" } else { "taking work" };
     let mut reply = done(format!(
-        "{place} is {verb}; in force on {known} of {of} instances"
+        "{place} is {verb}; in force on {reached} of {total} instances"
     ));
-    if known < of {
+    if reached < total {
         reply
             .message
             .push_str("; the others learn it when they answer again");
@@ -138,8 +146,9 @@
     reply
 }
 
-/// Tells all instances the drain orders; returns how many know them, of how many.
-async fn spread_drains<S: Store>(instance: &Arc<Instance<S>>) -> (usize, usize) {
+/// Sends the drain orders to all other instances. Returns how many instances have them, this one included, and the
+/// number of instances.
+async fn broadcast_drains<S: Store>(instance: &Arc<Instance<S>>) -> (usize, usize) {
     let orders: Vec<_> = instance.config.drains().orders().cloned().collect();
     let view = instance.gossip.view();
     let calls = view.others().map(|member| {
@@ -151,8 +160,8 @@
             })
     });
     let answers = join_all(calls).await;
-    let known = answers.iter().filter(|a| a.is_ok()).count();
-    (known + 1, answers.len() + 1)
+    let reached = answers.iter().filter(|a| a.is_ok()).count();
+    (reached + 1, answers.len() + 1)
 }
 
 fn find_member<S: Store>(instance: &Instance<S>, name: &str) -> Result<Member, Reply> {
@@ -214,17 +223,20 @@
     }
 }
 
-/// A change of the configuration: conditional, and settled if its answer is lost.
+/// A change of the configuration.
+///
+/// It is a conditional write. If the store's answer is lost, the stored history shows whether the change was applied.
 struct Change<'a, S: Store> {
     instance: &'a Arc<Instance<S>>,
     caller: &'a Caller,
     id: &'a str,
 }
 
-/// What one round of a change came to.
-enum Round {
-    Ended(Reply),
-    Again,
+/// Result of one attempt to write a change.
+enum WriteAttempt {
+    Finished(Reply),
+    /// Nothing was written; the change can be retried.
+    Retry,
     /// The write may have taken effect.
     InDoubt,
 }
@@ -233,12 +245,14 @@
     async fn apply(&self, at_version: Option<u64>, toml: &str) -> Reply {
         let config = match check::parse(toml) {
             Ok(config) => config,
-            Err(faults) => return bad_config(&faults),
+            Err(faults) => return invalid_config(&faults),
         };
-        let what = "the whole configuration";
-        // A whole document rests on what its writer saw: a change in between is not overwritten.
-        let whole = at_version.or(Some(self.instance.config.current().version));
-        self.commit(whole, what, |_| Ok(config.clone())).await
+        let description = "the whole configuration";
+        // A whole document is based on the version its author read, so a change made since then must not be
+        // overwritten.
+        let base_version = at_version.or(Some(self.instance.config.current().version));
+        self.commit(base_version, description, |_| Ok(config.clone()))
+            .await
     }
 
     async fn set(&self, kind: &str, at_version: Option<u64>, toml: &str) -> Reply {
@@ -287,7 +301,7 @@
             .await
     }
 
-    async fn event(&self, name: &str, what: &str, edit_event: impl Fn(&mut Event)) -> Reply {
+    async fn event(&self, name: &str, description: &str, edit_event: impl Fn(&mut Event)) -> Reply {
         let edit = |base: &Versioned| {
             let mut config = Config::clone(&base.config);
             let known: Vec<String> = config.events.iter().map(|e| e.name.to_string()).collect();
@@ -299,24 +313,27 @@
             edit_event(event);
             Ok(config)
         };
-        self.commit(None, what, edit).await
+        self.commit(None, description, edit).await
     }
 
     async fn commit(
         &self,
         at_version: Option<u64>,
-        what: &str,
+        description: &str,
         edit: impl Fn(&Versioned) -> Result<Config, String>,
     ) -> Reply {
         let mut in_doubt = false;
-        for attempt in 0..WRITE_TRIES {
+        for attempt in 0..MAX_WRITE_ATTEMPTS {
             if attempt > 0 {
                 time::sleep(retry_delay(attempt)).await;
             }
-            match self.round(at_version, what, &edit, in_doubt).await {
-                Round::Ended(reply) => return reply,
-                Round::Again => {}
-                Round::InDoubt => in_doubt = true,
+            match self
+                .try_commit(at_version, description, &edit, in_doubt)
+                .await
+            {
+                WriteAttempt::Finished(reply) => return reply,
+                WriteAttempt::Retry => {}
+                WriteAttempt::InDoubt => in_doubt = true,
             }
         }
         if in_doubt {
@@ -330,18 +347,19 @@
         refused("the platform does not take writes now; nothing was changed")
     }
 
-    async fn round(
+    /// Reads the stored configuration, applies `edit` and writes the result if the version is unchanged.
+    async fn try_commit(
         &self,
         at_version: Option<u64>,
-        what: &str,
+        description: &str,
         edit: &impl Fn(&Versioned) -> Result<Config, String>,
         in_doubt: bool,
-    ) -> Round {
+    ) -> WriteAttempt {
         let Ok(read) = self.instance.store.read(CONFIG_KEY).await else {
             return if in_doubt {
-                Round::InDoubt
+                WriteAttempt::InDoubt
             } else {
-                Round::Again
+                WriteAttempt::Retry
             };
         };
         let expected = read.as_ref().map_or(0, |o| o.version);
@@ -349,31 +367,31 @@
             StoredConfig::read(&o.value)
         }) {
             Ok(stored) => stored,
-            Err(error) => return Round::Ended(refused(error.to_string())),
+            Err(error) => return WriteAttempt::Finished(refused(error.to_string())),
         };
         if let Some(entry) = stored.history.iter().find(|e| e.command == self.id) {
-            return Round::Ended(self.accepted(&stored, entry.version).await);
+            return WriteAttempt::Finished(self.accepted(&stored, entry.version).await);
         }
-        if let Some(reply) = raced(&stored, at_version) {
-            return Round::Ended(reply);
+        if let Some(reply) = version_conflict(&stored, at_version) {
+            return WriteAttempt::Finished(reply);
         }
         let next = match self.next_version(&stored, edit) {
             Ok(next) => next,
-            Err(reply) => return Round::Ended(reply),
+            Err(reply) => return WriteAttempt::Finished(reply),
         };
         stored.set(&next);
-        self.add_history(&mut stored, what);
+        self.add_history(&mut stored, description);
         match self
             .instance
             .store
             .write(CONFIG_KEY, stored.write(), expected)
             .await
         {
-            Ok(_) => Round::Ended(self.accepted(&stored, stored.version).await),
-            Err(WriteError::Conflict | WriteError::NotWritten { .. }) => Round::Again,
-            // Read again: it is there under this id, or the same write is tried again, which can
-            // take effect only if the first never does.
-            Err(WriteError::Unknown { .. }) => Round::InDoubt,
+            Ok(_) => WriteAttempt::Finished(self.accepted(&stored, stored.version).await),
+            Err(WriteError::Conflict | WriteError::NotWritten { .. }) => WriteAttempt::Retry,
+            // The next attempt reads the object again. Either the change is in the history under this id, or the
+            // same write is repeated, which can succeed only if the first never takes effect.
+            Err(WriteError::Unknown { .. }) => WriteAttempt::InDoubt,
         }
     }
 
@@ -384,40 +402,43 @@
     ) -> Result<Versioned, Reply> {
         let base = stored.versioned().map_err(|e| refused(e.to_string()))?;
         let config = edit(&base).map_err(|e| Reply::new(Status::BadInput, e))?;
-        check::verify(&config).map_err(|faults| bad_config(&faults))?;
+        check::verify(&config).map_err(|faults| invalid_config(&faults))?;
         Ok(Versioned::from_config(stored.version + 1, config))
     }
 
-    fn add_history(&self, stored: &mut StoredConfig, what: &str) {
+    fn add_history(&self, stored: &mut StoredConfig, description: &str) {
         stored.history.push(HistoryEntry {
             version: stored.version,
             by: self.caller.name.clone(),
             at_s: unix_s(),
             command: self.id.to_owned(),
-            what: what.to_owned(),
+            what: description.to_owned(),
         });
-        let over = stored.history.len().saturating_sub(MAX_HISTORY_ENTRIES);
-        stored.history.drain(..over);
+        let excess = stored.history.len().saturating_sub(MAX_HISTORY_ENTRIES);
+        stored.history.drain(..excess);
     }
 
-    /// Says that the change is accepted, and on how many instances it is in force.
+    /// Installs the accepted version here and waits until all instances have it, at most `IN_FORCE_TIMEOUT`. The reply
+    /// states on how many instances it is in force.
     async fn accepted(&self, stored: &StoredConfig, version: u64) -> Reply {
         if let Ok(versioned) = stored.versioned() {
             self.instance.config.install(versioned);
         }
-        let deadline = time::Instant::now() + IN_FORCE_WAIT;
+        let deadline = time::Instant::now() + IN_FORCE_TIMEOUT;
         loop {
-            let (have, of) = in_force(self.instance, version);
-            if have == of || time::Instant::now() >= deadline {
-                let message =
-                    format!("accepted as version {version}; in force on {have} of {of} instances");
+            let (up_to_date, total) = in_force(self.instance, version);
+            if up_to_date == total || time::Instant::now() >= deadline {
+                let message = format!(
+                    "accepted as version {version}; in force on {up_to_date} of {total} instances"
+                );
                 return done(message);
             }
-            time::sleep(IN_FORCE_POLL).await;
+            time::sleep(IN_FORCE_POLL_INTERVAL).await;
         }
     }
 }
 
+/// Returns on how many instances the version is in force, and the number of instances present.
 fn in_force<S: Store>(instance: &Instance<S>, version: u64) -> (usize, usize) {
     let view = instance.gossip.view();
     let others = view.others().filter(|m| m.digest.config_version >= version);
@@ -425,21 +446,22 @@
     (others.count() + own, view.present().count())
 }
 
-fn raced(stored: &StoredConfig, at_version: Option<u64>) -> Option<Reply> {
-    let wanted = at_version?;
-    if wanted == stored.version {
+/// Returns a refusal if the change is for another version than the stored one.
+fn version_conflict(stored: &StoredConfig, at_version: Option<u64>) -> Option<Reply> {
+    let requested = at_version?;
+    if requested == stored.version {
         return None;
     }
     let last = stored.history.last();
     let by = last.map_or("somebody", |e| &*e.by);
-    let what = last.map_or("", |e| e.what.as_str());
+    let description = last.map_or("", |e| e.what.as_str());
     Some(refused(format!(
-        "not accepted: version {} was made by {by} ({what}), and the change is for version {wanted}",
+        "not accepted: version {} was made by {by} ({description}), and the change is for version {requested}",
         stored.version
     )))
 }
 
-fn bad_config(faults: &[check::Fault]) -> Reply {
+fn invalid_config(faults: &[check::Fault]) -> Reply {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     Reply::new(Status::BadInput, lines.join("\n"))
 }
@@ -448,7 +470,7 @@
     error.source().map_or_else(String::new, ToString::to_string)
 }
 
-/// Reads an object's fields, as TOML lines or as one inline table.
+/// Parses an object's fields, given as TOML lines or as one inline table.
 fn object_fields(toml: &str) -> Result<Map<String, Value>, String> {
     let text = if toml.starts_with('{') {
         format!("object = {toml}")
@@ -463,13 +485,14 @@
     }
 }
 
-/// Numbers orders, and remembers when weights were last loaded.
+/// The last fence number given to an order, and the times of recent weight loads in seconds since 1970.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Fences {
     last: u64,
     loads_at_s: Vec<u64>,
 }
 
+/// Weight loads within this window count against `weight_loads_per_minute`.
 const LOAD_WINDOW_S: u64 = 60;
 
 async fn order_endpoint<S: Store>(
@@ -485,21 +508,23 @@
             suggestion(name, known)
         ));
     };
-    let loads = !matches!(order, EndpointOrder::Role(_));
+    let loads_weights = !matches!(order, EndpointOrder::Role(_));
     let per_minute = current.config.policy.weight_loads_per_minute;
-    let fence = match next_fence(instance, loads.then_some(per_minute)).await {
+    let fence = match next_fence(instance, loads_weights.then_some(per_minute)).await {
         Ok(fence) => fence,
         Err(reply) => return reply,
     };
     send_order(endpoint, order, fence).await
 }
 
-/// Takes the next number from the platform; only then is the order given.
+/// Allocates the next fence number in the platform's store. An order is sent only after this succeeds.
+///
+/// With `loads_per_minute`, the order also counts as a weight load and is refused above that rate.
 async fn next_fence<S: Store>(
     instance: &Arc<Instance<S>>,
     loads_per_minute: Option<u32>,
 ) -> Result<u64, Reply> {
-    for attempt in 0..WRITE_TRIES {
+    for attempt in 0..MAX_WRITE_ATTEMPTS {
         if attempt > 0 {
             time::sleep(retry_delay(attempt)).await;
         }
@@ -522,7 +547,7 @@
         }
         fences.last += 1;
         let value = serde_json::to_vec(&fences).unwrap_or_default();
-        // A number whose answer was lost is skipped, which does no harm.
+        // If the answer to a write is lost, its number is skipped. Gaps are harmless.
         if instance
             .store
             .write(FENCE_KEY, value.into(), version)
