--- a/src/entry/answer.rs
+++ b/src/entry/answer.rs
@@ -40,7 +40,7 @@
 }
 
 /// Time for the last event to reach the caller before its connection is cut.
-const BEFORE_CUT: Duration = Duration::from_millis(50);
+const ABORT_DELAY: Duration = Duration::from_millis(50);
 
 /// Makes a whole body.
 pub fn full(text: impl Into<Bytes>) -> Body {
@@ -49,13 +49,16 @@
 }
 
 /// Makes the answer of what a request's task sends.
-pub async fn from_messages(id: RequestId, mut messages: mpsc::Receiver<Message>) -> Response<Body> {
+pub async fn response_from_messages(
+    id: RequestId,
+    mut messages: mpsc::Receiver<Message>,
+) -> Response<Body> {
     let mut response = match messages.recv().await {
         Some(Message::Begin {
             status,
             content_type,
         }) => {
-            let mut response = Response::new(streamed(messages));
+            let mut response = Response::new(streaming_body(messages));
             *response.status_mut() = status;
             response.headers_mut().insert(CONTENT_TYPE, content_type);
             response
@@ -74,7 +77,7 @@
 
 /// Relays parts as they come. If they stop without an [`Message::End`] the body fails, so that the
 /// connection is closed without the mark of a whole body.
-fn streamed(messages: mpsc::Receiver<Message>) -> Body {
+fn streaming_body(messages: mpsc::Receiver<Message>) -> Body {
     let parts = stream::unfold(Some(messages), |messages| async {
         let mut messages = messages?;
         match messages.recv().await {
@@ -82,7 +85,7 @@
             Some(Message::End) => None,
             _ => {
                 // hyper drops what it has not written when a body fails: let it write first.
-                time::sleep(BEFORE_CUT).await;
+                time::sleep(ABORT_DELAY).await;
                 Some((Err(io::Error::other("the answer is not whole")), None))
             }
         }
@@ -102,7 +105,7 @@
 }
 
 /// Writes a whole answer of a model.
-pub fn whole_completion(
+pub fn completion_body(
     id: RequestId,
     model: &str,
     chat: bool,
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -27,14 +27,14 @@
 pub const WRITE_INTERVAL: Duration = Duration::from_millis(250);
 /// More claims than this in a shard would not fit the store's values: 42 bytes each, in base64.
 pub const MAX_CLAIMS: usize = 18_000;
-const WRITE_TRIES: u32 = 4;
+const MAX_WRITE_ATTEMPTS: u32 = 4;
 
 /// SHA-256 of organisation, service and key, shortened.
 pub type KeyHash = [u8; 16];
 
 /// Asks for a key on behalf of one arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// The key.
     pub key: KeyHash,
     /// The arrival that wants to run.
@@ -95,19 +95,19 @@
 }
 
 enum Job {
-    Claim(ClaimAsk, oneshot::Sender<ClaimAnswer>),
-    Release(ClaimAsk),
+    Claim(ClaimRequest, oneshot::Sender<ClaimAnswer>),
+    Release(ClaimRequest),
 }
 
 /// The keepers of shards in this process; each is started when first asked.
-pub struct Keepers<S> {
+pub struct ClaimWriters<S> {
     store: S,
     jobs: std::sync::Mutex<HashMap<u16, mpsc::Sender<Job>>>,
 }
 
-const QUEUED_JOBS: usize = 8_192;
+const MAX_QUEUED_JOBS: usize = 8_192;
 
-impl<S: Store> Keepers<S> {
+impl<S: Store> ClaimWriters<S> {
     /// Creates an empty set.
     pub fn new(store: S) -> Self {
         Self {
@@ -117,10 +117,15 @@
     }
 
     /// Claims a key; waits for the write.
-    pub async fn claim(&self, shard: u16, ask: ClaimAsk, remember: Duration) -> ClaimAnswer {
+    pub async fn claim(
+        &self,
+        shard: u16,
+        request: ClaimRequest,
+        retention: Duration,
+    ) -> ClaimAnswer {
         let (sender, answer) = oneshot::channel();
-        let jobs = self.jobs(shard, remember);
-        if jobs.try_send(Job::Claim(ask, sender)).is_err() {
+        let jobs = self.jobs(shard, retention);
+        if jobs.try_send(Job::Claim(request, sender)).is_err() {
             return ClaimAnswer::Unavailable;
         }
         answer.await.unwrap_or(ClaimAnswer::Unavailable)
@@ -128,61 +133,61 @@
 
     /// Gives a claim up; the request provably did not run. If this is lost, a later arrival with
     /// the key is told that the outcome is unknown, which is safe.
-    pub fn release(&self, shard: u16, ask: ClaimAsk, remember: Duration) {
-        let _ = self.jobs(shard, remember).try_send(Job::Release(ask));
+    pub fn release(&self, shard: u16, request: ClaimRequest, retention: Duration) {
+        let _ = self.jobs(shard, retention).try_send(Job::Release(request));
     }
 
-    fn jobs(&self, shard: u16, remember: Duration) -> mpsc::Sender<Job> {
+    fn jobs(&self, shard: u16, retention: Duration) -> mpsc::Sender<Job> {
         let mut jobs = self
             .jobs
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         let entry = jobs.entry(shard).or_insert_with(|| {
-            let (sender, receiver) = mpsc::channel(QUEUED_JOBS);
-            let keeper = Keeper {
+            let (sender, receiver) = mpsc::channel(MAX_QUEUED_JOBS);
+            let writer = ShardWriter {
                 shard,
                 store: self.store.clone(),
-                remember,
-                known: None,
+                retention,
+                cached: None,
             };
-            tokio::spawn(keeper.run(receiver));
+            tokio::spawn(writer.run(receiver));
             sender
         });
         entry.clone()
     }
 }
 
-struct Keeper<S> {
+struct ShardWriter<S> {
     shard: u16,
     store: S,
-    remember: Duration,
-    known: Option<(u64, Claims)>,
+    retention: Duration,
+    cached: Option<(u64, Claims)>,
 }
 
-impl<S: Store> Keeper<S> {
+impl<S: Store> ShardWriter<S> {
     async fn run(mut self, mut jobs: mpsc::Receiver<Job>) {
         let mut batch = Vec::new();
-        while jobs.recv_many(&mut batch, QUEUED_JOBS).await > 0 {
+        while jobs.recv_many(&mut batch, MAX_QUEUED_JOBS).await > 0 {
             let started = time::Instant::now();
-            self.commit(std::mem::take(&mut batch)).await;
+            self.process_jobs(std::mem::take(&mut batch)).await;
             time::sleep_until(started + WRITE_INTERVAL).await;
         }
     }
 
-    async fn commit(&mut self, jobs: Vec<Job>) {
-        let mut asks = Vec::new();
+    async fn process_jobs(&mut self, jobs: Vec<Job>) {
+        let mut requests = Vec::new();
         let mut releases = Vec::new();
         let mut answers = Vec::new();
         for job in jobs {
             match job {
-                Job::Claim(ask, answer) => {
-                    asks.push(ask);
+                Job::Claim(request, answer) => {
+                    requests.push(request);
                     answers.push(answer);
                 }
-                Job::Release(ask) => releases.push(ask),
+                Job::Release(request) => releases.push(request),
             }
         }
-        let results = self.settle(&asks, &releases).await;
+        let results = self.write_batch(&requests, &releases).await;
         for (answer, result) in answers.into_iter().zip(results) {
             // The one who asked may have gone; its claim stands.
             let _ = answer.send(result);
@@ -191,38 +196,42 @@
 
     /// Writes a batch; every answer but `Unavailable` rests on a write that took effect or on a
     /// claim that was read.
-    async fn settle(&mut self, asks: &[ClaimAsk], releases: &[ClaimAsk]) -> Vec<ClaimAnswer> {
-        for attempt in 0..WRITE_TRIES {
+    async fn write_batch(
+        &mut self,
+        requests: &[ClaimRequest],
+        releases: &[ClaimRequest],
+    ) -> Vec<ClaimAnswer> {
+        for attempt in 0..MAX_WRITE_ATTEMPTS {
             if attempt > 0 {
                 time::sleep(crate::store::backoff(attempt)).await;
             }
             let Some((version, mut claims)) = self.load().await else {
                 break;
             };
-            let changed = claims.update(asks, releases, self.remember);
+            let changed = claims.update(requests, releases, self.retention);
             if !changed {
-                return claims.answers(asks, version);
+                return claims.answers(requests, version);
             }
             let value = postcard::to_stdvec(&claims).unwrap_or_default();
             let key = object_key(self.shard);
             match self.store.write(&key, Bytes::from(value), version).await {
                 Ok(version) => {
-                    let answers = claims.answers(asks, version);
-                    self.known = Some((version, claims));
+                    let answers = claims.answers(requests, version);
+                    self.cached = Some((version, claims));
                     return answers;
                 }
                 // Written or not, the next round reads what is there.
-                Err(WriteError::Conflict | WriteError::Unknown { .. }) => self.known = None,
+                Err(WriteError::Conflict | WriteError::Unknown { .. }) => self.cached = None,
                 Err(WriteError::NotWritten { .. }) => {}
             }
         }
-        self.known = None;
-        vec![ClaimAnswer::Unavailable; asks.len()]
+        self.cached = None;
+        vec![ClaimAnswer::Unavailable; requests.len()]
     }
 
     async fn load(&mut self) -> Option<(u64, Claims)> {
-        if let Some(known) = &self.known {
-            return Some(known.clone());
+        if let Some(cached) = &self.cached {
+            return Some(cached.clone());
         }
         let read = self.store.read(&object_key(self.shard)).await.ok()?;
         let loaded = match read {
@@ -232,14 +241,19 @@
                 (version, postcard::from_bytes(&value).ok()?)
             }
         };
-        self.known = Some(loaded.clone());
+        self.cached = Some(loaded.clone());
         Some(loaded)
     }
 }
 
 impl Claims {
     /// Adds what is free, removes what is given up and what is old; returns whether it changed.
-    fn update(&mut self, asks: &[ClaimAsk], releases: &[ClaimAsk], remember: Duration) -> bool {
+    fn update(
+        &mut self,
+        requests: &[ClaimRequest],
+        releases: &[ClaimRequest],
+        retention: Duration,
+    ) -> bool {
         let now_s = unix_s().max(self.newest_s);
         let mut changed = false;
         for release in releases {
@@ -252,30 +266,30 @@
                 changed = true;
             }
         }
-        for ask in asks {
-            if self.claims.len() < MAX_CLAIMS && !self.claims.contains_key(&ask.key) {
+        for request in requests {
+            if self.claims.len() < MAX_CLAIMS && !self.claims.contains_key(&request.key) {
                 let claim = Claim {
-                    by: ask.by,
+                    by: request.by,
                     at_s: now_s,
                 };
-                self.claims.insert(ask.key, claim);
+                self.claims.insert(request.key, claim);
                 changed = true;
             }
         }
         if changed {
             self.newest_s = now_s;
-            let oldest_s = now_s.saturating_sub(remember.as_secs());
+            let oldest_s = now_s.saturating_sub(retention.as_secs());
             self.claims.retain(|_, c| c.at_s >= oldest_s);
         }
         changed
     }
 
-    fn answers(&self, asks: &[ClaimAsk], version: u64) -> Vec<ClaimAnswer> {
-        let answer = |ask: &ClaimAsk| match self.claims.get(&ask.key) {
-            Some(claim) if claim.by == ask.by => ClaimAnswer::Yours(version),
+    fn answers(&self, requests: &[ClaimRequest], version: u64) -> Vec<ClaimAnswer> {
+        let answer = |request: &ClaimRequest| match self.claims.get(&request.key) {
+            Some(claim) if claim.by == request.by => ClaimAnswer::Yours(version),
             Some(_) => ClaimAnswer::Taken,
             None => ClaimAnswer::Unavailable,
         };
-        asks.iter().map(answer).collect()
+        requests.iter().map(answer).collect()
     }
 }
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -34,7 +34,7 @@
 
 const MAX_HEADER_BYTES: usize = 64 << 10;
 const MAX_HEADERS: usize = 64;
-const PARTS_IN_FLIGHT: usize = 16;
+const MAX_BUFFERED_MESSAGES: usize = 16;
 
 /// Serves callers until cancelled, then returns once the open connections have finished theirs.
 pub async fn serve<S: Store>(
@@ -79,7 +79,7 @@
     instance: Arc<Instance<S>>,
     request: Request<Incoming>,
 ) -> Response<Body> {
-    match take(&instance, request).await {
+    match handle(&instance, request).await {
         Ok(response) => response,
         Err(refusal) => {
             instance.metrics.bad_requests.inc();
@@ -96,7 +96,7 @@
     }
 }
 
-async fn take<S: Store>(
+async fn handle<S: Store>(
     instance: &Arc<Instance<S>>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
@@ -110,7 +110,7 @@
     let keys = instance.keys();
     let organisation = parse::authenticate(&parts.headers, &config.config, &keys)?;
     if route == Route::Ticket {
-        return Ok(ticket(instance));
+        return Ok(issue_ticket(instance));
     }
     let body = read_body(instance, &parts.headers, body).await?;
     let id = instance.registry.next_id();
@@ -122,12 +122,12 @@
         &parts.headers,
         body,
     )?;
-    let (sender, messages) = mpsc::channel(PARTS_IN_FLIGHT);
+    let (sender, messages) = mpsc::channel(MAX_BUFFERED_MESSAGES);
     tokio::spawn(run::run(instance.clone(), call, sender));
-    Ok(answer::from_messages(id, messages).await)
+    Ok(answer::response_from_messages(id, messages).await)
 }
 
-fn ticket<S: Store>(instance: &Instance<S>) -> Response<Body> {
+fn issue_ticket<S: Store>(instance: &Instance<S>) -> Response<Body> {
     let ticket = instance.tickets.issue().to_string();
     let mut response = Response::new(answer::full(json!({"ticket": ticket}).to_string()));
     let kind = HeaderValue::from_static("application/json");
@@ -141,9 +141,9 @@
     body: Incoming,
 ) -> Result<Bytes, Refusal> {
     let limit = instance.settings.max_body_bytes;
-    let promised = headers.get(CONTENT_LENGTH);
-    let promised = promised.and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
-    if promised.is_some_and(|p| p > limit as u64) {
+    let content_length = headers.get(CONTENT_LENGTH);
+    let content_length = content_length.and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
+    if content_length.is_some_and(|p| p > limit as u64) {
         return Err(too_large(limit));
     }
     let timeout = Duration::from_millis(instance.settings.body_timeout_ms);
--- a/src/entry/parse.rs
+++ b/src/entry/parse.rs
@@ -128,8 +128,8 @@
 }
 
 fn service_route(parts: &Parts) -> Result<Route, Refusal> {
-    let whole = parts.uri.path_and_query().map_or("/", |p| p.as_str());
-    let Some(rest) = whole.strip_prefix(SERVICES_PATH) else {
+    let path_and_query = parts.uri.path_and_query().map_or("/", |p| p.as_str());
+    let Some(rest) = path_and_query.strip_prefix(SERVICES_PATH) else {
         let message = format!("no such path: {}", parts.uri.path());
         return Err(Refusal::bad(StatusCode::NOT_FOUND, "no_such_path", message));
     };
@@ -151,12 +151,12 @@
     config: &'c Config,
     keys: &KeyMap,
 ) -> Result<&'c Organisation, Refusal> {
-    let shown = text(headers, &AUTHORIZATION).and_then(|v| v.strip_prefix("Bearer "));
-    let Some(shown) = shown else {
+    let presented = text(headers, &AUTHORIZATION).and_then(|v| v.strip_prefix("Bearer "));
+    let Some(presented) = presented else {
         let message = "send `authorization: Bearer KEY`";
         return Err(Refusal::bad(StatusCode::UNAUTHORIZED, "no_key", message));
     };
-    let index = keys.get(&key_digest(shown));
+    let index = keys.get(&key_digest(presented));
     let Some(organisation) = index.and_then(|i| config.organisations.get(*i)) else {
         let message = "the key is not known";
         return Err(Refusal::bad(
@@ -191,7 +191,7 @@
 ) -> Result<Call, Refusal> {
     let tier = tier(config, organisation, headers)?;
     let deadline_ms = deadline_ms(tier, headers)?;
-    let reader = Reader {
+    let parser = CallParser {
         config,
         organisation,
         id,
@@ -200,8 +200,8 @@
         headers,
     };
     match route {
-        Route::Completion { chat } => reader.completion(chat, &body),
-        Route::Service { name, path } => reader.plain(&name, path, body),
+        Route::Completion { chat } => parser.completion(chat, &body),
+        Route::Service { name, path } => parser.plain(&name, path, body),
         Route::Ticket => {
             let message = "a ticket takes no call";
             Err(Refusal::bad(StatusCode::BAD_REQUEST, "no_call", message))
@@ -209,7 +209,7 @@
     }
 }
 
-struct Reader<'a> {
+struct CallParser<'a> {
     config: &'a Config,
     organisation: &'a Organisation,
     id: RequestId,
@@ -218,7 +218,7 @@
     headers: &'a HeaderMap,
 }
 
-impl Reader<'_> {
+impl CallParser<'_> {
     fn completion(&self, chat: bool, body: &[u8]) -> Result<Call, Refusal> {
         let mut body: Value = serde_json::from_slice(body).map_err(|error| {
             let message = format!("the body is not JSON: {error}");
@@ -247,8 +247,8 @@
 
     fn plain(&self, name: &str, path: String, body: Bytes) -> Result<Call, Refusal> {
         let service = self.service(name, PoolKind::Plain)?;
-        let bare = path.split('?').next().unwrap_or_default().to_owned();
-        let mut call = self.call(Target::Plain { path }, service, &bare, body)?;
+        let path_only = path.split('?').next().unwrap_or_default().to_owned();
+        let mut call = self.call(Target::Plain { path }, service, &path_only, body)?;
         call.meta.prompt_tokens = 1;
         call.meta.max_output_tokens = Some(1);
         call.content_type = self.headers.get(hyper::header::CONTENT_TYPE).cloned();
@@ -284,9 +284,9 @@
         path: &str,
         body: Bytes,
     ) -> Result<Call, Refusal> {
-        let marked = service.not_repeatable_paths.iter();
-        let marked = marked.into_iter().any(|p| is_below(path, p));
-        let repeatable = service.repeatable && !marked;
+        let not_repeatable = service.not_repeatable_paths.iter();
+        let not_repeatable = not_repeatable.into_iter().any(|p| is_below(path, p));
+        let repeatable = service.repeatable && !not_repeatable;
         let meta = RequestMeta {
             id: self.id,
             organisation: self.organisation.name.clone(),
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -46,7 +46,7 @@
 
 /// Something that a registrar has to tell its leader.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum RegistrarEvent {
     /// A request has come; its data are looked up when this is sent.
     Added(RequestId),
     /// Anything else.
@@ -108,17 +108,17 @@
     held: HashMap<RequestId, Held>,
     levels: HashMap<Name, HeldLevel>,
     registrations: HashMap<Name, Registration>,
-    notes: HashMap<Name, mpsc::UnboundedSender<Note>>,
+    registrars: HashMap<Name, mpsc::UnboundedSender<RegistrarEvent>>,
     /// Lengths of the last answers, for the next leader of each pool.
-    seen: HashMap<Name, VecDeque<AnswerLength>>,
+    answer_lengths: HashMap<Name, VecDeque<AnswerLength>>,
 }
 
 /// How many lengths of answers an entry remembers for each pool.
-pub const KEPT_LENGTHS: usize = 300;
+pub const MAX_ANSWER_LENGTHS: usize = 300;
 
 /// The requests that this instance holds.
 pub struct Registry {
-    me: Incarnation,
+    incarnation: Incarnation,
     clock: Clock,
     next_seq: AtomicU64,
     inner: Mutex<Inner>,
@@ -135,9 +135,9 @@
 
 impl Registry {
     /// Creates an empty registry.
-    pub fn new(me: Incarnation, clock: Clock) -> Self {
+    pub fn new(incarnation: Incarnation, clock: Clock) -> Self {
         Self {
-            me,
+            incarnation,
             clock,
             next_seq: AtomicU64::new(1),
             inner: Mutex::default(),
@@ -147,7 +147,7 @@
     /// Returns an id that no other arrival has.
     pub fn next_id(&self) -> RequestId {
         RequestId {
-            entry: self.me,
+            entry: self.incarnation,
             seq: self.next_seq.fetch_add(1, Ordering::Relaxed),
         }
     }
@@ -167,7 +167,7 @@
         if level.is_some_and(|l| l.refuses(now_us, rank, arrival.tiers)) {
             return Err(ShedReason::TierShed);
         }
-        let registration = inner.registration(self.me, &pool);
+        let registration = inner.registration(self.incarnation, &pool);
         let held = Held {
             arrival,
             arrived_us: now_us,
@@ -176,7 +176,7 @@
             decisions: sender,
         };
         inner.held.insert(id, held);
-        inner.note(&pool, Note::Added(id));
+        inner.notify_registrar(&pool, RegistrarEvent::Added(id));
         Ok(HeldRequest {
             id,
             pool,
@@ -186,9 +186,9 @@
     }
 
     /// Returns the channel on which a pool's notes come, and from then on sends them there.
-    pub fn subscribe(&self, pool: &Name) -> mpsc::UnboundedReceiver<Note> {
+    pub fn subscribe(&self, pool: &Name) -> mpsc::UnboundedReceiver<RegistrarEvent> {
         let (sender, receiver) = mpsc::unbounded_channel();
-        self.lock().notes.insert(pool.clone(), sender);
+        self.lock().registrars.insert(pool.clone(), sender);
         receiver
     }
 
@@ -196,11 +196,16 @@
     pub fn reregister(&self, pool: &Name) -> (Registration, Vec<Update>) {
         let now_us = self.clock.now_us();
         let mut inner = self.lock();
-        let mut registration = inner.registration(self.me, pool);
+        let mut registration = inner.registration(self.incarnation, pool);
         registration.epoch += 1;
         inner.registrations.insert(pool.clone(), registration);
-        let seen = inner.seen.get(pool).into_iter().flatten().cloned();
-        let mut updates: Vec<Update> = seen.map(Update::Seen).collect();
+        let answer_lengths = inner
+            .answer_lengths
+            .get(pool)
+            .into_iter()
+            .flatten()
+            .cloned();
+        let mut updates: Vec<Update> = answer_lengths.map(Update::Seen).collect();
         for held in inner.held.values_mut().filter(|h| h.arrival.pool == *pool) {
             held.lifecycle.reregister(registration);
             updates.extend(held.update(now_us));
@@ -233,16 +238,16 @@
     }
 
     /// Answers a leader that asks to hold a level for a pool.
-    pub fn hold_level(&self, pool: &Name, ask: LevelRequest) -> bool {
+    pub fn hold_level(&self, pool: &Name, request: LevelRequest) -> bool {
         let now_us = self.clock.now_us();
         let mut inner = self.lock();
-        let keeps = inner.held.values().any(|h| {
+        let holds_such_request = inner.held.values().any(|h| {
             let kept = is_waiting(h.lifecycle.stage());
             let needed = level_needed(h.arrival.meta.rank, h.arrival.tiers) + 1;
-            kept && h.arrival.pool == *pool && needed <= ask.level
+            kept && h.arrival.pool == *pool && needed <= request.level
         });
         let level = inner.levels.entry(pool.clone()).or_default();
-        level.try_hold(now_us, ask, keeps)
+        level.try_hold(now_us, request, holds_such_request)
     }
 
     /// Cancels a request on an operator's word; returns whether it was held.
@@ -254,7 +259,7 @@
 
     /// Returns the registration in force for a pool.
     pub fn registration(&self, pool: &Name) -> Registration {
-        self.lock().registration(self.me, pool)
+        self.lock().registration(self.incarnation, pool)
     }
 
     /// Returns the registrations in force, by pool slice.
@@ -332,15 +337,15 @@
 }
 
 impl Inner {
-    fn registration(&self, me: Incarnation, pool: &Name) -> Registration {
+    fn registration(&self, incarnation: Incarnation, pool: &Name) -> Registration {
         let none = Registration {
-            entry: me,
+            entry: incarnation,
             epoch: 0,
         };
         self.registrations.get(pool).copied().unwrap_or(none)
     }
 
-    fn remember_length(&mut self, id: RequestId, output_tokens: u32) {
+    fn record_answer_length(&mut self, id: RequestId, output_tokens: u32) {
         let Some(held) = self.held.get(&id) else {
             return;
         };
@@ -351,17 +356,20 @@
             prompt_tokens: meta.prompt_tokens,
             output_tokens,
         };
-        let seen = self.seen.entry(held.arrival.pool.clone()).or_default();
-        if seen.len() == KEPT_LENGTHS {
-            seen.pop_front();
+        let answer_lengths = self
+            .answer_lengths
+            .entry(held.arrival.pool.clone())
+            .or_default();
+        if answer_lengths.len() == MAX_ANSWER_LENGTHS {
+            answer_lengths.pop_front();
         }
-        seen.push_back(length);
+        answer_lengths.push_back(length);
     }
 
-    fn note(&self, pool: &Name, note: Note) {
-        if let Some(notes) = self.notes.get(pool) {
+    fn notify_registrar(&self, pool: &Name, event: RegistrarEvent) {
+        if let Some(registrar) = self.registrars.get(pool) {
             // Without a registrar the next one reads the whole state when it registers.
-            let _ = notes.send(note);
+            let _ = registrar.send(event);
         }
     }
 
@@ -376,9 +384,9 @@
         let Some(held) = self.held.get_mut(&order.id()) else {
             return OrderReply::Gone;
         };
-        let taken = match order {
+        let outcome = match order {
             Order::Grant { endpoint, .. } if is_draining(endpoint) => {
-                return held.waits_under(order);
+                return held.rejection_reply(order);
             }
             Order::Grant {
                 registration,
@@ -394,12 +402,12 @@
             } => {
                 let (rank, tiers) = (held.arrival.meta.rank, held.arrival.tiers);
                 if !level.may_shed(now_us, batch.leader, *chain, rank, tiers) {
-                    return held.waits_under(order);
+                    return held.rejection_reply(order);
                 }
                 held.shed(*registration, *reason, *retry_after_ms)
             }
         };
-        if taken.is_ok() {
+        if outcome.is_ok() {
             OrderReply::Taken
         } else {
             OrderReply::Gone
@@ -454,7 +462,7 @@
         Ok(())
     }
 
-    fn waits_under(&self, order: &Order) -> OrderReply {
+    fn rejection_reply(&self, order: &Order) -> OrderReply {
         let waits = self.lifecycle.stage() == Stage::Waiting;
         if waits && order.registration() == self.lifecycle.registration() {
             OrderReply::Waits
@@ -505,7 +513,7 @@
     /// It holds no grant.
     pub fn return_grant(&self) -> Result<(), LifecycleError> {
         self.step(Lifecycle::return_grant)?;
-        self.tell(Update::Returned(self.id));
+        self.notify_leader(Update::Returned(self.id));
         Ok(())
     }
 
@@ -524,9 +532,9 @@
     pub fn finish(&self, whole: bool, output_tokens: Option<u32>) -> Result<(), LifecycleError> {
         self.step(|l| l.finish(whole))?;
         if let Some(tokens) = output_tokens {
-            self.registry.lock().remember_length(self.id, tokens);
+            self.registry.lock().record_answer_length(self.id, tokens);
         }
-        self.tell(Update::Finished(self.id, output_tokens));
+        self.notify_leader(Update::Finished(self.id, output_tokens));
         Ok(())
     }
 
@@ -541,8 +549,10 @@
     }
 
     /// Passes something on to the pool's leader.
-    pub fn tell(&self, update: Update) {
-        self.registry.lock().note(&self.pool, Note::Update(update));
+    pub fn notify_leader(&self, update: Update) {
+        self.registry
+            .lock()
+            .notify_registrar(&self.pool, RegistrarEvent::Update(update));
     }
 
     fn step(
@@ -562,7 +572,10 @@
         let mut inner = self.registry.lock();
         inner.held.remove(&self.id);
         // After a `Finished` this changes nothing.
-        inner.note(&self.pool, Note::Update(Update::Withdraw(self.id)));
+        inner.notify_registrar(
+            &self.pool,
+            RegistrarEvent::Update(Update::Withdraw(self.id)),
+        );
     }
 }
 
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -17,7 +17,7 @@
     },
     entry::{
         answer::{self, Message},
-        claims::{self, ClaimAnswer, ClaimAsk},
+        claims::{self, ClaimAnswer, ClaimRequest},
         parse::{Call, Target},
         recorder::EndedRequest,
         refusal::{Refusal, Verdict},
@@ -41,20 +41,20 @@
 /// A claim that this arrival holds or tried to get.
 #[derive(Clone, Copy, Debug)]
 enum Claim {
-    Key(ClaimAsk),
+    Key(ClaimRequest),
     Ticket(Ticket),
 }
 
 /// What one try at an endpoint came to.
-enum Tried {
+enum Attempt {
     /// Nothing was sent; the request waits on.
-    WaitsOn,
+    StillWaiting,
     /// The request has its final answer.
     Ended,
 }
 
 /// How a request ended, for the counters.
-struct Ended {
+struct RunEnd {
     outcome: &'static str,
     reason: Option<&'static str>,
     output_tokens: u32,
@@ -108,7 +108,7 @@
                 claim: None,
                 fence: None,
             };
-            run.until_ended().await;
+            run.run_to_completion().await;
         }
         Err(reason) => {
             instance.metrics.shed(&call.tier, reason.as_str());
@@ -120,28 +120,28 @@
 }
 
 impl<S: Store> Run<S> {
-    async fn until_ended(mut self) {
+    async fn run_to_completion(mut self) {
         let clock = self.instance.clock;
         loop {
             tokio::select! {
                 biased;
-                () = self.answer.closed() => return self.caller_left(),
+                () = self.answer.closed() => return self.end_caller_left(),
                 () = clock.sleep_until(self.deadline_us) => return self.expire().await,
                 decision = self.held.decision() => match decision {
                     Decision::Granted { endpoint } => match self.try_endpoint(endpoint).await {
-                        Tried::WaitsOn => {}
-                        Tried::Ended => return,
+                        Attempt::StillWaiting => {}
+                        Attempt::Ended => return,
                     },
                     Decision::Shed { reason, retry_after_ms } => {
                         self.instance.metrics.shed(&self.call.tier, reason.as_str());
                         let refusal = shed_refusal(reason, retry_after_ms);
-                        return self.refused(refusal).await;
+                        return self.end_refused(refusal).await;
                     }
                     Decision::Cancelled => {
                         if self.held.refuse().is_ok() {
                             let message = "an operator cancelled the request";
                             let refusal = Refusal::not_run("cancelled", message, 1_000);
-                            return self.refused(refusal).await;
+                            return self.end_refused(refusal).await;
                         }
                     }
                 },
@@ -157,16 +157,16 @@
                 .expiries
                 .get_or_create(&tier_label(&self.call.tier))
                 .inc();
-            self.refused(Refusal::expired()).await;
+            self.end_refused(Refusal::expired()).await;
         }
     }
 
-    fn caller_left(&mut self) {
+    fn end_caller_left(&mut self) {
         let unsent = self.held.refuse().is_ok();
         if unsent {
-            self.give_up_claim();
+            self.abandon_claim();
         }
-        self.ended(Ended {
+        self.record_end(RunEnd {
             outcome: "caller_left",
             reason: None,
             output_tokens: 0,
@@ -175,15 +175,15 @@
     }
 
     /// Gives the caller a refusal as the final answer; what did not run gives up its claim.
-    async fn refused(&mut self, refusal: Refusal) {
+    async fn end_refused(&mut self, refusal: Refusal) {
         let outcome = match refusal.verdict {
             Verdict::NotRun | Verdict::BadRequest => {
-                self.give_up_claim();
+                self.abandon_claim();
                 "not_run"
             }
             Verdict::OutcomeUnknown => "outcome_unknown",
         };
-        self.ended(Ended {
+        self.record_end(RunEnd {
             outcome,
             reason: Some(refusal.reason),
             output_tokens: 0,
@@ -192,20 +192,20 @@
         let _ = self.answer.send(Message::Refused(refusal)).await;
     }
 
-    async fn try_endpoint(&mut self, endpoint: Name) -> Tried {
+    async fn try_endpoint(&mut self, endpoint: Name) -> Attempt {
         let config = self.instance.config.current();
-        let found = config.config.endpoint(&endpoint);
-        let Some(addr) = found.and_then(|e| e.addr.parse::<SocketAddr>().ok()) else {
-            return self.wait_on();
+        let endpoint_config = config.config.endpoint(&endpoint);
+        let Some(addr) = endpoint_config.and_then(|e| e.addr.parse::<SocketAddr>().ok()) else {
+            return self.resume_waiting();
         };
         if self.call.key.is_some() && self.claim.is_none() {
-            match self.claim_key().await {
+            match self.acquire_claim().await {
                 Ok(()) => {}
                 Err(refusal) => {
                     if self.held.refuse().is_ok() {
-                        self.refused(refusal).await;
+                        self.end_refused(refusal).await;
                     }
-                    return Tried::Ended;
+                    return Attempt::Ended;
                 }
             }
         }
@@ -213,17 +213,17 @@
             Ok(connection) => connection,
             Err(error) => {
                 log::debug!("{endpoint}: {error}");
-                self.held.tell(Update::EndpointFailed(endpoint));
-                return self.wait_on();
+                self.held.notify_leader(Update::EndpointFailed(endpoint));
+                return self.resume_waiting();
             }
         };
         let now_us = self.instance.clock.now_us();
         if now_us >= self.deadline_us || self.answer.is_closed() {
             // The claim or connect took too long, or this process was paused meanwhile.
-            return self.wait_on();
+            return self.resume_waiting();
         }
         if self.held.send().is_err() {
-            return Tried::Ended;
+            return Attempt::Ended;
         }
         self.sent_us = Some(now_us);
         self.endpoint = Some(endpoint);
@@ -231,18 +231,18 @@
             Target::Model { chat, stream } => self.run_model(connection, addr, chat, stream).await,
             Target::Plain { path } => self.run_plain(connection, &path).await,
         }
-        Tried::Ended
+        Attempt::Ended
     }
 
-    fn wait_on(&mut self) -> Tried {
+    fn resume_waiting(&mut self) -> Attempt {
         match self.held.return_grant() {
-            Ok(()) => Tried::WaitsOn,
-            Err(_) => Tried::Ended,
+            Ok(()) => Attempt::StillWaiting,
+            Err(_) => Attempt::Ended,
         }
     }
 
     /// Gets leave to run a request that may run at most once.
-    async fn claim_key(&mut self) -> Result<(), Refusal> {
+    async fn acquire_claim(&mut self) -> Result<(), Refusal> {
         let key = self.call.key.clone().unwrap_or_default();
         match key.parse::<Ticket>() {
             Ok(ticket) => self.use_ticket(ticket).await,
@@ -253,9 +253,9 @@
     async fn claim_in_store(&mut self, key: &str) -> Result<(), Refusal> {
         let meta = &self.call.meta;
         let key = claims::key_hash(&meta.organisation, &meta.service, key);
-        let ask = ClaimAsk { key, by: meta.id };
-        self.claim = Some(Claim::Key(ask));
-        let claimed = time::timeout(CLAIM_TIMEOUT, self.instance.claim(ask)).await;
+        let claim_request = ClaimRequest { key, by: meta.id };
+        self.claim = Some(Claim::Key(claim_request));
+        let claimed = time::timeout(CLAIM_TIMEOUT, self.instance.claim(claim_request)).await;
         match claimed.unwrap_or(ClaimAnswer::Unavailable) {
             ClaimAnswer::Yours(fence) => {
                 self.fence = Some(fence);
@@ -275,8 +275,8 @@
 
     async fn use_ticket(&mut self, ticket: Ticket) -> Result<(), Refusal> {
         let by = self.call.meta.id;
-        let asked = time::timeout(TICKET_TIMEOUT, self.instance.use_ticket(ticket, by)).await;
-        match asked.ok().flatten() {
+        let reply = time::timeout(TICKET_TIMEOUT, self.instance.use_ticket(ticket, by)).await;
+        match reply.ok().flatten() {
             Some(TicketAnswer::Yours) => {
                 self.claim = Some(Claim::Ticket(ticket));
                 Ok(())
@@ -289,12 +289,12 @@
         }
     }
 
-    fn give_up_claim(&mut self) {
+    fn abandon_claim(&mut self) {
         match self.claim.take() {
-            Some(Claim::Key(ask)) => self.instance.clone().release_claim(ask),
+            Some(Claim::Key(claim_request)) => self.instance.clone().release_claim(claim_request),
             Some(Claim::Ticket(ticket)) => {
                 // Only the issuer can take it back; elsewhere it stays used, which is safe.
-                self.instance.tickets.give_back(ticket, self.call.meta.id);
+                self.instance.tickets.restore(ticket, self.call.meta.id);
             }
             None => {}
         }
@@ -325,50 +325,50 @@
         match started {
             Ok(engine) if stream => self.relay(engine, addr).await,
             Ok(engine) => self.collect(engine, addr, chat).await,
-            Err(error) => self.failed(&error).await,
+            Err(error) => self.fail_unanswered(&error).await,
         }
     }
 
     /// Relays the stream piece by piece.
     async fn relay(&mut self, mut engine: EngineStream, addr: SocketAddr) {
         let mut progress = Progress::default();
-        let mut begun = false;
+        let mut response_started = false;
         loop {
-            let Some(next) = self.next_piece(&mut engine).await else {
+            let Some(next) = self.next_chunk(&mut engine).await else {
                 return self.abandon(addr, Some(&engine)).await;
             };
             match next {
-                Ok(Some(piece)) => {
-                    if piece.is_token {
-                        self.note_token(&mut progress);
+                Ok(Some(chunk)) => {
+                    if chunk.is_token {
+                        self.record_token(&mut progress);
                     }
-                    if !begun {
-                        begun = true;
-                        self.begin(StatusCode::OK, "text/event-stream").await;
+                    if !response_started {
+                        response_started = true;
+                        self.send_head(StatusCode::OK, "text/event-stream").await;
                     }
-                    let data = answer::sse_event(&piece.data);
+                    let data = answer::sse_event(&chunk.data);
                     // A caller that left is seen at the top of the loop.
                     let _ = self.answer.send(Message::Data(data)).await;
                 }
                 Ok(None) => {
                     let done = answer::sse_event(engine::DONE);
                     let _ = self.answer.send(Message::Data(done)).await;
-                    return self.whole(&engine).await;
+                    return self.end_complete(&engine).await;
                 }
-                Err(error) if !begun => return self.failed(&error).await,
+                Err(error) if !response_started => return self.fail_unanswered(&error).await,
                 Err(error) => {
                     let refusal = stream_refusal(&error);
                     let event = answer::sse_error(&refusal, self.held.id);
                     let _ = self.answer.send(Message::Data(event)).await;
                     // Without an `End` the body is cut off here.
-                    return self.broken(&error);
+                    return self.end_stream_failed(&error);
                 }
             }
         }
     }
 
     /// Returns the stream's next piece, or none once the caller has left.
-    async fn next_piece(
+    async fn next_chunk(
         &self,
         engine: &mut EngineStream,
     ) -> Option<Result<Option<EngineEvent>, StreamError>> {
@@ -384,18 +384,18 @@
         let mut progress = Progress::default();
         let mut text = String::new();
         loop {
-            let Some(next) = self.next_piece(&mut engine).await else {
+            let Some(next) = self.next_chunk(&mut engine).await else {
                 return self.abandon(addr, Some(&engine)).await;
             };
             match next {
-                Ok(Some(piece)) => {
-                    if piece.is_token {
-                        self.note_token(&mut progress);
+                Ok(Some(chunk)) => {
+                    if chunk.is_token {
+                        self.record_token(&mut progress);
                     }
-                    text.push_str(&piece.text);
+                    text.push_str(&chunk.text);
                 }
                 Ok(None) => break,
-                Err(error) => return self.failed(&error).await,
+                Err(error) => return self.fail_unanswered(&error).await,
             }
         }
         let usage = engine.usage().unwrap_or(Usage {
@@ -405,10 +405,10 @@
         });
         let reason = engine.finish_reason().unwrap_or("stop");
         let model = &self.call.meta.service;
-        let body = answer::whole_completion(self.held.id, model, chat, &text, reason, usage);
-        self.begin(StatusCode::OK, "application/json").await;
+        let body = answer::completion_body(self.held.id, model, chat, &text, reason, usage);
+        self.send_head(StatusCode::OK, "application/json").await;
         let _ = self.answer.send(Message::Data(body.into())).await;
-        self.whole(&engine).await;
+        self.end_complete(&engine).await;
     }
 
     async fn run_plain(&mut self, connection: Connection, path: &str) {
@@ -420,17 +420,18 @@
             Err(error) => {
                 let message = format!("the service did not answer: {error}");
                 let refusal = Refusal::unknown("endpoint_failed", message);
-                self.end_sent(false, None, "outcome_unknown", Some("endpoint_failed"), 0);
+                self.finish_sent(false, None, "outcome_unknown", Some("endpoint_failed"), 0);
                 let _ = self.answer.send(Message::Refused(refusal)).await;
                 return;
             }
         };
-        self.held.tell(Update::FirstToken(self.held.id));
+        self.held.notify_leader(Update::FirstToken(self.held.id));
         let status = sent.response.status();
         let kind = sent.response.headers().get(CONTENT_TYPE).cloned();
         let kind = kind.unwrap_or(HeaderValue::from_static("application/octet-stream"));
-        let promised = sent.response.headers().get(CONTENT_LENGTH);
-        let promised: Option<u64> = promised.and_then(|v| v.to_str().ok()?.parse().ok());
+        let content_length = sent.response.headers().get(CONTENT_LENGTH);
+        let content_length: Option<u64> =
+            content_length.and_then(|v| v.to_str().ok()?.parse().ok());
         let _ = self
             .answer
             .send(Message::Begin {
@@ -438,32 +439,39 @@
                 content_type: kind,
             })
             .await;
-        let mut passed = 0;
+        let mut relayed_bytes = 0;
         while let Some(frame) = sent.response.body_mut().frame().await {
             let Ok(frame) = frame else {
-                return self.end_sent(false, None, "outcome_unknown", Some("answer_cut"), 0);
+                return self.finish_sent(false, None, "outcome_unknown", Some("answer_cut"), 0);
             };
             if let Ok(bytes) = frame.into_data() {
-                passed += bytes.len() as u64;
+                relayed_bytes += bytes.len() as u64;
                 let _ = self.answer.send(Message::Data(bytes)).await;
             }
-            if passed > MAX_PLAIN_BYTES {
-                return self.end_sent(false, None, "outcome_unknown", Some("answer_too_long"), 0);
+            if relayed_bytes > MAX_PLAIN_BYTES {
+                return self.finish_sent(
+                    false,
+                    None,
+                    "outcome_unknown",
+                    Some("answer_too_long"),
+                    0,
+                );
             }
         }
-        if promised.is_some_and(|p| p != passed) {
-            return self.end_sent(false, None, "outcome_unknown", Some("answer_cut"), 0);
+        if content_length.is_some_and(|p| p != relayed_bytes) {
+            return self.finish_sent(false, None, "outcome_unknown", Some("answer_cut"), 0);
         }
-        self.report_time();
+        self.report_duration();
         let outcome = self.in_time_or_late();
-        self.end_sent(true, Some(1), outcome, None, 0);
+        self.finish_sent(true, Some(1), outcome, None, 0);
         let _ = self.answer.send(Message::End).await;
     }
 
-    fn report_time(&self) {
+    fn report_duration(&self) {
         let now_us = self.instance.clock.now_us();
         let span_us = now_us.saturating_sub(self.sent_us.unwrap_or(now_us));
-        self.held.tell(Update::Progress(self.held.id, 1, span_us));
+        self.held
+            .notify_leader(Update::Progress(self.held.id, 1, span_us));
     }
 
     fn request(&self, path: &str) -> Request<Full<Bytes>> {
@@ -489,7 +497,7 @@
             .unwrap_or_default()
     }
 
-    async fn begin(&self, status: StatusCode, kind: &'static str) {
+    async fn send_head(&self, status: StatusCode, kind: &'static str) {
         let content_type = HeaderValue::from_static(kind);
         let message = Message::Begin {
             status,
@@ -498,26 +506,26 @@
         let _ = self.answer.send(message).await;
     }
 
-    fn note_token(&self, progress: &mut Progress) {
+    fn record_token(&self, progress: &mut Progress) {
         let now_us = self.instance.clock.now_us();
         match progress.token(now_us) {
-            Noted::First => {
-                self.held.tell(Update::FirstToken(self.held.id));
-                let took_us = now_us.saturating_sub(self.arrived_us);
+            TokenStep::First => {
+                self.held.notify_leader(Update::FirstToken(self.held.id));
+                let latency_us = now_us.saturating_sub(self.arrived_us);
                 self.instance
                     .metrics
                     .first_token_seconds
-                    .observe(took_us as f64 / 1e6);
+                    .observe(latency_us as f64 / 1e6);
             }
-            Noted::Report(tokens, span_us) => {
+            TokenStep::Report(tokens, span_us) => {
                 self.held
-                    .tell(Update::Progress(self.held.id, tokens, span_us));
+                    .notify_leader(Update::Progress(self.held.id, tokens, span_us));
             }
-            Noted::Nothing => {}
+            TokenStep::Nothing => {}
         }
     }
 
-    async fn whole(&mut self, engine: &EngineStream) {
+    async fn end_complete(&mut self, engine: &EngineStream) {
         let usage = engine.usage().unwrap_or_default();
         let prefill = usage.prompt_tokens.saturating_sub(usage.cached_tokens);
         self.instance
@@ -525,7 +533,7 @@
             .cached_tokens
             .inc_by(usage.cached_tokens.into());
         let outcome = self.in_time_or_late();
-        self.end_sent(true, Some(engine.tokens()), outcome, None, prefill);
+        self.finish_sent(true, Some(engine.tokens()), outcome, None, prefill);
         let _ = self.answer.send(Message::End).await;
     }
 
@@ -538,13 +546,13 @@
     }
 
     /// The stream failed before anything went to the caller.
-    async fn failed(&mut self, error: &StreamError) {
-        self.broken(error);
+    async fn fail_unanswered(&mut self, error: &StreamError) {
+        self.end_stream_failed(error);
         if let StreamError::Refused { status, text } = error
             && status.is_client_error()
         {
             // The engine's own answer is the answer.
-            self.begin(*status, "application/json").await;
+            self.send_head(*status, "application/json").await;
             let _ = self.answer.send(Message::Data(text.clone().into())).await;
             let _ = self.answer.send(Message::End).await;
             return;
@@ -555,7 +563,7 @@
             .await;
     }
 
-    fn broken(&mut self, error: &StreamError) {
+    fn end_stream_failed(&mut self, error: &StreamError) {
         log::debug!("{}: {error}", self.held.id);
         let unreachable = matches!(
             error,
@@ -565,11 +573,11 @@
             }
         );
         if let Some(endpoint) = self.endpoint.clone().filter(|_| unreachable) {
-            self.held.tell(Update::EndpointFailed(endpoint));
+            self.held.notify_leader(Update::EndpointFailed(endpoint));
         }
         let reason = Some("stream_cut");
         let prefill = self.call.meta.prompt_tokens;
-        self.end_sent(false, None, "outcome_unknown", reason, prefill);
+        self.finish_sent(false, None, "outcome_unknown", reason, prefill);
     }
 
     /// The caller left: nobody waits for the rest.
@@ -580,20 +588,20 @@
         } else {
             0
         };
-        self.end_sent(false, None, "caller_left", None, prefill);
+        self.finish_sent(false, None, "caller_left", None, prefill);
         engine::cancel(addr, self.held.id).await;
     }
 
-    fn end_sent(
+    fn finish_sent(
         &mut self,
-        whole: bool,
+        complete: bool,
         tokens: Option<u32>,
         outcome: &'static str,
         reason: Option<&'static str>,
         prefill_tokens: u32,
     ) {
         // It was sent before, or this is not reached.
-        let _ = self.held.finish(whole, tokens);
+        let _ = self.held.finish(complete, tokens);
         let metrics = &self.instance.metrics;
         metrics.prefill_tokens.inc_by(prefill_tokens.into());
         let tier = tier_label(&self.call.tier);
@@ -609,7 +617,7 @@
                 metrics.wasted_prefill_tokens.inc_by(prefill_tokens.into());
             }
         }
-        self.ended(Ended {
+        self.record_end(RunEnd {
             outcome,
             reason,
             output_tokens: tokens.unwrap_or(0),
@@ -617,10 +625,10 @@
         });
     }
 
-    fn ended(&self, ended: Ended) {
+    fn record_end(&self, end: RunEnd) {
         let now_us = self.instance.clock.now_us();
         let meta = &self.call.meta;
-        self.instance.metrics.ended(&self.call.tier, ended.outcome);
+        self.instance.metrics.ended(&self.call.tier, end.outcome);
         let waited_until = self.sent_us.unwrap_or(now_us);
         self.instance.recorder.add(EndedRequest {
             id: meta.id,
@@ -629,16 +637,16 @@
             service: meta.service.clone(),
             pool: self.pool.clone(),
             endpoint: self.endpoint.clone(),
-            outcome: ended.outcome.into(),
-            reason: ended.reason.map(Into::into),
+            outcome: end.outcome.into(),
+            reason: end.reason.map(Into::into),
             at_ms: self.arrived_us / 1_000,
             waited_ms: waited_until.saturating_sub(self.arrived_us) / 1_000,
             took_ms: now_us.saturating_sub(self.arrived_us) / 1_000,
             deadline_ms: self.call.deadline_ms,
             prompt_tokens: meta.prompt_tokens,
             prefix: meta.prefix.clone(),
-            output_tokens: ended.output_tokens,
-            prefill_tokens: ended.prefill_tokens,
+            output_tokens: end.output_tokens,
+            prefill_tokens: end.prefill_tokens,
             repeatable: meta.repeatable,
         });
     }
@@ -651,25 +659,25 @@
     tokens: u32,
 }
 
-enum Noted {
+enum TokenStep {
     First,
     Report(u32, Micros),
     Nothing,
 }
 
 impl Progress {
-    fn token(&mut self, now_us: Micros) -> Noted {
+    fn token(&mut self, now_us: Micros) -> TokenStep {
         let Some(reported_us) = self.reported_us else {
             self.reported_us = Some(now_us);
-            return Noted::First;
+            return TokenStep::First;
         };
         self.tokens += 1;
         let span_us = now_us - reported_us;
         if span_us < PROGRESS_INTERVAL_US {
-            return Noted::Nothing;
+            return TokenStep::Nothing;
         }
         self.reported_us = Some(now_us);
-        Noted::Report(std::mem::take(&mut self.tokens), span_us)
+        TokenStep::Report(std::mem::take(&mut self.tokens), span_us)
     }
 }
 
--- a/src/entry/tickets.rs
+++ b/src/entry/tickets.rs
@@ -16,7 +16,7 @@
 use crate::prelude::{Incarnation, RequestId};
 
 /// How many unused tickets an instance remembers; older ones lapse.
-const MAX_OPEN: usize = 100_000;
+const MAX_UNUSED: usize = 100_000;
 /// How many used tickets an instance remembers by who used them.
 const MAX_USED: usize = 200_000;
 const PREFIX: &str = "ticket-";
@@ -67,23 +67,23 @@
 
 #[derive(Default)]
 struct Inner {
-    open: HashSet<u64>,
-    open_order: VecDeque<u64>,
+    unused: HashSet<u64>,
+    unused_order: VecDeque<u64>,
     used: HashMap<u64, RequestId>,
     used_order: VecDeque<u64>,
 }
 
 /// The tickets of this start.
 pub struct Tickets {
-    me: Incarnation,
+    incarnation: Incarnation,
     inner: Mutex<Inner>,
 }
 
 impl Tickets {
     /// Creates an empty set.
-    pub fn new(me: Incarnation) -> Self {
+    pub fn new(incarnation: Incarnation) -> Self {
         Self {
-            me,
+            incarnation,
             inner: Mutex::default(),
         }
     }
@@ -92,15 +92,15 @@
     pub fn issue(&self) -> Ticket {
         let number = rand::random();
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
-        inner.open.insert(number);
-        inner.open_order.push_back(number);
-        if inner.open_order.len() > MAX_OPEN
-            && let Some(oldest) = inner.open_order.pop_front()
+        inner.unused.insert(number);
+        inner.unused_order.push_back(number);
+        if inner.unused_order.len() > MAX_UNUSED
+            && let Some(oldest) = inner.unused_order.pop_front()
         {
-            inner.open.remove(&oldest);
+            inner.unused.remove(&oldest);
         }
         Ticket {
-            issuer: self.me,
+            issuer: self.incarnation,
             number,
         }
     }
@@ -108,8 +108,8 @@
     /// Gives leave to use a ticket, to the first arrival that asks.
     ///
     /// Asking again for the same arrival gives the same answer, so a lost answer does no harm.
-    pub fn take(&self, ticket: Ticket, by: RequestId) -> TicketAnswer {
-        if ticket.issuer != self.me {
+    pub fn redeem(&self, ticket: Ticket, by: RequestId) -> TicketAnswer {
+        if ticket.issuer != self.incarnation {
             return TicketAnswer::Unknown;
         }
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -120,7 +120,7 @@
                 TicketAnswer::Used
             };
         }
-        if !inner.open.remove(&ticket.number) {
+        if !inner.unused.remove(&ticket.number) {
             return TicketAnswer::Unknown;
         }
         inner.used.insert(ticket.number, by);
@@ -135,12 +135,12 @@
     }
 
     /// Takes leave back from an arrival that provably did not run, so that the next may use it.
-    pub fn give_back(&self, ticket: Ticket, by: RequestId) {
+    pub fn restore(&self, ticket: Ticket, by: RequestId) {
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         if inner.used.get(&ticket.number) == Some(&by) {
             inner.used.remove(&ticket.number);
-            inner.open.insert(ticket.number);
-            inner.open_order.push_back(ticket.number);
+            inner.unused.insert(ticket.number);
+            inner.unused_order.push_back(ticket.number);
         }
     }
 }
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -33,7 +33,7 @@
     distribution::{self, ConfigState},
     endpoint::poll,
     entry::{
-        claims::{self, ClaimAnswer, ClaimAsk, Keepers},
+        claims::{self, ClaimAnswer, ClaimRequest, ClaimWriters},
         http,
         parse::{KeyMap, key_map},
         recorder::Recorder,
@@ -101,7 +101,7 @@
     /// The pools led here.
     pub leaders: Leaders,
     /// The claims kept here.
-    pub claims: Keepers<S>,
+    pub claims: ClaimWriters<S>,
     /// The tickets handed out here.
     pub tickets: Tickets,
     /// The requests that ended here.
@@ -178,7 +178,7 @@
     }
 
     /// Claims a key with its shard's keeper, wherever that is.
-    pub async fn claim(&self, ask: ClaimAsk) -> ClaimAnswer {
+    pub async fn claim(&self, ask: ClaimRequest) -> ClaimAnswer {
         let shard = claims::shard_of(&ask.key);
         let view = self.gossip.view();
         let keeper = view.leader(&claims::subject(shard));
@@ -198,7 +198,7 @@
     }
 
     /// Gives up a claim whose request provably did not run.
-    pub fn release_claim(self: Arc<Self>, ask: ClaimAsk) {
+    pub fn release_claim(self: Arc<Self>, ask: ClaimRequest) {
         let shard = claims::shard_of(&ask.key);
         let view = self.gossip.view();
         let keeper = view.leader(&claims::subject(shard));
@@ -221,7 +221,7 @@
     /// Asks whoever handed out a ticket for leave to use it; none if that start cannot be asked.
     pub async fn use_ticket(&self, ticket: Ticket, by: RequestId) -> Option<TicketAnswer> {
         if ticket.issuer == self.incarnation {
-            return Some(self.tickets.take(ticket, by));
+            return Some(self.tickets.redeem(ticket, by));
         }
         let view = self.gossip.view();
         let addr = view.member(ticket.issuer)?.info.peer_addr;
@@ -260,7 +260,7 @@
         peers: PeerClients::new(codec.clone()),
         registry: Arc::new(Registry::new(incarnation, clock)),
         leaders: Leaders::default(),
-        claims: Keepers::new(store.clone()),
+        claims: ClaimWriters::new(store.clone()),
         tickets: Tickets::new(incarnation),
         recorder: Recorder::new(settings.record_requests),
         commands: CommandLog::default(),
@@ -481,7 +481,7 @@
         self.instance.config.drains().orders().cloned().collect()
     }
 
-    async fn claim(self, _: Context, shard: u16, asks: Vec<ClaimAsk>) -> Vec<ClaimAnswer> {
+    async fn claim(self, _: Context, shard: u16, asks: Vec<ClaimRequest>) -> Vec<ClaimAnswer> {
         let remember = self.instance.remember();
         let claims = &self.instance.claims;
         let answers = asks
@@ -490,7 +490,7 @@
         future::join_all(answers).await
     }
 
-    async fn release(self, _: Context, shard: u16, asks: Vec<ClaimAsk>) {
+    async fn release(self, _: Context, shard: u16, asks: Vec<ClaimRequest>) {
         let remember = self.instance.remember();
         for ask in asks {
             self.instance.claims.release(shard, ask, remember);
@@ -498,7 +498,7 @@
     }
 
     async fn use_ticket(self, _: Context, ticket: Ticket, by: RequestId) -> TicketAnswer {
-        self.instance.tickets.take(ticket, by)
+        self.instance.tickets.redeem(ticket, by)
     }
 
     async fn query(self, _: Context, text: String) -> QueryPart {
--- a/src/peers/rpc.rs
+++ b/src/peers/rpc.rs
@@ -22,7 +22,7 @@
     config::version::{Delta, Hash, Objects},
     core::shedding::LevelRequest,
     entry::{
-        claims::{ClaimAnswer, ClaimAsk},
+        claims::{ClaimAnswer, ClaimRequest},
         registry::OrderReply,
         tickets::{Ticket, TicketAnswer},
     },
@@ -75,9 +75,9 @@
     /// Exchanges drain orders: the recipient merges those of the caller and replies with all that it knows.
     async fn exchange_drains(orders: Vec<DrainOrder>) -> Vec<DrainOrder>;
     /// Claims keys of a shard.
-    async fn claim(shard: u16, requests: Vec<ClaimAsk>) -> Vec<ClaimAnswer>;
+    async fn claim(shard: u16, requests: Vec<ClaimRequest>) -> Vec<ClaimAnswer>;
     /// Releases claims whose request provably did not run.
-    async fn release(shard: u16, requests: Vec<ClaimAsk>);
+    async fn release(shard: u16, requests: Vec<ClaimRequest>);
     /// Redeems a ticket at the instance that issued it.
     async fn use_ticket(ticket: Ticket, by: RequestId) -> TicketAnswer;
     /// Evaluates an operator's query for this instance alone.
--- a/src/pool/registrar.rs
+++ b/src/pool/registrar.rs
@@ -6,7 +6,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    entry::registry::Note,
+    entry::registry::RegistrarEvent,
     instance::Instance,
     peers::view::Member,
     pool::{
@@ -41,7 +41,7 @@
 struct Registrar<S: Store> {
     instance: Arc<Instance<S>>,
     pool: Name,
-    notes: mpsc::UnboundedReceiver<Note>,
+    notes: mpsc::UnboundedReceiver<RegistrarEvent>,
     registered: Option<(Incarnation, Registration)>,
 }
 
@@ -145,14 +145,14 @@
 /// Waits for updates; returns an empty batch after [`KEEPALIVE_INTERVAL`].
 async fn collect_updates<S: Store>(
     instance: &Instance<S>,
-    notes: &mut mpsc::UnboundedReceiver<Note>,
+    notes: &mut mpsc::UnboundedReceiver<RegistrarEvent>,
 ) -> Vec<Update> {
     let mut batch = Vec::new();
     // `recv_many` is cancel safe: no note is lost.
     let _ = time::timeout(KEEPALIVE_INTERVAL, notes.recv_many(&mut batch, MAX_BATCH)).await;
     let updates = batch.into_iter().filter_map(|note| match note {
-        Note::Added(id) => instance.registry.waiting_meta(id).map(Update::Add),
-        Note::Update(update) => Some(update),
+        RegistrarEvent::Added(id) => instance.registry.waiting_meta(id).map(Update::Add),
+        RegistrarEvent::Update(update) => Some(update),
     });
     updates.collect()
 }
--- a/src/replay/run.rs
+++ b/src/replay/run.rs
@@ -17,7 +17,7 @@
         scheduler::{Action, EventWindow, Input, OrgSpec, PolicySettings, PoolSpec, Scheduler},
         shedding::{HeldLevel, LevelRequest, level_needed},
     },
-    entry::registry::{KEPT_LENGTHS, is_waiting},
+    entry::registry::{MAX_ANSWER_LENGTHS, is_waiting},
     prelude::{Incarnation, Micros, Name, Registration, RequestId, RequestMeta},
     replay::{
         baseline::{Baseline, Kind},
@@ -547,7 +547,7 @@
         self.open -= 1;
         self.seen
             .push_back((entry.pool, seen_length(line, entry.rank)));
-        if self.seen.len() > KEPT_LENGTHS {
+        if self.seen.len() > MAX_ANSWER_LENGTHS {
             self.seen.pop_front();
         }
         let tokens = Some(line.output_tokens);
