--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -1,7 +1,7 @@
-//! The requests that this instance holds, each with its state machine.
+//! Registry of the requests that this instance holds as an entry, each with its lifecycle.
 //!
-//! One lock covers the requests and the levels held for shedding, so that an arrival, a question
-//! about what is kept and an order to shed never interleave.
+//! One lock covers the requests and the held shedding levels. Admitting a request, answering a
+//! leader's level request and applying a shed order are therefore atomic with respect to each other.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -25,46 +25,46 @@
     prelude::{Incarnation, Micros, Name, Registration, RequestId, RequestMeta, ShedReason},
 };
 
-/// What was decided about a waiting request.
+/// The decision on a waiting request, made by the pool's leader or an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// It may be sent to the endpoint.
+    /// The request may be sent to the endpoint.
     Granted {
-        /// Where to.
+        /// Name of the endpoint.
         endpoint: Name,
     },
-    /// It is refused as not run.
+    /// The request is refused without having run.
     Shed {
-        /// Why.
+        /// Reason for the refusal.
         reason: ShedReason,
-        /// When the caller may come back, in milliseconds.
+        /// Time after which the caller may retry, in milliseconds.
         retry_after_ms: u32,
     },
-    /// An operator cancelled it.
+    /// An operator cancelled the request.
     Cancelled,
 }
 
-/// Something that a registrar has to tell its leader.
+/// A change that the pool's registrar forwards to the pool's leader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RegistrarEvent {
-    /// A request has come; its data are looked up when this is sent.
+    /// A request arrived. Its metadata is read from the registry when this event is forwarded.
     Added(RequestId),
-    /// Anything else.
+    /// Any other update, forwarded as it is.
     Update(Update),
 }
 
-/// A request as it arrives.
+/// An arriving request, as passed to [`Registry::admit`].
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// The pool slice it is for.
+    /// The pool slice that serves the request.
     pub pool: Name,
-    /// What the scheduler is to know; times are filled in when it is sent.
+    /// Metadata for the scheduler. Waiting and remaining time are filled in when it is forwarded.
     pub meta: RequestMeta,
-    /// Its deadline on this process's clock.
+    /// Deadline on this process's clock, in microseconds.
     pub deadline_us: Micros,
     /// Number of tiers in the configuration.
     pub tiers: usize,
-    /// The name of its tier.
+    /// Name of the request's tier.
     pub tier: Name,
 }
 
@@ -76,30 +76,30 @@
     decisions: mpsc::UnboundedSender<Decision>,
 }
 
-/// One held request, as operators see it.
+/// Operator view of a held request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeldView {
-    /// Its id.
+    /// Request id.
     pub id: RequestId,
-    /// Its organisation.
+    /// Organisation of the caller.
     pub organisation: Name,
-    /// Its tier.
+    /// Tier of the request.
     pub tier: Name,
-    /// The service called.
+    /// Called service.
     pub service: Name,
-    /// The pool slice.
+    /// Pool slice that serves the request.
     pub pool: Name,
-    /// Where it stands.
+    /// Lifecycle stage.
     pub stage: Stage,
-    /// Where it runs, if it does.
+    /// Endpoint that the request was granted, if any.
     pub endpoint: Option<Name>,
-    /// Length of the prompt.
+    /// Prompt length, in tokens.
     pub prompt_tokens: u32,
-    /// Time since its arrival, in milliseconds.
+    /// Time since arrival, in milliseconds.
     pub age_ms: u64,
-    /// Time left to its deadline, in milliseconds.
+    /// Time left until the deadline, in milliseconds.
     pub left_ms: u64,
-    /// Whether a second run would do no harm.
+    /// Whether the request is idempotent, so that it may run more than once.
     pub repeatable: bool,
 }
 
@@ -109,14 +109,14 @@
     levels: HashMap<Name, HeldLevel>,
     registrations: HashMap<Name, Registration>,
     registrars: HashMap<Name, mpsc::UnboundedSender<RegistrarEvent>>,
-    /// Lengths of the last answers, for the next leader of each pool.
+    /// Lengths of the most recent answers by pool, sent to a new leader at registration.
     answer_lengths: HashMap<Name, VecDeque<AnswerLength>>,
 }
 
-/// How many lengths of answers an entry remembers for each pool.
+/// Maximum number of recent answer lengths kept per pool.
 pub const MAX_ANSWER_LENGTHS: usize = 300;
 
-/// The requests that this instance holds.
+/// The requests held by this instance, with the shedding levels and registrations by pool.
 pub struct Registry {
     incarnation: Incarnation,
     clock: Clock,
@@ -124,9 +124,9 @@
     inner: Mutex<Inner>,
 }
 
-/// A held request's place in the registry; dropping it withdraws the request.
+/// Handle to a held request. Dropping it removes the request and withdraws it from the leader.
 pub struct HeldRequest {
-    /// Its id.
+    /// Request id.
     pub id: RequestId,
     pool: Name,
     registry: Arc<Registry>,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Returns an id that no other arrival has.
+    /// Returns a new request id, unique across instances and restarts.
     pub fn next_id(&self) -> RequestId {
         RequestId {
             entry: self.incarnation,
@@ -152,10 +152,10 @@
         }
     }
 
-    /// Takes a request in.
+    /// Adds a request and reports it to the pool's registrar.
     ///
     /// # Errors
-    /// Its tier is being shed for the pool; it was not taken.
+    /// Returns [`ShedReason::TierShed`] if the pool is shedding the request's tier. The request is not added.
     pub fn admit(self: &Arc<Self>, arrival: Arrival) -> Result<HeldRequest, ShedReason> {
         let now_us = self.clock.now_us();
         let id = arrival.meta.id;
@@ -185,14 +185,15 @@
         })
     }
 
-    /// Returns the channel on which a pool's notes come, and from then on sends them there.
+    /// Subscribes to a pool's registrar events, replacing any earlier subscription.
     pub fn subscribe(&self, pool: &Name) -> mpsc::UnboundedReceiver<RegistrarEvent> {
         let (sender, receiver) = mpsc::unbounded_channel();
         self.lock().registrars.insert(pool.clone(), sender);
         receiver
     }
 
-    /// Begins a new registration for a pool; returns it with all that is held.
+    /// Starts a new registration for a pool. Returns it with the updates that describe the whole state:
+    /// recent answer lengths and all held requests.
     pub fn reregister(&self, pool: &Name) -> (Registration, Vec<Update>) {
         let now_us = self.clock.now_us();
         let mut inner = self.lock();
@@ -213,7 +214,7 @@
         (registration, updates)
     }
 
-    /// Returns the data of a request that still waits.
+    /// Returns the metadata of a request, or `None` if it is not waiting any more.
     pub fn waiting_meta(&self, id: RequestId) -> Option<RequestMeta> {
         let now_us = self.clock.now_us();
         let inner = self.lock();
@@ -221,9 +222,9 @@
         (held.lifecycle.stage() == Stage::Waiting).then(|| held.meta(now_us))
     }
 
-    /// Carries out a leader's orders; says of each whether it was taken.
+    /// Applies a leader's orders and returns one reply per order.
     ///
-    /// `is_draining` says whether an endpoint is known here to take no new work.
+    /// `is_draining` returns whether this instance knows that an endpoint accepts no new requests.
     pub fn carry_out(
         &self,
         batch: &OrderBatch,
@@ -237,7 +238,7 @@
             .collect()
     }
 
-    /// Answers a leader that asks to hold a level for a pool.
+    /// Tries to hold a shedding level for a pool on a leader's request; returns whether it is held.
     pub fn hold_level(&self, pool: &Name, request: LevelRequest) -> bool {
         let now_us = self.clock.now_us();
         let mut inner = self.lock();
@@ -250,19 +251,19 @@
         level.try_hold(now_us, request, holds_such_request)
     }
 
-    /// Cancels a request on an operator's word; returns whether it was held.
+    /// Cancels a request for an operator; returns whether the request was held.
     pub fn cancel(&self, id: RequestId) -> bool {
         let inner = self.lock();
         let held = inner.held.get(&id);
         held.is_some_and(|h| h.decisions.send(Decision::Cancelled).is_ok())
     }
 
-    /// Returns the registration in force for a pool.
+    /// Returns the current registration for a pool.
     pub fn registration(&self, pool: &Name) -> Registration {
         self.lock().registration(self.incarnation, pool)
     }
 
-    /// Returns the registrations in force, by pool slice.
+    /// Returns the current registrations by pool slice.
     pub fn registrations(&self) -> BTreeMap<Name, Registration> {
         let inner = self.lock();
         inner
@@ -272,17 +273,17 @@
             .collect()
     }
 
-    /// Returns the number of requests held.
+    /// Returns the number of held requests.
     pub fn len(&self) -> usize {
         self.lock().held.len()
     }
 
-    /// Returns whether nothing is held.
+    /// Returns whether no request is held.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Returns how many wait and how many run.
+    /// Returns the number of waiting and of running requests.
     pub fn counts(&self) -> (usize, usize) {
         let inner = self.lock();
         let held = inner.held.values();
@@ -290,7 +291,7 @@
         (waiting, inner.held.len() - waiting)
     }
 
-    /// Returns how many wait, by tier.
+    /// Returns the number of waiting requests by tier.
     pub fn waiting_by_tier(&self) -> BTreeMap<Name, usize> {
         let inner = self.lock();
         let mut counts = BTreeMap::new();
@@ -304,14 +305,14 @@
         counts
     }
 
-    /// Returns the ids of all that is held.
+    /// Returns the ids of all held requests.
     pub fn ids(&self) -> Vec<RequestId> {
         self.lock().held.keys().copied().collect()
     }
 
-    /// Returns those of the requests that are still held, as operators see them.
+    /// Returns operator views of those requests that are still held.
     ///
-    /// Large sets are asked for in parts, so that the lock is held for a short time only.
+    /// Callers split large sets into several calls, so that each holds the lock only briefly.
     pub fn views_of(&self, ids: &[RequestId]) -> Vec<HeldView> {
         let now_us = self.clock.now_us();
         let inner = self.lock();
@@ -320,19 +321,19 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // Every step leaves the state whole, so a poisoned lock is usable.
+        // No operation panics half-way through a change, so the state behind a poisoned lock is consistent.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// What became of one order.
+/// The result of one order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderReply {
-    /// It was carried out.
+    /// The order was applied.
     Taken,
-    /// It was not, and the request waits on here.
+    /// The order was not applied; the request is still waiting on this instance.
     Waits,
-    /// It was not, and the request does not wait under that registration.
+    /// The order was not applied; the request is not waiting under the order's registration.
     Gone,
 }
 
@@ -368,7 +369,7 @@
 
     fn notify_registrar(&self, pool: &Name, event: RegistrarEvent) {
         if let Some(registrar) = self.registrars.get(pool) {
-            // Without a registrar the next one reads the whole state when it registers.
+            // A send fails if the registrar has stopped. The next one reads the whole state when it registers.
             let _ = registrar.send(event);
         }
     }
@@ -439,7 +440,7 @@
         self.lifecycle.grant(offered)?;
         self.endpoint = Some(endpoint.clone());
         let endpoint = endpoint.clone();
-        // The task that waits for this drops its end only together with the request.
+        // The receiver is dropped only together with the request, so there is nobody left to notify.
         let _ = self.decisions.send(Decision::Granted { endpoint });
         Ok(())
     }
@@ -490,45 +491,46 @@
 }
 
 impl HeldRequest {
-    /// Waits for what the leader, or an operator, decides.
+    /// Waits for the next decision of the leader or an operator.
     pub async fn decision(&mut self) -> Decision {
         match self.decisions.recv().await {
             Some(decision) => decision,
-            // The registry holds the other end for as long as this exists.
+            // Does not happen: the registry keeps the sender for as long as this handle exists.
             None => std::future::pending().await,
         }
     }
 
-    /// Marks the request as sent; the one step after which it is never sent again.
+    /// Marks the request as sent. From then on it is never sent again.
     ///
     /// # Errors
-    /// It holds no grant, or was sent before.
+    /// The request holds no grant or was sent before.
     pub fn send(&self) -> Result<(), LifecycleError> {
         self.step(Lifecycle::send)
     }
 
-    /// Gives a grant back, no byte having been sent.
+    /// Returns an unused grant to the leader; no byte of the request was sent.
     ///
     /// # Errors
-    /// It holds no grant.
+    /// The request holds no grant.
     pub fn return_grant(&self) -> Result<(), LifecycleError> {
         self.step(Lifecycle::return_grant)?;
         self.notify_leader(Update::Returned(self.id));
         Ok(())
     }
 
-    /// Refuses the request as not run.
+    /// Ends the request as not run.
     ///
     /// # Errors
-    /// It was sent, so this cannot be said.
+    /// The request was sent, so it may have run.
     pub fn refuse(&self) -> Result<(), LifecycleError> {
         self.step(Lifecycle::refuse)
     }
 
-    /// Ends a sent request.
+    /// Ends a sent request and records the answer's length, if known. `whole` says whether the answer was
+    /// received completely.
     ///
     /// # Errors
-    /// It was not sent.
+    /// The request was not sent.
     pub fn finish(&self, whole: bool, output_tokens: Option<u32>) -> Result<(), LifecycleError> {
         self.step(|l| l.finish(whole))?;
         if let Some(tokens) = output_tokens {
@@ -538,7 +540,7 @@
         Ok(())
     }
 
-    /// Returns where it stands.
+    /// Returns the request's lifecycle stage.
     pub fn stage(&self) -> Stage {
         let inner = self.registry.lock();
         let ended = Stage::Ended(crate::core::lifecycle::Ending::NotRun);
@@ -548,7 +550,7 @@
             .map_or(ended, |h| h.lifecycle.stage())
     }
 
-    /// Passes something on to the pool's leader.
+    /// Forwards an update to the pool's leader through the registrar.
     pub fn notify_leader(&self, update: Update) {
         self.registry
             .lock()
@@ -571,7 +573,7 @@
     fn drop(&mut self) {
         let mut inner = self.registry.lock();
         inner.held.remove(&self.id);
-        // After a `Finished` this changes nothing.
+        // The leader ignores a withdrawal after `Finished`.
         inner.notify_registrar(
             &self.pool,
             RegistrarEvent::Update(Update::Withdraw(self.id)),
@@ -579,7 +581,7 @@
     }
 }
 
-/// Returns whether a request at this stage waits; it has provably not run.
+/// Returns whether a request at this stage is waiting, which proves that it has not run.
 pub fn is_waiting(stage: Stage) -> bool {
     matches!(stage, Stage::Waiting | Stage::Granted)
 }
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -1,4 +1,4 @@
-//! Runs one request: holds it, sends it when granted, relays the answer.
+//! Runs a single request: registers it, sends it to the granted endpoint and relays the answer.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -38,22 +38,22 @@
 const RETRY_AFTER_CLAIM_MS: u32 = 2_000;
 const MAX_PLAIN_BYTES: u64 = 64 << 20;
 
-/// A claim that this arrival holds or tried to get.
+/// A claim that this request holds, or may hold after a claim attempt with an unknown result.
 #[derive(Clone, Copy, Debug)]
 enum Claim {
     Key(ClaimRequest),
     Ticket(Ticket),
 }
 
-/// What one try at an endpoint came to.
+/// Result of one attempt to send the request to an endpoint.
 enum Attempt {
-    /// Nothing was sent; the request waits on.
+    /// Nothing was sent; the grant was returned and the request waits for another.
     StillWaiting,
-    /// The request has its final answer.
+    /// The request has ended.
     Ended,
 }
 
-/// How a request ended, for the counters.
+/// How a request ended, for metrics and the recorder.
 struct RunEnd {
     outcome: &'static str,
     reason: Option<&'static str>,
@@ -75,7 +75,7 @@
     fence: Option<u64>,
 }
 
-/// Runs a call until it has its final answer or its caller is gone.
+/// Runs a call until its final answer has been sent or the caller has disconnected.
 pub async fn run<S: Store>(instance: Arc<Instance<S>>, call: Call, answer: mpsc::Sender<Message>) {
     let now_us = instance.clock.now_us();
     let config = instance.config.current();
@@ -150,7 +150,7 @@
     }
 
     async fn expire(&mut self) {
-        // Nothing was sent: every way to a sent request ends inside `try_endpoint`.
+        // Nothing was sent: a request that is sent always ends inside `try_endpoint`.
         if self.held.refuse().is_ok() {
             self.instance
                 .metrics
@@ -174,7 +174,7 @@
         });
     }
 
-    /// Gives the caller a refusal as the final answer; what did not run gives up its claim.
+    /// Sends a refusal as the final answer. Releases the claim if the request did not run.
     async fn end_refused(&mut self, refusal: Refusal) {
         let outcome = match refusal.verdict {
             Verdict::NotRun | Verdict::BadRequest => {
@@ -212,14 +212,14 @@
         let connection = match Connection::open(addr).await {
             Ok(connection) => connection,
             Err(error) => {
-                log::debug!("{endpoint}: {error}");
+                log::debug!("failed to connect to endpoint {endpoint}: {error}");
                 self.held.notify_leader(Update::EndpointFailed(endpoint));
                 return self.resume_waiting();
             }
         };
         let now_us = self.instance.clock.now_us();
         if now_us >= self.deadline_us || self.answer.is_closed() {
-            // The claim or connect took too long, or this process was paused meanwhile.
+            // Claiming or connecting took too long, this process was paused, or the caller disconnected.
             return self.resume_waiting();
         }
         if self.held.send().is_err() {
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Gets leave to run a request that may run at most once.
+    /// Claims the key or ticket of a request that may run at most once.
     async fn acquire_claim(&mut self) -> Result<(), Refusal> {
         let key = self.call.key.clone().unwrap_or_default();
         match key.parse::<Ticket>() {
@@ -293,7 +293,8 @@
         match self.claim.take() {
             Some(Claim::Key(claim_request)) => self.instance.clone().release_claim(claim_request),
             Some(Claim::Ticket(ticket)) => {
-                // Only the issuer can take it back; elsewhere it stays used, which is safe.
+                // Only the issuer can make the ticket usable again. On other instances this has no effect and the
+                // ticket stays used, which is safe.
                 self.instance.tickets.restore(ticket, self.call.meta.id);
             }
             None => {}
@@ -329,7 +330,7 @@
         }
     }
 
-    /// Relays the stream piece by piece.
+    /// Relays the engine's stream to the caller as server-sent events.
     async fn relay(&mut self, mut engine: EngineStream, addr: SocketAddr) {
         let mut progress = Progress::default();
         let mut response_started = false;
@@ -347,7 +348,7 @@
                         self.send_head(StatusCode::OK, "text/event-stream").await;
                     }
                     let data = answer::sse_event(&chunk.data);
-                    // A caller that left is seen at the top of the loop.
+                    // A send fails if the caller disconnected, which `next_chunk` detects.
                     let _ = self.answer.send(Message::Data(data)).await;
                 }
                 Ok(None) => {
@@ -360,14 +361,14 @@
                     let refusal = stream_refusal(&error);
                     let event = answer::sse_error(&refusal, self.held.id);
                     let _ = self.answer.send(Message::Data(event)).await;
-                    // Without an `End` the body is cut off here.
+                    // No `Message::End` is sent, so the caller's body is aborted.
                     return self.end_stream_failed(&error);
                 }
             }
         }
     }
 
-    /// Returns the stream's next piece, or none once the caller has left.
+    /// Returns the next item of the stream, or `None` if the caller has disconnected.
     async fn next_chunk(
         &self,
         engine: &mut EngineStream,
@@ -379,7 +380,7 @@
         }
     }
 
-    /// Collects the stream into one answer.
+    /// Collects the engine's stream and sends it as a single JSON answer.
     async fn collect(&mut self, mut engine: EngineStream, addr: SocketAddr, chat: bool) {
         let mut progress = Progress::default();
         let mut text = String::new();
@@ -413,8 +414,8 @@
 
     async fn run_plain(&mut self, connection: Connection, path: &str) {
         let request = self.request(path);
-        // The caller may leave: a plain service's request is not cut off by that, since whether it
-        // ran would be less known for nothing.
+        // A disconnecting caller does not abort a request to a plain service: aborting would only make it
+        // uncertain whether the request ran.
         let mut sent = match connection.send(request).await {
             Ok(sent) => sent,
             Err(error) => {
@@ -545,13 +546,13 @@
         }
     }
 
-    /// The stream failed before anything went to the caller.
+    /// Ends a request whose stream failed before anything was sent to the caller.
     async fn fail_unanswered(&mut self, error: &StreamError) {
         self.end_stream_failed(error);
         if let StreamError::Refused { status, text } = error
             && status.is_client_error()
         {
-            // The engine's own answer is the answer.
+            // The engine's client error is relayed as the answer.
             self.send_head(*status, "application/json").await;
             let _ = self.answer.send(Message::Data(text.clone().into())).await;
             let _ = self.answer.send(Message::End).await;
@@ -564,7 +565,7 @@
     }
 
     fn end_stream_failed(&mut self, error: &StreamError) {
-        log::debug!("{}: {error}", self.held.id);
+        log::debug!("request {}: stream failed: {error}", self.held.id);
         let unreachable = matches!(
             error,
             StreamError::Interrupted {
@@ -580,7 +581,7 @@
         self.finish_sent(false, None, "outcome_unknown", reason, prefill);
     }
 
-    /// The caller left: nobody waits for the rest.
+    /// Ends a sent request whose caller disconnected, and cancels it on the engine.
     async fn abandon(&mut self, addr: SocketAddr, engine: Option<&EngineStream>) {
         let started = engine.is_some_and(|e| e.tokens() > 0);
         let prefill = if started {
@@ -600,7 +601,7 @@
         reason: Option<&'static str>,
         prefill_tokens: u32,
     ) {
-        // It was sent before, or this is not reached.
+        // Cannot fail: this is only called for requests that were sent.
         let _ = self.held.finish(complete, tokens);
         let metrics = &self.instance.metrics;
         metrics.prefill_tokens.inc_by(prefill_tokens.into());
@@ -652,7 +653,7 @@
     }
 }
 
-/// What a stream has shown so far, between two reports.
+/// Counts a stream's tokens between two progress reports.
 #[derive(Default)]
 struct Progress {
     reported_us: Option<Micros>,
@@ -694,7 +695,8 @@
     Refusal::not_run(reason.as_str(), message, retry_after_ms)
 }
 
-/// Spreads a wait over one to two times its length, by the request's number.
+/// Returns a back-off between one and two times `base_ms`, spread by a hash of the request's number so
+/// that refused callers do not retry all at once.
 fn spread_ms(seq: u64, base_ms: u32) -> u32 {
     let spread = seq.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 48;
     base_ms + (f64::from(base_ms) * spread as f64 / 65_536.0) as u32
