--- a/src/entry/answer.rs
+++ b/src/entry/answer.rs
@@ -1,4 +1,4 @@
-//! Answers as they go to callers: whole, or visibly not whole.
+//! Responses to callers. A caller can always tell a complete response from one that was cut off.
 
 use std::{convert::Infallible, io, time::Duration};
 
@@ -15,40 +15,40 @@
 
 use crate::{endpoint::engine::Usage, entry::refusal::Refusal, prelude::RequestId};
 
-/// A body whose failure closes the connection before the body's end is marked.
+/// A response body. If it fails, the connection is closed without the terminator of a complete body.
 pub type Body = UnsyncBoxBody<Bytes, io::Error>;
 
 /// The header that carries the request's id.
 pub const ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
 
-/// What the task that runs a request sends to the one that answers the caller.
+/// A message from the task that runs a request to the task that answers the caller.
 #[derive(Debug)]
 pub enum Message {
-    /// A refusal, as the first and last message.
+    /// A refusal; the first and only message.
     Refused(Refusal),
-    /// The head of an answer.
+    /// The head of a response.
     Begin {
-        /// Its status.
+        /// HTTP status.
         status: StatusCode,
-        /// Its content type.
+        /// Content type.
         content_type: HeaderValue,
     },
     /// A part of the body.
     Data(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
 }
 
-/// Time for the last event to reach the caller before its connection is cut.
+/// Delay before the connection is aborted, so that the last event still reaches the caller.
 const ABORT_DELAY: Duration = Duration::from_millis(50);
 
-/// Makes a whole body.
+/// Creates a complete body.
 pub fn full(text: impl Into<Bytes>) -> Body {
     let body = Full::new(text.into()).map_err(|e: Infallible| match e {});
     body.boxed_unsync()
 }
 
-/// Makes the answer of what a request's task sends.
+/// Builds the response from the messages of a request's task.
 pub async fn response_from_messages(
     id: RequestId,
     mut messages: mpsc::Receiver<Message>,
@@ -75,8 +75,8 @@
     response
 }
 
-/// Relays parts as they come. If they stop without an [`Message::End`] the body fails, so that the
-/// connection is closed without the mark of a whole body.
+/// Relays parts of the body as they arrive. If they stop without a [`Message::End`], the body fails, so
+/// that the connection is closed without the terminator of a complete body.
 fn streaming_body(messages: mpsc::Receiver<Message>) -> Body {
     let parts = stream::unfold(Some(messages), |messages| async {
         let mut messages = messages?;
@@ -84,27 +84,27 @@
             Some(Message::Data(bytes)) => Some((Ok(Frame::data(bytes)), Some(messages))),
             Some(Message::End) => None,
             _ => {
-                // hyper drops what it has not written when a body fails: let it write first.
+                // hyper discards data that it has not written yet when a body fails, so give it time to write.
                 time::sleep(ABORT_DELAY).await;
-                Some((Err(io::Error::other("the answer is not whole")), None))
+                Some((Err(io::Error::other("the response was cut off")), None))
             }
         }
     });
     StreamBody::new(parts).boxed_unsync()
 }
 
-/// Writes one server-sent event.
+/// Formats a server-sent event.
 pub fn sse_event(data: &str) -> Bytes {
     Bytes::from(format!("data: {data}\n\n"))
 }
 
-/// Writes the event that says that a stream is not whole.
+/// Formats the error event that ends a stream which was cut off.
 pub fn sse_error(refusal: &Refusal, id: RequestId) -> Bytes {
     let json = refusal.json(Some(id));
     Bytes::from(format!("event: error\ndata: {json}\n\n"))
 }
 
-/// Writes a whole answer of a model.
+/// Formats a complete, non-streaming completion.
 pub fn completion_body(
     id: RequestId,
     model: &str,
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -1,9 +1,10 @@
 //! Claims on the keys of requests that may run at most once.
 //!
-//! Before such a request is sent, its key is added to the claims object of its shard by a
-//! conditional update. The object's version is the fence: a writer that was paused or is not the
-//! shard's keeper any more simply fails and reads again. Many keys go in one write. An ambiguous
-//! write is settled by reading: a claim found with one's own request id is one's own.
+//! Before such a request is sent, its key is added to the claims object of its shard by a conditional
+//! write. The object's version is the fencing token: the write of an instance that was paused, or that
+//! no longer is the shard's writer, fails, and the instance reads the object again. Claims are written in
+//! batches. If it is unknown whether a write took effect, the object is read again: a claim that holds
+//! the request's own id was written by this request.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -21,53 +22,55 @@
     store::{Object, Store, WriteError},
 };
 
-/// Shards of the claims; each is one object and has one keeper at a time.
+/// Number of claim shards. Each is one stored object and has one writer at a time.
 pub const SHARDS: u16 = 8;
-/// Time between two writes of a shard: 8 shards at 4 a second stay at 32 writes a second.
+/// Minimum time between two writes of a shard. 8 shards at 4 writes per second make at most 32 writes
+/// per second.
 pub const WRITE_INTERVAL: Duration = Duration::from_millis(250);
-/// More claims than this in a shard would not fit the store's values: 42 bytes each, in base64.
+/// Maximum number of claims in a shard. At 42 bytes each, in base64, more would exceed the store's limit
+/// on the size of a value.
 pub const MAX_CLAIMS: usize = 18_000;
 const MAX_WRITE_ATTEMPTS: u32 = 4;
 
-/// SHA-256 of organisation, service and key, shortened.
+/// First 16 bytes of the SHA-256 of organisation, service and key.
 pub type KeyHash = [u8; 16];
 
-/// Asks for a key on behalf of one arrival.
+/// A request to claim a key for one arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The key.
+    /// Hash of the key.
     pub key: KeyHash,
-    /// The arrival that wants to run.
+    /// The request that is to run.
     pub by: RequestId,
 }
 
-/// What became of a claim.
+/// The result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// The arrival may run; the number is the fence to give to endpoints that check one.
+    /// The request may run. The number is the fencing token for endpoints that check one.
     Yours(u64),
-    /// Another arrival has the key: it ran, runs or may run.
+    /// Another request holds the key: it ran, is running or may still run.
     Taken,
-    /// Not known and not to be had now; the arrival must not run.
+    /// The key could not be claimed for now; the request must not run.
     Unavailable,
 }
 
-/// One remembered claim.
+/// One stored claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Claim {
     by: RequestId,
     at_s: u64,
 }
 
-/// What a shard's object holds.
+/// Content of a shard's stored object.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Claims {
     claims: HashMap<KeyHash, Claim>,
-    /// The latest time of any writer, so that a clock set back forgets nothing early.
+    /// Latest time that any writer used. Claims do not expire early if a writer's clock is set back.
     newest_s: u64,
 }
 
-/// Hashes a key so that no text of the caller's is stored.
+/// Hashes a key, so that no caller-supplied text is stored.
 pub fn key_hash(organisation: &str, service: &str, key: &str) -> KeyHash {
     let mut hasher = Sha256::new();
     for part in [organisation, service, key] {
@@ -84,12 +87,12 @@
     u16::from(key[0]) % SHARDS
 }
 
-/// Returns the subject by which a shard's keeper is chosen.
+/// Returns the subject by which a shard's writer is elected among the instances.
 pub fn subject(shard: u16) -> String {
     format!("claims/{shard}")
 }
 
-/// Returns the key of a shard's object.
+/// Returns the store key of a shard's object.
 fn object_key(shard: u16) -> String {
     format!("claims-{shard}")
 }
@@ -99,7 +102,7 @@
     Release(ClaimRequest),
 }
 
-/// The keepers of shards in this process; each is started when first asked.
+/// The shard writers of this process. Each is started on the first job for its shard.
 pub struct ClaimWriters<S> {
     store: S,
     jobs: std::sync::Mutex<HashMap<u16, mpsc::Sender<Job>>>,
@@ -108,7 +111,7 @@
 const MAX_QUEUED_JOBS: usize = 8_192;
 
 impl<S: Store> ClaimWriters<S> {
-    /// Creates an empty set.
+    /// Creates the set without any running writer.
     pub fn new(store: S) -> Self {
         Self {
             store,
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Claims a key; waits for the write.
+    /// Claims a key and waits until the claim is written. `retention` is how long claims are kept.
     pub async fn claim(
         &self,
         shard: u16,
@@ -131,8 +134,8 @@
         answer.await.unwrap_or(ClaimAnswer::Unavailable)
     }
 
-    /// Gives a claim up; the request provably did not run. If this is lost, a later arrival with
-    /// the key is told that the outcome is unknown, which is safe.
+    /// Releases the claim of a request that provably did not run. If the release is lost, a later
+    /// request with the key is refused with an unknown outcome, which is safe.
     pub fn release(&self, shard: u16, request: ClaimRequest, retention: Duration) {
         let _ = self.jobs(shard, retention).try_send(Job::Release(request));
     }
@@ -189,13 +192,13 @@
         }
         let results = self.write_batch(&requests, &releases).await;
         for (answer, result) in answers.into_iter().zip(results) {
-            // The one who asked may have gone; its claim stands.
+            // The requester may have stopped waiting; its claim remains valid.
             let _ = answer.send(result);
         }
     }
 
-    /// Writes a batch; every answer but `Unavailable` rests on a write that took effect or on a
-    /// claim that was read.
+    /// Writes a batch of claims and releases. Every answer but `Unavailable` is backed by a write that took
+    /// effect or by a claim that was read from the store.
     async fn write_batch(
         &mut self,
         requests: &[ClaimRequest],
@@ -220,7 +223,7 @@
                     self.cached = Some((version, claims));
                     return answers;
                 }
-                // Written or not, the next round reads what is there.
+                // Whether or not the write took effect, the next attempt reads the object again.
                 Err(WriteError::Conflict | WriteError::Unknown { .. }) => self.cached = None,
                 Err(WriteError::NotWritten { .. }) => {}
             }
@@ -237,7 +240,8 @@
         let loaded = match read {
             None => (0, Claims::default()),
             Some(Object { version, value }) => {
-                // An object that cannot be read must not be overwritten: its keys may have run.
+                // An object that cannot be decoded must not be overwritten: requests with its keys may
+                // have run.
                 (version, postcard::from_bytes(&value).ok()?)
             }
         };
@@ -247,7 +251,7 @@
 }
 
 impl Claims {
-    /// Adds what is free, removes what is given up and what is old; returns whether it changed.
+    /// Adds claims on free keys and removes released and expired claims; returns whether anything changed.
     fn update(
         &mut self,
         requests: &[ClaimRequest],
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -1,4 +1,5 @@
-//! The callers' listener: bounds on everything a caller can send, and one answer to each request.
+//! The HTTP listener for callers. Limits the size and duration of everything a caller sends, and gives each
+//! request exactly one answer.
 
 use std::{convert::Infallible, io, sync::Arc, time::Duration};
 
@@ -36,7 +37,7 @@
 const MAX_HEADERS: usize = 64;
 const MAX_BUFFERED_MESSAGES: usize = 16;
 
-/// Serves callers until cancelled, then returns once the open connections have finished theirs.
+/// Serves callers until cancelled, then returns once the requests on open connections have finished.
 pub async fn serve<S: Store>(
     instance: Arc<Instance<S>>,
     listener: TcpListener,
@@ -53,7 +54,7 @@
     stream: TcpStream,
     stop: CancellationToken,
 ) {
-    // Without this small events wait for acknowledgements; with it failing they are late.
+    // Without TCP_NODELAY small events wait for acknowledgements. If setting it fails, they are only late.
     let _ = stream.set_nodelay(true);
     let header_timeout = Duration::from_millis(instance.settings.header_timeout_ms);
     let service = service_fn(move |request| {
@@ -71,7 +72,7 @@
         _ = connection.as_mut() => return,
         () = stop.cancelled() => connection.as_mut().graceful_shutdown(),
     }
-    // An error here is the caller's leaving or a body that was cut on purpose.
+    // An error here means that the caller disconnected or that a body was aborted on purpose.
     let _ = connection.await;
 }
 
@@ -85,7 +86,7 @@
             instance.metrics.bad_requests.inc();
             let mut response = refusal.response(None);
             if refusal.status == StatusCode::PAYLOAD_TOO_LARGE {
-                // What is left of the body is not read.
+                // The rest of the body is not read, so the connection cannot be reused.
                 let close = HeaderValue::from_static("close");
                 response
                     .headers_mut()
@@ -171,10 +172,10 @@
     Refusal::bad(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", message)
 }
 
-/// Binds a listener.
+/// Binds a TCP listener.
 ///
 /// # Errors
-/// The address cannot be bound.
+/// Returns the error if the address cannot be bound.
 pub async fn bind(addr: std::net::SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(addr).await
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,4 +1,5 @@
-//! Takes callers' requests, holds them, sends them and relays the answers.
+//! The part of an instance that serves callers: parses and registers their requests, sends granted ones to
+//! endpoints and relays the answers.
 
 pub mod answer;
 pub mod claims;
--- a/src/entry/parse.rs
+++ b/src/entry/parse.rs
@@ -1,4 +1,4 @@
-//! Reads what a caller wants, and says clearly what is wrong with it.
+//! Parses and validates callers' requests. Each error states what is wrong with the request.
 
 use std::collections::HashMap;
 
@@ -29,40 +29,40 @@
 const BYTES_PER_TOKEN: usize = 4;
 const MAX_KEY_BYTES: usize = 256;
 
-/// Organisations by the SHA-256 of their keys.
+/// Index of an organisation in the configuration, by the SHA-256 of its API key.
 pub type KeyMap = HashMap<[u8; 32], usize>;
 
-/// What is called.
+/// The kind of service that a call is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// A model engine.
+    /// A model on an inference engine.
     Model {
-        /// Chat, rather than plain completion.
+        /// Whether this is a chat completion rather than a plain one.
         chat: bool,
-        /// Whether the caller wants a stream.
+        /// Whether the caller asked for a streamed answer.
         stream: bool,
     },
     /// A plain service.
     Plain {
-        /// Path and query below the service.
+        /// Path and query, relative to the service.
         path: String,
     },
 }
 
-/// A call that can be taken.
+/// A valid call.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// What is called.
+    /// The kind of service called, with its parameters.
     pub target: Target,
-    /// What the scheduler is to know.
+    /// Metadata for the scheduler.
     pub meta: RequestMeta,
-    /// The tier's name.
+    /// Name of the tier.
     pub tier: Name,
-    /// The pool that serves it.
+    /// Name of the pool that serves the call.
     pub pool: Name,
-    /// Time allowed, from its arrival, in milliseconds.
+    /// Time from arrival to the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// The key of a request that may run at most once.
+    /// Idempotency key or ticket of a request that may run at most once; `None` for other requests.
     pub key: Option<String>,
     /// The body to send to the endpoint.
     pub body: Bytes,
@@ -70,31 +70,31 @@
     pub content_type: Option<hyper::header::HeaderValue>,
 }
 
-/// Where a call goes, as its path says.
+/// The route that a request's path selects.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// A completion of a model.
+    /// A model completion.
     Completion {
-        /// Chat, rather than plain completion.
+        /// Whether this is a chat completion rather than a plain one.
         chat: bool,
     },
     /// A plain service.
     Service {
-        /// Its name.
+        /// Name of the service.
         name: String,
-        /// Path and query below it.
+        /// Path and query, relative to the service.
         path: String,
     },
-    /// A new ticket.
+    /// A request for a new ticket.
     Ticket,
 }
 
-/// Returns the SHA-256 of a key.
+/// Returns the SHA-256 of an API key.
 pub fn key_digest(key: &str) -> [u8; 32] {
     Sha256::digest(key).into()
 }
 
-/// Makes the map from keys to organisations.
+/// Builds the map from key digests to organisations.
 pub fn key_map(config: &Config) -> KeyMap {
     let mut map = KeyMap::new();
     for (index, organisation) in config.organisations.iter().enumerate() {
@@ -107,10 +107,10 @@
     map
 }
 
-/// Reads the path.
+/// Parses the path and checks the method.
 ///
 /// # Errors
-/// There is no such path, or it is not called this way.
+/// Returns a refusal if the path is unknown or the method is not POST.
 pub fn route(parts: &Parts) -> Result<Route, Refusal> {
     let path = parts.uri.path();
     let route = match path {
@@ -142,10 +142,10 @@
     })
 }
 
-/// Finds the organisation whose key the caller shows.
+/// Returns the organisation that the caller's API key belongs to.
 ///
 /// # Errors
-/// No key, one that is not known, or the name of another organisation.
+/// Returns a refusal if the key is missing or unknown, or if the caller names another organisation.
 pub fn authenticate<'c>(
     headers: &HeaderMap,
     config: &'c Config,
@@ -177,10 +177,10 @@
     Ok(organisation)
 }
 
-/// Reads a call.
+/// Parses and validates a call.
 ///
 /// # Errors
-/// Says what is wrong with it.
+/// Returns a refusal that states what is wrong with the request.
 pub fn call(
     config: &Config,
     organisation: &Organisation,
@@ -338,7 +338,7 @@
     }
 }
 
-/// Returns whether `path` is `prefix` or below it.
+/// Returns whether `path` equals `prefix` or is below it.
 fn is_below(path: &str, prefix: &str) -> bool {
     let rest = path.strip_prefix(prefix.trim_end_matches('/'));
     rest.is_some_and(|r| r.is_empty() || r.starts_with('/'))
@@ -356,7 +356,7 @@
     let allowed =
         |tier: &&Tier| organisation.tiers.is_empty() || organisation.tiers.contains(&tier.name);
     let Some(name) = text(headers, &TIER) else {
-        // Without a wish, the lowest that it may use.
+        // The default is the lowest tier that the organisation may use.
         let lowest = config.tiers.iter().filter(allowed).max_by_key(|t| t.rank);
         return lowest.ok_or_else(|| unknown_tier("the organisation may use no tier".to_owned()));
     };
@@ -426,8 +426,8 @@
     Ok(contents.join("\n"))
 }
 
-/// Returns the hash chain over a prompt's whole blocks, as the engines publish it: FNV-1a over each
-/// block, starting from the hash of the one before.
+/// Returns the hash chain over the complete blocks of a prompt, in the form that the engines publish: FNV-1a
+/// over each block, seeded with the hash of the previous block.
 pub fn prefix_hashes(prompt: &[u8], block_tokens: u32) -> Vec<u64> {
     let block_bytes = (block_tokens as usize * BYTES_PER_TOKEN).max(1);
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
--- a/src/entry/recorder.rs
+++ b/src/entry/recorder.rs
@@ -1,4 +1,4 @@
-//! Remembers the last requests that ended: for operators, and as a trace to replay.
+//! Keeps the most recently ended requests, for operators and as a trace to replay.
 
 use std::{
     collections::VecDeque,
@@ -9,46 +9,46 @@
 
 use crate::prelude::{Name, RequestId};
 
-/// A request that ended; no text of the caller's.
+/// A request that ended. Contains no text of the caller's prompt or body.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndedRequest {
-    /// Its id.
+    /// Request id.
     pub id: RequestId,
-    /// Its organisation.
+    /// Organisation of the caller.
     pub organisation: Name,
-    /// Its tier.
+    /// Tier of the request.
     pub tier: Name,
-    /// The service called.
+    /// Called service.
     pub service: Name,
-    /// The pool slice.
+    /// Pool slice that served the request.
     pub pool: Name,
-    /// Where it ran, if it did.
+    /// Endpoint that the request was sent to, if any.
     pub endpoint: Option<Name>,
-    /// What came of it: `in_time`, `late`, `not_run`, `outcome_unknown` or `caller_left`.
+    /// Outcome: `in_time`, `late`, `not_run`, `outcome_unknown` or `caller_left`.
     pub outcome: Name,
-    /// Why, if it was refused.
+    /// Reason code, if it was refused or failed.
     pub reason: Option<Name>,
-    /// Arrival, in milliseconds of the process's clock.
+    /// Arrival time, in milliseconds of the process's clock.
     pub at_ms: u64,
-    /// Time from arrival to being sent, or to the refusal.
+    /// Time from arrival until the request was sent or refused, in milliseconds.
     pub waited_ms: u64,
-    /// Time from arrival to the end.
+    /// Time from arrival until the request ended, in milliseconds.
     pub took_ms: u64,
-    /// Time allowed.
+    /// Time from arrival to the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Length of the prompt.
+    /// Prompt length, in tokens.
     pub prompt_tokens: u32,
     /// Hash chain over the prompt's leading blocks.
     pub prefix: Vec<u64>,
-    /// Length of the answer, as far as it came.
+    /// Answer length, in tokens; 0 if the request did not finish.
     pub output_tokens: u32,
-    /// Prompt tokens computed, as the engine said.
+    /// Number of prompt tokens that the engine computed rather than took from its cache.
     pub prefill_tokens: u32,
-    /// Whether a second run would do no harm.
+    /// Whether the request is idempotent, so that it may run more than once.
     pub repeatable: bool,
 }
 
-/// The last requests that ended.
+/// A bounded buffer of the most recently ended requests.
 #[derive(Debug)]
 pub struct Recorder {
     capacity: usize,
@@ -56,7 +56,7 @@
 }
 
 impl Recorder {
-    /// Creates one that keeps up to `capacity` requests.
+    /// Creates a recorder that keeps up to `capacity` requests; 0 turns recording off.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes a request in.
+    /// Records a request and drops the oldest if the recorder is full.
     pub fn add(&self, request: EndedRequest) {
         if self.capacity == 0 {
             return;
@@ -76,7 +76,7 @@
         ended.push_back(request);
     }
 
-    /// Returns the requests, the oldest first.
+    /// Returns the recorded requests, oldest first.
     pub fn snapshot(&self) -> Vec<EndedRequest> {
         let ended = self.ended.lock().unwrap_or_else(PoisonError::into_inner);
         ended.iter().cloned().collect()
--- a/src/entry/refusal.rs
+++ b/src/entry/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals, as callers get them: typed JSON, and true.
+//! Refusals sent to callers: typed JSON that states whether the request may have run.
 
 use hyper::{
     Response, StatusCode,
@@ -11,30 +11,30 @@
     prelude::RequestId,
 };
 
-/// What a refusal says of the request.
+/// Whether a refused request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It did not run.
+    /// The request did not run.
     NotRun,
-    /// Whether it ran is not known here, and never guessed.
+    /// It is unknown whether the request ran.
     OutcomeUnknown,
-    /// It could not be taken as it is; it did not run.
+    /// The request is invalid; it did not run.
     BadRequest,
 }
 
-/// A final answer other than the endpoint's.
+/// A final answer that does not come from the endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
-    /// What it says of the request.
+    /// Whether the request ran.
     pub verdict: Verdict,
-    /// The status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Why, as a fixed word.
+    /// Reason code.
     pub reason: &'static str,
-    /// Why, in a sentence.
+    /// Human-readable explanation.
     pub message: String,
-    /// When the caller may come back, in milliseconds.
+    /// Time after which the caller may retry, in milliseconds.
     pub retry_after_ms: Option<u32>,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl Refusal {
-    /// Says that the request did not run, and when to come back.
+    /// Creates a refusal of a request that did not run, with the time after which to retry.
     pub fn not_run(reason: &'static str, message: impl Into<String>, retry_after_ms: u32) -> Self {
         Self {
             verdict: Verdict::NotRun,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Says that the request did not run before its deadline.
+    /// Creates a refusal of a request that had not run when its deadline passed.
     pub fn expired() -> Self {
         Self {
             verdict: Verdict::NotRun,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Says that the request may have run.
+    /// Creates a refusal of a request that may have run.
     pub fn unknown(reason: &'static str, message: impl Into<String>) -> Self {
         Self {
             verdict: Verdict::OutcomeUnknown,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Says that another arrival with the same key ran, runs or may run.
+    /// Creates a refusal for a key whose earlier request ran, is running or may still run.
     pub fn duplicate() -> Self {
         Self {
             status: StatusCode::CONFLICT,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Says what is wrong with the request.
+    /// Creates a refusal of an invalid request.
     pub fn bad(status: StatusCode, reason: &'static str, message: impl Into<String>) -> Self {
         Self {
             verdict: Verdict::BadRequest,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Returns the JSON text.
+    /// Returns the refusal as JSON text.
     pub fn json(&self, id: Option<RequestId>) -> String {
         let body = ErrorBody {
             error: ErrorText {
@@ -121,7 +121,7 @@
         serde_json::to_string(&body).unwrap_or_default()
     }
 
-    /// Returns the answer to send.
+    /// Returns the HTTP response, with `Retry-After` in seconds where a back-off is set.
     pub fn response(&self, id: Option<RequestId>) -> Response<Body> {
         let mut response = Response::new(full(self.json(id)));
         *response.status_mut() = self.status;
--- a/src/entry/tickets.rs
+++ b/src/entry/tickets.rs
@@ -1,8 +1,8 @@
-//! Tickets: ids handed out by an instance, for requests that may run at most once.
+//! Tickets: ids issued by an instance for requests that may run at most once.
 //!
-//! A ticket names the start of the instance that handed it out. Only that start gives leave to use
-//! it, once, so it needs no write and works while the platform is down. Once that start is gone, no
-//! one can know whether the ticket was used: it is never used again.
+//! A ticket names the incarnation that issued it. Only this incarnation can redeem it, and only once, so
+//! tickets need no write to the store and work while the platform is down. After the incarnation has
+//! ended, it cannot be determined whether the ticket was used, so it is never accepted again.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -15,18 +15,18 @@
 
 use crate::prelude::{Incarnation, RequestId};
 
-/// How many unused tickets an instance remembers; older ones lapse.
+/// Maximum number of unused tickets kept; older ones lapse.
 const MAX_UNUSED: usize = 100_000;
-/// How many used tickets an instance remembers by who used them.
+/// Maximum number of used tickets kept, with the request that used each.
 const MAX_USED: usize = 200_000;
 const PREFIX: &str = "ticket-";
 
-/// A ticket, as it is written in a request's key.
+/// A ticket, which callers send as the idempotency key of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The start that handed it out.
+    /// The incarnation that issued the ticket.
     pub issuer: Incarnation,
-    /// Its number there; random, so that it cannot be guessed.
+    /// The ticket's number; random, so that it cannot be guessed.
     pub number: u64,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A text that is not a ticket.
+/// The error for a text that is not a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParseTicketError;
 
@@ -54,14 +54,14 @@
     }
 }
 
-/// What the issuer says of a ticket.
+/// The issuer's reply to a request that redeems a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TicketAnswer {
-    /// The arrival may run.
+    /// The request may run.
     Yours,
-    /// Another arrival used it.
+    /// Another request used the ticket.
     Used,
-    /// Not handed out here, or so long ago that it is forgotten.
+    /// The ticket was not issued by this incarnation, or has been dropped because of its age.
     Unknown,
 }
 
@@ -73,7 +73,7 @@
     used_order: VecDeque<u64>,
 }
 
-/// The tickets of this start.
+/// The tickets issued by this incarnation.
 pub struct Tickets {
     incarnation: Incarnation,
     inner: Mutex<Inner>,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Hands out a ticket.
+    /// Issues a ticket.
     pub fn issue(&self) -> Ticket {
         let number = rand::random();
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -105,9 +105,9 @@
         }
     }
 
-    /// Gives leave to use a ticket, to the first arrival that asks.
+    /// Redeems a ticket for the first request that presents it.
     ///
-    /// Asking again for the same arrival gives the same answer, so a lost answer does no harm.
+    /// Redeeming again for the same request gives the same answer, so a lost answer can be retried.
     pub fn redeem(&self, ticket: Ticket, by: RequestId) -> TicketAnswer {
         if ticket.issuer != self.incarnation {
             return TicketAnswer::Unknown;
@@ -128,13 +128,13 @@
         if inner.used_order.len() > MAX_USED
             && let Some(oldest) = inner.used_order.pop_front()
         {
-            // From now on unknown, which lets nobody run it again.
+            // The ticket is now unknown, so no request can run with it.
             inner.used.remove(&oldest);
         }
         TicketAnswer::Yours
     }
 
-    /// Takes leave back from an arrival that provably did not run, so that the next may use it.
+    /// Makes a ticket usable again after the request that redeemed it provably did not run.
     pub fn restore(&self, ticket: Ticket, by: RequestId) {
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         if inner.used.get(&ticket.number) == Some(&by) {
