--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -87,7 +87,7 @@
     u16::from(key[0]) % SHARDS
 }
 
-/// Returns the subject by which a shard's writer is elected among the instances.
+/// Returns the subject by which a shard's writer is chosen among the instances.
 pub fn subject(shard: u16) -> String {
     format!("claims/{shard}")
 }
--- a/src/entry/parse.rs
+++ b/src/entry/parse.rs
@@ -128,8 +128,8 @@
 }
 
 fn service_route(parts: &Parts) -> Result<Route, Refusal> {
-    let path_and_query = parts.uri.path_and_query().map_or("/", |p| p.as_str());
-    let Some(rest) = path_and_query.strip_prefix(SERVICES_PATH) else {
+    let full_path = parts.uri.path_and_query().map_or("/", |p| p.as_str());
+    let Some(rest) = full_path.strip_prefix(SERVICES_PATH) else {
         let message = format!("no such path: {}", parts.uri.path());
         return Err(Refusal::bad(StatusCode::NOT_FOUND, "no_such_path", message));
     };
--- a/src/entry/recorder.rs
+++ b/src/entry/recorder.rs
@@ -42,7 +42,8 @@
     pub prefix: Vec<u64>,
     /// Answer length, in tokens; 0 if the request did not finish.
     pub output_tokens: u32,
-    /// Number of prompt tokens that the engine computed rather than took from its cache.
+    /// Number of prompt tokens that the engine computed rather than took from its cache. If the engine did not
+    /// report it, the prompt length or, if nothing was computed, 0.
     pub prefill_tokens: u32,
     /// Whether the request is idempotent, so that it may run more than once.
     pub repeatable: bool,
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -164,7 +164,7 @@
     fn end_caller_left(&mut self) {
         let unsent = self.held.refuse().is_ok();
         if unsent {
-            self.abandon_claim();
+            self.release_own_claim();
         }
         self.record_end(RunEnd {
             outcome: "caller_left",
@@ -178,7 +178,7 @@
     async fn end_refused(&mut self, refusal: Refusal) {
         let outcome = match refusal.verdict {
             Verdict::NotRun | Verdict::BadRequest => {
-                self.abandon_claim();
+                self.release_own_claim();
                 "not_run"
             }
             Verdict::OutcomeUnknown => "outcome_unknown",
@@ -289,7 +289,7 @@
         }
     }
 
-    fn abandon_claim(&mut self) {
+    fn release_own_claim(&mut self) {
         match self.claim.take() {
             Some(Claim::Key(claim_request)) => self.instance.clone().release_claim(claim_request),
             Some(Claim::Ticket(ticket)) => {
@@ -318,7 +318,7 @@
         let started = tokio::select! {
             biased;
             () = self.answer.closed() => {
-                self.abandon(addr, None).await;
+                self.end_abandoned(addr, None).await;
                 return;
             }
             started = EngineStream::start(connection, addr, id, request) => started,
@@ -336,7 +336,7 @@
         let mut response_started = false;
         loop {
             let Some(next) = self.next_chunk(&mut engine).await else {
-                return self.abandon(addr, Some(&engine)).await;
+                return self.end_abandoned(addr, Some(&engine)).await;
             };
             match next {
                 Ok(Some(chunk)) => {
@@ -386,7 +386,7 @@
         let mut text = String::new();
         loop {
             let Some(next) = self.next_chunk(&mut engine).await else {
-                return self.abandon(addr, Some(&engine)).await;
+                return self.end_abandoned(addr, Some(&engine)).await;
             };
             match next {
                 Ok(Some(chunk)) => {
@@ -582,7 +582,7 @@
     }
 
     /// Ends a sent request whose caller disconnected, and cancels it on the engine.
-    async fn abandon(&mut self, addr: SocketAddr, engine: Option<&EngineStream>) {
+    async fn end_abandoned(&mut self, addr: SocketAddr, engine: Option<&EngineStream>) {
         let started = engine.is_some_and(|e| e.tokens() > 0);
         let prefill = if started {
             self.call.meta.prompt_tokens
