--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Claims a key and waits until the claim is written. `retention` is how long claims are kept.
+    /// Claims a key and waits until the claim is written. `retention`, the time that claims are kept, only has
+    /// an effect if this call starts the writer of the shard.
     pub async fn claim(
         &self,
         shard: u16,
--- a/src/entry/registry.rs
+++ b/src/entry/registry.rs
@@ -242,13 +242,13 @@
     pub fn hold_level(&self, pool: &Name, request: LevelRequest) -> bool {
         let now_us = self.clock.now_us();
         let mut inner = self.lock();
-        let holds_such_request = inner.held.values().any(|h| {
+        let holds_waiting_at_level = inner.held.values().any(|h| {
             let kept = is_waiting(h.lifecycle.stage());
             let needed = level_needed(h.arrival.meta.rank, h.arrival.tiers) + 1;
             kept && h.arrival.pool == *pool && needed <= request.level
         });
         let level = inner.levels.entry(pool.clone()).or_default();
-        level.try_hold(now_us, request, holds_such_request)
+        level.try_hold(now_us, request, holds_waiting_at_level)
     }
 
     /// Cancels a request for an operator; returns whether the request was held.
@@ -321,7 +321,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // No operation panics half-way through a change, so the state behind a poisoned lock is consistent.
+        // Every operation leaves the state consistent, so a poisoned lock is usable.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
