--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -1,4 +1,5 @@
-//! The callers' listener: bounds on everything a caller can send, and one answer to each request.
+//! The HTTP listener for callers. Limits the size and duration of everything a caller sends, and gives each
+//! request exactly one answer.
 
 use std::{convert::Infallible, io, sync::Arc, time::Duration};
 
@@ -34,9 +35,9 @@
 
 const MAX_HEADER_BYTES: usize = 64 << 10;
 const MAX_HEADERS: usize = 64;
-const PARTS_IN_FLIGHT: usize = 16;
+const MAX_BUFFERED_MESSAGES: usize = 16;
 
-/// Serves callers until cancelled, then returns once the open connections have finished theirs.
+/// Serves callers until cancelled, then returns once the requests on open connections have finished.
 pub async fn serve<S: Store>(
     instance: Arc<Instance<S>>,
     listener: TcpListener,
@@ -53,7 +54,7 @@
     stream: TcpStream,
     stop: CancellationToken,
 ) {
-    // Without this small events wait for acknowledgements; with it failing they are late.
+    // Without TCP_NODELAY small events wait for acknowledgements. If setting it fails, they are only late.
     let _ = stream.set_nodelay(true);
     let header_timeout = Duration::from_millis(instance.settings.header_timeout_ms);
     let service = service_fn(move |request| {
@@ -71,7 +72,7 @@
         _ = connection.as_mut() => return,
         () = stop.cancelled() => connection.as_mut().graceful_shutdown(),
     }
-    // An error here is the caller's leaving or a body that was cut on purpose.
+    // An error here means that the caller disconnected or that a body was aborted on purpose.
     let _ = connection.await;
 }
 
@@ -79,13 +80,13 @@
     instance: Arc<Instance<S>>,
     request: Request<Incoming>,
 ) -> Response<Body> {
-    match take(&instance, request).await {
+    match handle(&instance, request).await {
         Ok(response) => response,
         Err(refusal) => {
             instance.metrics.bad_requests.inc();
             let mut response = refusal.response(None);
             if refusal.status == StatusCode::PAYLOAD_TOO_LARGE {
-                // What is left of the body is not read.
+                // The rest of the body is not read, so the connection cannot be reused.
                 let close = HeaderValue::from_static("close");
                 response
                     .headers_mut()
@@ -96,7 +97,7 @@
     }
 }
 
-async fn take<S: Store>(
+async fn handle<S: Store>(
     instance: &Arc<Instance<S>>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
@@ -110,7 +111,7 @@
     let keys = instance.keys();
     let organisation = parse::authenticate(&parts.headers, &config.config, &keys)?;
     if route == Route::Ticket {
-        return Ok(ticket(instance));
+        return Ok(issue_ticket(instance));
     }
     let body = read_body(instance, &parts.headers, body).await?;
     let id = instance.registry.next_id();
@@ -122,12 +123,12 @@
         &parts.headers,
         body,
     )?;
-    let (sender, messages) = mpsc::channel(PARTS_IN_FLIGHT);
+    let (sender, messages) = mpsc::channel(MAX_BUFFERED_MESSAGES);
     tokio::spawn(run::run(instance.clone(), call, sender));
-    Ok(answer::from_messages(id, messages).await)
+    Ok(answer::response_from_messages(id, messages).await)
 }
 
-fn ticket<S: Store>(instance: &Instance<S>) -> Response<Body> {
+fn issue_ticket<S: Store>(instance: &Instance<S>) -> Response<Body> {
     let ticket = instance.tickets.issue().to_string();
     let mut response = Response::new(answer::full(json!({"ticket": ticket}).to_string()));
     let kind = HeaderValue::from_static("application/json");
@@ -141,9 +142,9 @@
     body: Incoming,
 ) -> Result<Bytes, Refusal> {
     let limit = instance.settings.max_body_bytes;
-    let promised = headers.get(CONTENT_LENGTH);
-    let promised = promised.and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
-    if promised.is_some_and(|p| p > limit as u64) {
+    let content_length = headers.get(CONTENT_LENGTH);
+    let content_length = content_length.and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
+    if content_length.is_some_and(|p| p > limit as u64) {
         return Err(too_large(limit));
     }
     let timeout = Duration::from_millis(instance.settings.body_timeout_ms);
@@ -171,10 +172,10 @@
     Refusal::bad(StatusCode::PAYLOAD_TOO_LARGE, "body_too_large", message)
 }
 
-/// Binds a listener.
+/// Binds a TCP listener.
 ///
 /// # Errors
-/// The address cannot be bound.
+/// Returns the error if the address cannot be bound.
 pub async fn bind(addr: std::net::SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(addr).await
 }
