--- a/src/cli.rs
+++ b/src/cli.rs
@@ -424,7 +424,7 @@
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        () = running.stop_asked() => {}
+        () = running.stop_requested() => {}
     }
     if running.stop().await {
         Ok(ExitCode::SUCCESS)
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,9 +1,9 @@
-//! The process's clock: microseconds since its start, and seconds since 1970 for what outlives it.
+//! The process's clock: microseconds since its start, and Unix seconds for data that outlives the process.
 //!
-//! The steady clock stands still while a machine is suspended. What is believed by its age, promised until a time or
-//! counted over a window must not: an endpoint that left during a suspension has left for as long. So this clock
-//! goes on, and whatever waits for a time of it is woken once a suspension is over. The runtime's own timers, which
-//! stand still, are for how long others have had to answer while this process could hear them.
+//! `CLOCK_MONOTONIC` stops while the machine is suspended. Staleness, leases and counting windows must include that
+//! time: an endpoint that left during a suspension has been gone for all of it. This clock therefore keeps counting
+//! (`CLOCK_BOOTTIME`), and tasks that wait on it are woken after a suspension. The runtime's own timers, which stop,
+//! are used for response timeouts: they count only the time in which this process could receive an answer.
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -18,31 +18,31 @@
 
 use crate::prelude::Micros;
 
-/// Less is no suspension that matters to any bound.
-const LEAST_SUSPENDED_US: Micros = 50_000;
-/// How often it is looked whether the machine was suspended, where nothing else is done as often.
-const LOOK: Duration = Duration::from_millis(100);
-/// What came in during a suspension is read before whoever waits for it gives up.
-const READ_FIRST: Duration = Duration::from_millis(50);
-/// And they have acted on it after some turns of the runtime.
-const ACT_FIRST: Duration = Duration::from_millis(20);
+/// Shorter suspensions are ignored: they matter to no time limit.
+const MIN_SUSPENSION_US: Micros = 50_000;
+/// How often to check for a suspension, where no other task runs as often and does it.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay before waiting tasks are woken, so that data received during the suspension is read before they time out.
+const READ_DELAY: Duration = Duration::from_millis(50);
+/// Time for the woken tasks to react: a few turns of the runtime.
+const REACTION_DELAY: Duration = Duration::from_millis(20);
 
 static MACHINE: TimeSource = TimeSource::new(Reading::Machine);
 
-/// What clocks read, and who is to be woken after a suspension.
+/// The time that clocks read, and the wake-up of waiting tasks after a suspension.
 #[derive(Debug)]
 pub struct TimeSource {
     reading: Reading,
-    /// How long the machine had been suspended in all when whoever waits was woken last.
-    seen_us: AtomicU64,
+    /// Total suspended time when waiting tasks were last woken.
+    handled_us: AtomicU64,
     resumed: Notify,
 }
 
 #[derive(Debug)]
 enum Reading {
-    /// The machine's time since its start, its suspensions included.
+    /// The machine's time since boot, including suspensions.
     Machine,
-    /// The runtime's time, which tests may pause, and suspensions that tests make up.
+    /// The runtime's time, which tests may pause, plus simulated suspensions.
     Runtime { suspended_us: AtomicU64 },
 }
 
@@ -50,32 +50,32 @@
     const fn new(reading: Reading) -> Self {
         Self {
             reading,
-            seen_us: AtomicU64::new(0),
+            handled_us: AtomicU64::new(0),
             resumed: Notify::const_new(),
         }
     }
 
-    /// Returns a source for tests that suspend the machine: it lives as long as the process.
-    pub fn steered() -> &'static Self {
+    /// Returns a source for tests that simulate suspensions. It is leaked, so it lives as long as the process.
+    pub fn simulated() -> &'static Self {
         let reading = Reading::Runtime {
             suspended_us: AtomicU64::new(0),
         };
         Box::leak(Box::new(Self::new(reading)))
     }
 
-    /// Lets time pass in which the steady clock stands still. Does nothing to the machine's time.
+    /// Simulates a suspension of this length. Has no effect on the machine's time source.
     pub fn suspend(&self, time: Duration) {
         if let Reading::Runtime { suspended_us } = &self.reading {
             suspended_us.fetch_add(time.as_micros() as Micros, Ordering::Relaxed);
         }
     }
 
-    /// Returns for how long the machine has been suspended in all.
+    /// Returns the total time for which the machine has been suspended.
     fn suspended_us(&self) -> Micros {
         match &self.reading {
             Reading::Machine => {
-                // The steady clock is read last: a process that is held up between the readings sees less
-                // than there was, and looks again, where the other way round it would see a suspension.
+                // The monotonic clock is read last: a delay between the two readings then makes the result too
+                // small, which the next check corrects. In the other order it would look like a suspension.
                 let boot_us = read_us(ClockId::CLOCK_BOOTTIME);
                 boot_us.saturating_sub(read_us(ClockId::CLOCK_MONOTONIC))
             }
@@ -85,12 +85,12 @@
 }
 
 fn read_us(clock: ClockId) -> Micros {
-    // Both clocks are there on every Linux since 2.6.39; elsewhere nothing of this builds.
+    // Both clocks exist on Linux since 2.6.39; this module does not build on other systems.
     let time = clock_gettime(clock).map(Duration::from).unwrap_or_default();
     time.as_micros() as Micros
 }
 
-/// A clock that goes on while the machine is suspended; copies share their start.
+/// A clock that keeps counting while the machine is suspended. Copies share their start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -107,14 +107,14 @@
 impl Clock {
     /// Starts a clock.
     pub fn new(source: &'static TimeSource) -> Self {
-        // What one reading misses would look like a suspension later.
+        // A reading may be too small, and the difference would look like a suspension later: use the largest of three.
         let readings = [
             source.suspended_us(),
             source.suspended_us(),
             source.suspended_us(),
         ];
         let suspended_us = readings.into_iter().fold(0, Micros::max);
-        source.seen_us.fetch_max(suspended_us, Ordering::Relaxed);
+        source.handled_us.fetch_max(suspended_us, Ordering::Relaxed);
         let start_us = match source.reading {
             Reading::Machine => read_us(ClockId::CLOCK_BOOTTIME),
             Reading::Runtime { .. } => suspended_us,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Returns the time since the clock's start.
+    /// Returns the time since the clock's start, in microseconds.
     pub fn now_us(&self) -> Micros {
         match &self.source.reading {
             Reading::Machine => read_us(ClockId::CLOCK_BOOTTIME).saturating_sub(self.start_us),
@@ -138,13 +138,13 @@
         }
     }
 
-    /// Returns the instant at which this clock shows `at_us`, if the machine is not suspended until then.
+    /// Returns the instant at which this clock reaches `at_us` if the machine is not suspended before then.
     fn instant(&self, at_us: Micros) -> Instant {
         let left_us = at_us.saturating_sub(self.now_us());
         Instant::now() + Duration::from_micros(left_us)
     }
 
-    /// Waits until this clock shows `at_us`.
+    /// Waits until this clock reaches `at_us`.
     pub async fn sleep_until(&self, at_us: Micros) {
         while self.now_us() < at_us {
             let resumed = self.source.resumed.notified();
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Waits for something until this clock shows `at_us`; none if it has not come by then.
+    /// Awaits a future until this clock reaches `at_us`. Returns none on timeout.
     pub async fn timeout_at<F: Future>(&self, at_us: Micros, future: F) -> Option<F::Output> {
         tokio::select! {
             biased;
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Waits for something that is lost if the machine is suspended meanwhile: then none.
+    /// Awaits a future whose result is lost if the machine is suspended. Returns none after a suspension.
     pub async fn unless_suspended<F: Future>(&self, future: F) -> Option<F::Output> {
         tokio::select! {
             biased;
@@ -173,41 +173,44 @@
         }
     }
 
-    /// Returns whether the machine was suspended and whoever waits has not acted on that yet.
+    /// Returns whether the machine was suspended and waiting tasks have not reacted to that yet.
     pub fn has_just_resumed(&self) -> bool {
-        let seen_us = self.source.seen_us.load(Ordering::Relaxed);
-        self.source.suspended_us().saturating_sub(seen_us) >= LEAST_SUSPENDED_US
+        let handled_us = self.source.handled_us.load(Ordering::Relaxed);
+        self.source.suspended_us().saturating_sub(handled_us) >= MIN_SUSPENSION_US
     }
 
-    /// Wakes whoever waits for a time of this clock after each suspension of the machine, until dropped.
+    /// Wakes the tasks that wait on this clock after each suspension of the machine. Runs until dropped.
     pub async fn watch_for_suspensions(self) {
-        let mut period = time::interval(LOOK);
+        let mut period = time::interval(CHECK_INTERVAL);
         period.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             period.tick().await;
-            self.look_for_suspension().await;
+            self.check_for_suspension().await;
         }
     }
 
-    /// Looks whether the machine was suspended since this was called last, and wakes whoever waits for a time
-    /// of this clock if so. Called some times a second by one task.
-    pub async fn look_for_suspension(&self) {
+    /// Checks whether the machine was suspended since the last call, and if so wakes the tasks that wait on this
+    /// clock. Must be called by one task only, several times a second.
+    pub async fn check_for_suspension(&self) {
         let suspended_us = self.source.suspended_us();
-        let slept_us = suspended_us.saturating_sub(self.source.seen_us.load(Ordering::Relaxed));
-        if slept_us < LEAST_SUSPENDED_US {
+        let suspension_us =
+            suspended_us.saturating_sub(self.source.handled_us.load(Ordering::Relaxed));
+        if suspension_us < MIN_SUSPENSION_US {
             return;
         }
-        time::sleep(READ_FIRST).await;
+        time::sleep(READ_DELAY).await;
         self.source.resumed.notify_waiters();
-        // Until then those that wait have not acted on it.
-        time::sleep(ACT_FIRST).await;
-        self.source.seen_us.store(suspended_us, Ordering::Relaxed);
-        let suspended_ms = slept_us / 1_000;
+        // `has_just_resumed` stays true until the waiting tasks have had time to react.
+        time::sleep(REACTION_DELAY).await;
+        self.source
+            .handled_us
+            .store(suspended_us, Ordering::Relaxed);
+        let suspended_ms = suspension_us / 1_000;
         log::warn!(target: "ryevalve::process", suspended_ms; "resumed");
     }
 }
 
-/// Returns seconds since 1970, for what is kept beyond the process.
+/// Returns Unix time in seconds, for data that outlives the process.
 pub fn unix_s() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -113,7 +113,7 @@
     rpc_counts: Arc<RpcCounts>,
     keys: ArcSwap<KeyMap>,
     ready: AtomicBool,
-    stop_asked: Notify,
+    stop_requested: Notify,
     stopping: AtomicBool,
 }
 
@@ -139,8 +139,8 @@
     }
 
     /// Begins a planned stop.
-    pub fn ask_stop(&self) {
-        self.stop_asked.notify_one();
+    pub fn request_stop(&self) {
+        self.stop_requested.notify_one();
     }
 
     /// Returns the organisations by their keys.
@@ -268,7 +268,7 @@
         rpc_counts,
         keys: ArcSwap::default(),
         ready: AtomicBool::new(false),
-        stop_asked: Notify::new(),
+        stop_requested: Notify::new(),
         stopping: AtomicBool::new(false),
         store,
         settings,
@@ -384,8 +384,8 @@
     }
 
     /// Waits until a planned stop is asked for by a command.
-    pub async fn stop_asked(&self) {
-        self.instance.stop_asked.notified().await;
+    pub async fn stop_requested(&self) {
+        self.instance.stop_requested.notified().await;
     }
 
     /// Stops as planned: is seen as not ready, hands on what it leads, lets every request here come
@@ -510,6 +510,6 @@
     }
 
     async fn stop(self, _: Context) {
-        self.instance.ask_stop();
+        self.instance.request_stop();
     }
 }
--- a/src/operator/orders.rs
+++ b/src/operator/orders.rs
@@ -173,7 +173,7 @@
         Err(reply) => return reply,
     };
     if member.info.incarnation == instance.incarnation {
-        instance.ask_stop();
+        instance.request_stop();
         return done("this instance stops as planned");
     }
     let addr = member.info.peer_addr;
--- a/src/platform/edge.rs
+++ b/src/platform/edge.rs
@@ -331,7 +331,7 @@
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
-        gateway.clock.look_for_suspension().await;
+        gateway.clock.check_for_suspension().await;
         gateway.reconsider();
     }
 }
--- a/tests/edge/suspension.rs
+++ b/tests/edge/suspension.rs
@@ -50,7 +50,7 @@
             platform.set("servers", &id, entry(runner.addr, "ready"));
             runners.push(runner);
         }
-        let source = TimeSource::steered();
+        let source = TimeSource::simulated();
         let port = free_port(net).await;
         let seeds = [SocketAddr::new(address(net, 0), port)];
         let place = InstanceSpec {
--- a/tests/gateway/clock.rs
+++ b/tests/gateway/clock.rs
@@ -13,7 +13,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_suspension_counts_though_the_runtime_stands_still() {
-    let source = TimeSource::steered();
+    let source = TimeSource::simulated();
     let clock = Clock::new(source);
     time::sleep(Duration::from_secs(1)).await;
     assert_eq!(clock.now_us(), SECOND);
@@ -27,7 +27,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn whoever_waits_for_a_time_is_woken_after_a_suspension_over_it() {
-    let source = TimeSource::steered();
+    let source = TimeSource::simulated();
     let clock = Clock::new(source);
     tokio::spawn(clock.watch_for_suspensions());
     let started = Instant::now();
@@ -47,7 +47,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_came_meanwhile_is_taken_though_the_time_is_over() {
-    let source = TimeSource::steered();
+    let source = TimeSource::simulated();
     let clock = Clock::new(source);
     tokio::spawn(clock.watch_for_suspensions());
     let (sender, receiver) = tokio::sync::oneshot::channel();
@@ -62,7 +62,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_question_open_over_a_suspension_is_given_up_and_known_to_be_young() {
-    let source = TimeSource::steered();
+    let source = TimeSource::simulated();
     let clock = Clock::new(source);
     tokio::spawn(clock.watch_for_suspensions());
     let asking = tokio::spawn(async move {
--- a/tests/gateway/staleness.rs
+++ b/tests/gateway/staleness.rs
@@ -80,7 +80,7 @@
 /// Returns a gateway with two endpoints that have just been confirmed.
 fn gateway() -> Arc<Gateway<PlatformProtocol>> {
     // Uses the runtime's clock, which these tests pause.
-    let clock = Clock::new(TimeSource::steered());
+    let clock = Clock::new(TimeSource::simulated());
     let gateway = Gateway::with_clock(PlatformProtocol, "h".into(), bounds(true), true, clock);
     for id in ["leaving", "staying"] {
         gateway.balancer().upsert_endpoint(entry(id, "h", 4), 1);
