--- a/src/distribution.rs
+++ b/src/distribution.rs
@@ -28,7 +28,7 @@
         view::{Member, View},
     },
     prelude::Name,
-    store::{Object, Store, backoff},
+    store::{Object, Store, back_off_delay},
 };
 
 /// The key of the platform's object for the configuration.
@@ -459,5 +459,5 @@
 
 /// Returns the delay before the next attempt to reach the platform; it grows with each attempt.
 pub fn retry_delay(attempt: u32) -> Duration {
-    backoff(attempt)
+    back_off_delay(attempt)
 }
--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -194,7 +194,7 @@
     async fn settle(&mut self, asks: &[ClaimAsk], releases: &[ClaimAsk]) -> Vec<ClaimAnswer> {
         for attempt in 0..WRITE_TRIES {
             if attempt > 0 {
-                time::sleep(crate::store::backoff(attempt)).await;
+                time::sleep(crate::store::back_off_delay(attempt)).await;
             }
             let Some((version, mut claims)) = self.load().await else {
                 break;
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: everything it holds, and its start and planned stop.
+//! The state of one instance, its start-up and its graceful shutdown.
 
 use std::{
     io,
@@ -60,10 +60,10 @@
 
 const CATCH_UP_INTERVAL: Duration = Duration::from_millis(200);
 const CLAIM_CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// After its leaving is known, an instance waits this long before it stops taking requests, so that
-/// the balancer sees it as not ready first.
+/// After announcing that it leaves, an instance keeps accepting requests for this long, so that the load
+/// balancer sees it as not ready first.
 const UNREADY_BEFORE_CLOSING: Duration = Duration::from_millis(1_500);
-const CALLS_AT_ONCE: usize = 1_000;
+const MAX_CONCURRENT_CALLS: usize = 1_000;
 
 /// Why an instance did not start.
 #[derive(Debug, Snafu)]
@@ -71,44 +71,44 @@
     /// An address cannot be bound.
     #[snafu(display("cannot listen for {what} on {addr}"))]
     Bind {
-        /// Who was to be listened for.
+        /// What the listener serves.
         what: &'static str,
         /// The address.
         addr: SocketAddr,
-        /// What the system said.
+        /// The operating system's error.
         source: io::Error,
     },
 }
 
-/// Everything that one instance holds.
+/// The state of one instance, shared by all its tasks.
 pub struct Instance<S: Store> {
-    /// Its settings.
+    /// The instance's settings.
     pub settings: Settings,
-    /// This start of it.
+    /// Random id of this start of the process.
     pub incarnation: Incarnation,
-    /// Its clock.
+    /// The process's clock.
     pub clock: Clock,
-    /// The platform.
+    /// The platform's object store.
     pub store: S,
     /// The configuration and drain orders in force.
     pub config: ConfigState,
-    /// The other instances, as they are seen.
+    /// Gossip and the membership view of the other instances.
     pub gossip: Gossip,
-    /// Connections to them.
+    /// RPC connections to the other instances.
     pub peers: PeerClients,
-    /// The requests held here.
+    /// The requests that this instance holds.
     pub registry: Arc<Registry>,
-    /// The pools led here.
+    /// The pools that this instance leads.
     pub leaders: Leaders,
-    /// The claims kept here.
+    /// The claim shards that this instance keeps.
     pub claims: Keepers<S>,
-    /// The tickets handed out here.
+    /// The tickets that this instance issued.
     pub tickets: Tickets,
-    /// The requests that ended here.
+    /// Records of requests that ended on this instance.
     pub recorder: Recorder,
-    /// The commands given here.
+    /// The operator commands that this instance received.
     pub commands: CommandLog,
-    /// The counters.
+    /// The metrics of this process.
     pub metrics: Arc<Metrics>,
     rpc_counts: Arc<RpcCounts>,
     keys: ArcSwap<KeyMap>,
@@ -124,31 +124,31 @@
     tasks: JoinSet<()>,
     caller_task: JoinHandle<()>,
     callers: CancellationToken,
-    rest: CancellationToken,
+    background: CancellationToken,
 }
 
 impl<S: Store> Instance<S> {
-    /// Returns whether requests are taken.
+    /// Returns whether this instance accepts requests.
     pub fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Returns whether a planned stop has begun.
+    /// Returns whether a graceful shutdown is in progress.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Begins a planned stop.
+    /// Requests a graceful shutdown.
     pub fn request_stop(&self) {
         self.stop_requested.notify_one();
     }
 
-    /// Returns the organisations by their keys.
+    /// Returns the map of caller keys to organisations.
     pub fn keys(&self) -> Arc<KeyMap> {
         self.keys.load_full()
     }
 
-    /// Returns what is shown with the counters.
+    /// Returns the values that are read when metrics are exported.
     pub fn readings(&self) -> Readings {
         let (waiting, running) = self.registry.counts();
         let gossip = &self.gossip.counts;
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Carries out a leader's orders about requests held here.
+    /// Carries out a leader's orders for requests that this instance holds.
     pub fn carry_out(&self, batch: &OrderBatch) -> Vec<OrderReply> {
         let config = self.config.current();
         let drains = self.config.drains();
@@ -177,48 +177,51 @@
         replies
     }
 
-    /// Claims a key with its shard's keeper, wherever that is.
-    pub async fn claim(&self, ask: ClaimAsk) -> ClaimAnswer {
-        let shard = claims::shard_of(&ask.key);
+    /// Claims a key at its shard's keeper, which may be this instance or a peer.
+    pub async fn claim(&self, claim: ClaimAsk) -> ClaimAnswer {
+        let shard = claims::shard_of(&claim.key);
         let view = self.gossip.view();
         let keeper = view.leader(&claims::subject(shard));
-        let away = keeper.filter(|k| k.info.incarnation != self.incarnation);
-        if let Some(keeper) = away {
+        let remote = keeper.filter(|k| k.info.incarnation != self.incarnation);
+        if let Some(keeper) = remote {
             let call = self.peers.call(
                 keeper.info.peer_addr,
                 CLAIM_CALL_TIMEOUT,
-                |client, context| async move { client.claim(context, shard, vec![ask]).await },
+                |client, context| async move { client.claim(context, shard, vec![claim]).await },
             );
             if let Ok(answers) = call.await {
                 return answers.first().copied().unwrap_or(ClaimAnswer::Unavailable);
             }
-            // The keeper may have claimed it all the same: found under this id, it is ours.
+            // The keeper may have stored the claim although the call failed. The local attempt below then finds it
+            // under the same request id and treats it as its own.
         }
-        self.claims.claim(shard, ask, self.remember()).await
+        self.claims
+            .claim(shard, claim, self.claim_retention())
+            .await
     }
 
-    /// Gives up a claim whose request provably did not run.
-    pub fn release_claim(self: Arc<Self>, ask: ClaimAsk) {
-        let shard = claims::shard_of(&ask.key);
+    /// Releases a claim whose request provably did not run.
+    pub fn release_claim(self: Arc<Self>, claim: ClaimAsk) {
+        let shard = claims::shard_of(&claim.key);
         let view = self.gossip.view();
         let keeper = view.leader(&claims::subject(shard));
-        let away = keeper.filter(|k| k.info.incarnation != self.incarnation);
-        let Some(addr) = away.map(|k| k.info.peer_addr) else {
-            self.claims.release(shard, ask, self.remember());
+        let remote = keeper.filter(|k| k.info.incarnation != self.incarnation);
+        let Some(addr) = remote.map(|k| k.info.peer_addr) else {
+            self.claims.release(shard, claim, self.claim_retention());
             return;
         };
         tokio::spawn(async move {
             let call = self
                 .peers
                 .call(addr, CLAIM_CALL_TIMEOUT, |client, context| async move {
-                    client.release(context, shard, vec![ask]).await
+                    client.release(context, shard, vec![claim]).await
                 });
-            // Lost, the key stays claimed: a later arrival is told that the outcome is unknown.
+            // If this call is lost the key stays claimed, and a later request with it gets an unknown outcome.
             let _ = call.await;
         });
     }
 
-    /// Asks whoever handed out a ticket for leave to use it; none if that start cannot be asked.
+    /// Redeems a ticket at the instance that issued it. Returns none if that incarnation cannot be reached.
     pub async fn use_ticket(&self, ticket: Ticket, by: RequestId) -> Option<TicketAnswer> {
         if ticket.issuer == self.incarnation {
             return Some(self.tickets.take(ticket, by));
@@ -233,7 +236,7 @@
         call.await.ok()
     }
 
-    fn remember(&self) -> Duration {
+    fn claim_retention(&self) -> Duration {
         Duration::from_secs(self.config.current().config.policy.remember_keys_s)
     }
 }
@@ -280,7 +283,7 @@
         tasks: JoinSet::new(),
         caller_task: tokio::spawn(serving),
         callers,
-        rest: CancellationToken::new(),
+        background: CancellationToken::new(),
     };
     running.spawn_control(peer_listener, codec);
     running.spawn(operator::http::serve(instance.clone(), operator_listener));
@@ -327,29 +330,30 @@
     }
 }
 
-/// Keeps the map of keys, and a registrar for each pool slice that this entry uses.
+/// Keeps the key map up to date with the configuration, and runs a registrar for each pool slice that this
+/// instance sends requests to.
 async fn follow_config<S: Store>(instance: Arc<Instance<S>>, stop: CancellationToken) {
     let mut changed = instance.config.watch();
     let mut registrars: std::collections::HashMap<Name, CancellationToken> = Default::default();
     loop {
         let current = instance.config.current();
         instance.keys.store(Arc::new(key_map(&current.config)));
-        let wanted = own_slices(&current.config, &instance.settings.data_centre);
-        for pool in &wanted {
+        let used_slices = local_slices(&current.config, &instance.settings.data_centre);
+        for pool in &used_slices {
             if !registrars.contains_key(pool) {
                 let token = stop.child_token();
                 registrars.insert(pool.clone(), token.clone());
                 tokio::spawn(registrar::run(instance.clone(), pool.clone(), token));
             }
         }
-        // A pool that is gone keeps its registrar until its last request has ended.
+        // The registrar of a removed pool keeps running until the pool's last request has ended.
         if changed.changed().await.is_err() {
             return;
         }
     }
 }
 
-fn own_slices(config: &Config, data_centre: &str) -> Vec<Name> {
+fn local_slices(config: &Config, data_centre: &str) -> Vec<Name> {
     let pools = config.pools.iter();
     pools
         .map(|p| slice::slice_for(config, p, data_centre))
@@ -358,7 +362,7 @@
 
 impl<S: Store> Running<S> {
     fn spawn(&mut self, task: impl Future<Output = ()> + Send + 'static) {
-        let stop = self.rest.clone();
+        let stop = self.background.clone();
         self.tasks.spawn(async move {
             tokio::select! {
                 () = stop.cancelled() => {}
@@ -369,7 +373,7 @@
 
     fn spawn_control(&mut self, peer_listener: TcpListener, codec: SealedCodec) {
         let instance = self.instance.clone();
-        let stop = self.rest.clone();
+        let stop = self.background.clone();
         self.spawn({
             let (instance, stop) = (instance.clone(), stop.clone());
             async move { instance.gossip.run(stop).await }
@@ -383,13 +387,13 @@
         self.spawn(poll::run(instance));
     }
 
-    /// Waits until a planned stop is asked for by a command.
+    /// Waits until a command requests a graceful shutdown.
     pub async fn stop_requested(&self) {
         self.instance.stop_requested.notified().await;
     }
 
-    /// Stops as planned: is seen as not ready, hands on what it leads, lets every request here come
-    /// to its end, says goodbye. Returns whether all came to their end in time.
+    /// Shuts down gracefully: reports itself as not ready, hands over the pools it leads, waits for its requests to
+    /// end and announces its departure to the peers. Returns whether all requests ended before the timeout.
     pub async fn stop(mut self) -> bool {
         let instance = &self.instance;
         log::info!("planned stop begins");
@@ -399,19 +403,19 @@
         time::sleep(UNREADY_BEFORE_CLOSING).await;
         self.callers.cancel();
         let timeout = Duration::from_millis(instance.settings.stop_timeout_ms);
-        // Ends when the last connection does, which is after the last answer's last byte.
-        let whole = time::timeout(timeout, &mut self.caller_task).await.is_ok();
+        // The task ends with the last connection, after the last byte of the last answer.
+        let completed = time::timeout(timeout, &mut self.caller_task).await.is_ok();
         instance.gossip.goodbye().await;
-        self.rest.cancel();
+        self.background.cancel();
         while self.tasks.join_next().await.is_some() {}
         log::info!("stopped");
-        whole
+        completed
     }
 
-    /// Ends at once, as a crash would; for tests.
+    /// Aborts all tasks at once, as a crash would. For tests.
     pub fn kill(mut self) {
         self.caller_task.abort();
-        self.rest.cancel();
+        self.background.cancel();
         self.tasks.abort_all();
     }
 }
@@ -423,7 +427,7 @@
 ) {
     let incoming = tarpc::serde_transport::tcp::listen_on(listener, move || codec.clone()).await;
     let Ok(mut incoming) = incoming else {
-        log::error!("peers cannot be listened for");
+        log::error!("cannot listen for peers");
         return;
     };
     incoming.config_mut().max_frame_length(MAX_FRAME_BYTES);
@@ -437,7 +441,7 @@
         channels.spawn(
             channel
                 .execute(server.serve())
-                .for_each_concurrent(CALLS_AT_ONCE, |call| call),
+                .for_each_concurrent(MAX_CONCURRENT_CALLS, |call| call),
         );
         while channels.try_join_next().is_some() {}
     }
@@ -468,8 +472,8 @@
         self.instance.carry_out(&batch)
     }
 
-    async fn hold_level(self, _: Context, pool: Name, ask: LevelRequest) -> bool {
-        self.instance.registry.hold_level(&pool, ask)
+    async fn hold_level(self, _: Context, pool: Name, request: LevelRequest) -> bool {
+        self.instance.registry.hold_level(&pool, request)
     }
 
     async fn config_after(self, _: Context, version: u64, hash: Hash) -> ConfigCopy {
@@ -481,19 +485,19 @@
         self.instance.config.drains().orders().cloned().collect()
     }
 
-    async fn claim(self, _: Context, shard: u16, asks: Vec<ClaimAsk>) -> Vec<ClaimAnswer> {
-        let remember = self.instance.remember();
+    async fn claim(self, _: Context, shard: u16, requests: Vec<ClaimAsk>) -> Vec<ClaimAnswer> {
+        let retention = self.instance.claim_retention();
         let claims = &self.instance.claims;
-        let answers = asks
+        let answers = requests
             .into_iter()
-            .map(|ask| claims.claim(shard, ask, remember));
+            .map(|claim| claims.claim(shard, claim, retention));
         future::join_all(answers).await
     }
 
-    async fn release(self, _: Context, shard: u16, asks: Vec<ClaimAsk>) {
-        let remember = self.instance.remember();
-        for ask in asks {
-            self.instance.claims.release(shard, ask, remember);
+    async fn release(self, _: Context, shard: u16, requests: Vec<ClaimAsk>) {
+        let retention = self.instance.claim_retention();
+        for claim in requests {
+            self.instance.claims.release(shard, claim, retention);
         }
     }
 
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     platform::objects::{CallError, Event, Metadata, Object, ObjectClient},
-    store::{self, ListedInstance, ReadError, Store, WriteError, backoff},
+    store::{self, ListedInstance, ReadError, Store, WriteError, back_off_delay},
 };
 
 /// Kind of the product's own objects.
@@ -69,7 +69,7 @@
         let mut reason = String::new();
         for attempt in 0..MAX_READ_ATTEMPTS {
             if attempt > 0 {
-                time::sleep(backoff(attempt)).await;
+                time::sleep(back_off_delay(attempt)).await;
             }
             match self.client().get::<Content>(KIND, key).await {
                 Ok(found) => return found.map(into_object).transpose(),
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,6 +1,6 @@
-//! The store of what must last, and the list of instances, behind a trait.
+//! The [`Store`] trait: durable objects and the list of instances.
 //!
-//! Nothing on the request path waits for it, but for the claim of a key that may not be run twice.
+//! The request path never waits for the store, except to claim a key whose request must not run twice.
 
 use std::{future::Future, net::SocketAddr, time::Duration};
 
@@ -9,58 +9,58 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// A stored value with the version that the platform gave it; versions count up from 1.
+/// A stored value with the version that the platform assigned. Versions count up from 1.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Object {
-    /// The version to name in a conditional update.
+    /// The version to expect in a conditional write.
     pub version: u64,
     /// The value, of at most 1 MB.
     pub value: Bytes,
 }
 
-/// One line of the platform's instance list, which lags.
+/// One entry of the platform's instance list, which may be out of date.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedInstance {
     /// The instance's name.
     pub name: String,
-    /// Where it talks to its peers.
+    /// The address on which it listens for peers.
     pub peer_addr: SocketAddr,
-    /// Whether it is about to go.
+    /// Whether it is shutting down.
     pub leaving: bool,
 }
 
-/// Why a read or watch brought nothing.
+/// Why a read or watch failed.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
     /// The platform did not answer, or not in time.
     #[snafu(display("the platform is unavailable: {reason}"))]
     Unavailable {
-        /// What was seen.
+        /// The failure as it was observed.
         reason: String,
     },
 }
 
-/// What became of a conditional write that did not plainly succeed.
+/// Why a conditional write failed, or why its outcome is unknown.
 #[derive(Debug, Snafu)]
 pub enum WriteError {
     /// Another write came first; nothing was written.
     #[snafu(display("the object is at another version"))]
     Conflict,
-    /// Refused before it took effect.
+    /// The write was refused and had no effect.
     #[snafu(display("the platform refused the write: {reason}"))]
     NotWritten {
-        /// What was seen.
+        /// The failure as it was observed.
         reason: String,
     },
-    /// No answer came: it may have taken effect. Read before writing again.
+    /// No answer came, so the write may have taken effect. Read the object before writing again.
     #[snafu(display("the write's outcome is unknown: {reason}"))]
     Unknown {
-        /// What was seen.
+        /// The failure as it was observed.
         reason: String,
     },
 }
 
-/// The object API, as far as it is used.
+/// The part of the platform's object API that this program uses.
 pub trait Store: Clone + Send + Sync + 'static {
     /// Reads an object.
     ///
@@ -68,11 +68,11 @@
     /// The platform did not answer.
     fn read(&self, key: &str) -> impl Future<Output = Result<Option<Object>, ReadError>> + Send;
 
-    /// Writes an object if it is at `expected`; 0 stands for one that does not exist. Returns the
-    /// new version.
+    /// Writes an object if its version is `expected`, where 0 means that it does not exist. Returns the new
+    /// version.
     ///
     /// # Errors
-    /// Says whether nothing was written, or that this is not known.
+    /// The error tells whether nothing was written or the outcome is unknown.
     fn write(
         &self,
         key: &str,
@@ -80,7 +80,7 @@
         expected: u64,
     ) -> impl Future<Output = Result<u64, WriteError>> + Send;
 
-    /// Waits until an object is past version `after`, for at most `wait`; returns none if it is not.
+    /// Waits for at most `wait` until an object's version is higher than `after`. Returns none on timeout.
     ///
     /// # Errors
     /// The platform did not answer.
@@ -100,8 +100,8 @@
 
 const RETRY_BASE_MS: u64 = 40;
 
-/// Returns a random wait that grows with each attempt.
-pub fn backoff(attempt: u32) -> Duration {
+/// Returns the randomised, exponentially growing delay before retry number `attempt`.
+pub fn back_off_delay(attempt: u32) -> Duration {
     let ceiling = RETRY_BASE_MS << attempt.min(7);
     Duration::from_millis(rand::rng().random_range(ceiling / 2..=ceiling))
 }
