--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,7 +1,7 @@
-//! Logging by log4rs: one JSON object or line of text an event, each written in one piece.
+//! Logging through log4rs: one JSON object or line of text per event, never interleaved with other output.
 //!
-//! Lines go into a bounded buffer that a thread of its own writes out, so a slow or closed reader
-//! holds nothing up. What does not fit is dropped, counted, and said.
+//! Lines go into a bounded buffer that a separate thread writes out, so that a slow or closed reader blocks nothing.
+//! Lines that do not fit are dropped and counted, and the count is logged.
 
 use std::{
     fmt::Write as _,
@@ -23,17 +23,16 @@
 
 use crate::settings::LogFormat;
 
-/// Bytes that wait to be written at most; a burst of some thousand lines.
+/// Capacity of the buffer in bytes: a burst of some thousand lines.
 const MAX_BUFFERED_BYTES: usize = 1 << 20;
-/// Lines are gathered for this long, so that a busy process does not wake for each.
-const GATHER: Duration = Duration::from_millis(200);
+/// Lines are batched for this long, so that the writer thread of a busy process does not wake for each line.
+const BATCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long a process that ends waits for its last lines to be written: the time that lines are
-/// gathered for, and some to write them.
-const LAST_LINES: Duration = Duration::from_millis(300);
-/// Bytes written at once, whole lines of them: as many as a pipe takes in one piece (POSIX has 512 as
-/// the least, Linux 4,096).
-const PIECE_BYTES: usize = 4_096;
+/// How long an exiting process waits for its last lines to be written: one batch interval plus some time to write.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
+/// The most bytes of whole lines in one write: the size up to which writes to a pipe are atomic (`PIPE_BUF`: at least
+/// 512 in POSIX, 4,096 on Linux).
+const MAX_WRITE_BYTES: usize = 4_096;
 
 /// Where log lines go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +43,7 @@
     Stderr,
 }
 
-/// Starts logging; a second call in one process changes nothing.
+/// Starts logging. A second call in the same process has no effect.
 pub fn start(format: LogFormat, target: LogTarget) {
     let buffer = Arc::new(LineBuffer::new(MAX_BUFFERED_BYTES));
     let writer = buffer.clone();
@@ -55,19 +54,19 @@
     let appender = BufferedAppender { format, buffer };
     let built = Config::builder()
         .appender(Appender::builder().build("lines", Box::new(appender)))
-        // Libraries log each call; only their warnings are changes of state.
+        // Libraries log every call at info level; only their warnings report a change of state.
         .logger(Logger::builder().build("ryevalve", LevelFilter::Info))
         .build(Root::builder().appender("lines").build(LevelFilter::Warn));
     if let Ok(config) = built {
-        // An error only says that logging has been started before.
+        // The only error is that a logger is already installed.
         let _ = log4rs::init_config(config);
     }
 }
 
-/// Lines that wait to be written, bounded.
+/// A bounded buffer of lines to be written.
 #[derive(Debug)]
 pub struct LineBuffer {
-    most_bytes: usize,
+    max_bytes: usize,
     state: Mutex<BufferState>,
     filled: Condvar,
     written: Condvar,
@@ -78,25 +77,25 @@
     bytes: Vec<u8>,
     dropped: u64,
     is_closed: bool,
-    /// Lines were taken out and are being written.
+    /// The writer has removed lines from the buffer and is writing them.
     is_writing: bool,
 }
 
 impl LineBuffer {
-    /// Creates an empty buffer for `most_bytes`.
-    pub fn new(most_bytes: usize) -> Self {
+    /// Creates an empty buffer with a capacity of `max_bytes`.
+    pub fn new(max_bytes: usize) -> Self {
         Self {
-            most_bytes,
+            max_bytes,
             state: Mutex::default(),
             filled: Condvar::new(),
             written: Condvar::new(),
         }
     }
 
-    /// Adds a line, or counts it as dropped if there is no room. Never waits for a reader.
+    /// Adds a line, or counts it as dropped if the buffer is full. Never waits for the reader.
     pub fn push(&self, line: &str) {
         let mut state = self.lock();
-        if state.bytes.len() + line.len() + 1 > self.most_bytes {
+        if state.bytes.len() + line.len() + 1 > self.max_bytes {
             state.dropped += 1;
             return;
         }
@@ -107,12 +106,12 @@
         }
     }
 
-    /// Returns how many lines were dropped since this was asked last.
+    /// Returns how many lines were dropped since the last call.
     pub fn take_dropped(&self) -> u64 {
         std::mem::take(&mut self.lock().dropped)
     }
 
-    /// Writes lines out as they come, until the buffer is closed or the reader is gone.
+    /// Writes lines out as they arrive, until the buffer is closed or the reader is gone.
     pub fn write_out(&self, mut out: impl Write) {
         loop {
             let bytes = self.wait();
@@ -129,23 +128,25 @@
             self.lock().is_writing = false;
             self.written.notify_all();
             if written.is_err() {
-                // Nobody reads any more; lines are counted as dropped from here on.
+                // The reader is gone: without a writer the buffer fills up, and further lines count as dropped.
                 return;
             }
-            thread::sleep(GATHER);
+            thread::sleep(BATCH_INTERVAL);
         }
     }
 
-    /// Waits until the lines that are there are written, for at most `most`; false if they are not.
-    pub fn flush(&self, most: Duration) -> bool {
-        let is_left = |state: &mut BufferState| state.is_writing || !state.bytes.is_empty();
-        let waited = self.written.wait_timeout_while(self.lock(), most, is_left);
+    /// Waits until all buffered lines are written, for at most `timeout`. Returns false on timeout.
+    pub fn flush(&self, timeout: Duration) -> bool {
+        let is_pending = |state: &mut BufferState| state.is_writing || !state.bytes.is_empty();
+        let waited = self
+            .written
+            .wait_timeout_while(self.lock(), timeout, is_pending);
         let (state, result) = waited.unwrap_or_else(PoisonError::into_inner);
         drop(state);
         !result.timed_out()
     }
 
-    /// Lets the writer end once it has written what is there.
+    /// Ends the writer once it has written the buffered lines.
     pub fn close(&self) {
         self.lock().is_closed = true;
         self.filled.notify_all();
@@ -164,21 +165,21 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, BufferState> {
-        // Every step leaves the buffer whole, so a poisoned lock is usable.
+        // The state is consistent after every statement, so a poisoned lock is usable.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Writes whole lines in pieces that a pipe takes at once, so that no other writer's lines come in
-/// between. A longer line is a piece of its own.
+/// Writes whole lines in chunks that a pipe accepts atomically, so that lines of other writers are not interleaved.
+/// A line longer than that is a chunk of its own.
 fn write_lines(out: &mut impl Write, bytes: &[u8]) -> io::Result<()> {
     let mut rest = bytes;
     while !rest.is_empty() {
-        let head = &rest[..rest.len().min(PIECE_BYTES)];
+        let head = &rest[..rest.len().min(MAX_WRITE_BYTES)];
         let end = head.iter().rposition(|b| *b == b'\n');
         let end = end.or_else(|| rest.iter().position(|b| *b == b'\n'));
-        let (piece, left) = rest.split_at(end.map_or(rest.len(), |end| end + 1));
-        out.write_all(piece)?;
+        let (chunk, left) = rest.split_at(end.map_or(rest.len(), |end| end + 1));
+        out.write_all(chunk)?;
         rest = left;
     }
     Ok(())
@@ -206,8 +207,8 @@
     }
 
     fn flush(&self) {
-        // What is not written by then is lost with the process, as with a reader that is stuck.
-        self.buffer.flush(LAST_LINES);
+        // Lines that are not written by then are lost when the process exits, for example if the reader is stuck.
+        self.buffer.flush(FLUSH_TIMEOUT);
     }
 }
 
@@ -223,12 +224,12 @@
 
 fn fields(record: &Record<'_>) -> Map<String, Json> {
     let mut fields = Fields(Map::new());
-    // Visiting fails only if the visitor does, and this one does not.
+    // Visiting fails only if the visitor returns an error, which this one never does.
     let _ = record.key_values().visit(&mut fields);
     fields.0
 }
 
-/// Returns a record as one JSON object.
+/// Formats a record as one JSON object.
 pub fn json_line(record: &Record<'_>) -> String {
     let mut line = Map::new();
     line.insert("at".into(), now_ms().into());
@@ -249,7 +250,7 @@
     line
 }
 
-/// Returns milliseconds since 1970.
+/// Returns Unix time in milliseconds.
 fn now_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |d| d.as_millis() as u64)
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, in Prometheus text form on the operators' listener.
+//! Metrics, exported in the Prometheus text format on the operator listener.
 
 use std::{
     fmt,
@@ -21,64 +21,64 @@
 
 use crate::prelude::Name;
 
-/// Labels of what is counted by tier.
+/// Labels of metrics by tier.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct TierLabels {
     /// The tier's name.
     pub tier: String,
 }
 
-/// Labels of what is counted by tier and outcome or reason.
+/// Labels of metrics by tier and outcome or reason.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabels {
     /// The tier's name.
     pub tier: String,
-    /// What came of it.
+    /// The request's outcome, or the reason for which it was shed.
     pub outcome: String,
 }
 
-/// Labels of what is counted by stage.
+/// Labels of metrics by stage.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct StageLabels {
     /// `waiting` or `running`.
     pub stage: String,
 }
 
-/// Everything that this process counts.
+/// All metrics of this process.
 #[derive(Default)]
 pub struct Metrics {
     registry: Registry,
     /// Requests by tier and outcome.
     pub requests: Family<OutcomeLabels, Counter>,
-    /// Whole answers before their deadline, by tier: the goodput.
+    /// Complete answers before their deadline, by tier: the goodput.
     pub in_time: Family<TierLabels, Counter>,
-    /// Whole answers after their deadline, by tier.
+    /// Complete answers after their deadline, by tier.
     pub late: Family<TierLabels, Counter>,
     /// Requests shed, by tier and reason.
     pub sheds: Family<OutcomeLabels, Counter>,
     /// Requests whose deadline passed while they waited, by tier.
     pub expiries: Family<TierLabels, Counter>,
-    /// Prompt tokens computed for answers that were then not whole or not in time.
+    /// Prompt tokens computed for answers that were then incomplete or late.
     pub wasted_prefill_tokens: Counter,
     /// Prompt tokens computed.
     pub prefill_tokens: Counter,
     /// Prompt tokens found in caches.
     pub cached_tokens: Counter,
-    /// Time of one decision.
-    pub decision_seconds: DecisionTime,
-    /// Time to the first token.
-    pub first_token_seconds: DecisionTime,
-    /// Times this instance began to lead a pool.
+    /// Duration of one scheduling decision.
+    pub decision_seconds: DurationHistogram,
+    /// Time from a request's arrival to its first token.
+    pub first_token_seconds: DurationHistogram,
+    /// How often this instance became the leader of a pool.
     pub leads_taken: Counter,
-    /// Registrations begun with leaders.
+    /// Registrations started with pool leaders.
     pub registrations: Counter,
-    /// Platform calls that brought no answer.
+    /// Platform calls that failed.
     pub platform_errors: Counter,
-    /// Configuration steps whose result was not what they named.
+    /// Configuration steps refused because their result did not match the hash they carry.
     pub config_steps_refused: Counter,
-    /// Requests refused before they were taken, for what they were.
+    /// Requests refused as invalid before they were accepted.
     pub bad_requests: Counter,
-    /// Orders that this entry did not follow.
+    /// Leaders' orders that this instance did not carry out.
     pub orders_refused: Counter,
     held: Family<StageLabels, Gauge>,
     waiting: Family<TierLabels, Gauge>,
@@ -88,42 +88,42 @@
     datagrams_dropped: Counter,
 }
 
-/// A histogram of short times.
+/// A histogram of short durations, with buckets from 1 µs, each twice the one before.
 #[derive(Clone)]
-pub struct DecisionTime(Histogram);
+pub struct DurationHistogram(Histogram);
 
-impl Default for DecisionTime {
+impl Default for DurationHistogram {
     fn default() -> Self {
         Self(Histogram::new(exponential_buckets(1e-6, 2.0, 26)))
     }
 }
 
-impl DecisionTime {
-    /// Takes a time in, in seconds.
+impl DurationHistogram {
+    /// Records a duration in seconds.
     pub fn observe(&self, seconds: f64) {
         self.0.observe(seconds);
     }
 }
 
-/// What is read from elsewhere when the counters are shown.
+/// Values that are read from other components when metrics are exported.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Readings {
-    /// Requests that wait.
+    /// Requests waiting.
     pub waiting: usize,
-    /// Requests that run.
+    /// Requests running.
     pub running: usize,
-    /// The configuration in force.
+    /// Version of the configuration in force.
     pub config_version: u64,
     /// Bytes sent to other instances.
     pub control_sent_bytes: u64,
-    /// Bytes received from them.
+    /// Bytes received from other instances.
     pub control_received_bytes: u64,
-    /// Datagrams dropped.
+    /// Datagrams dropped because they were forged, replayed or unreadable.
     pub datagrams_dropped: u64,
 }
 
 impl Metrics {
-    /// Creates all counters at zero.
+    /// Creates and registers all metrics, at zero.
     pub fn new() -> Arc<Self> {
         let mut metrics = Self::default();
         let mut registry = Registry::with_prefix("ryevalve");
@@ -226,38 +226,38 @@
         Arc::new(metrics)
     }
 
-    /// Returns the text form.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// # Errors
-    /// A label could not be written.
+    /// A label could not be encoded.
     pub fn text(&self, readings: Readings) -> Result<String, fmt::Error> {
         self.set_held("waiting", readings.waiting);
         self.set_held("running", readings.running);
         self.config_version.set(readings.config_version as i64);
-        raise(&self.control_sent_bytes, readings.control_sent_bytes);
-        raise(
+        raise_to(&self.control_sent_bytes, readings.control_sent_bytes);
+        raise_to(
             &self.control_received_bytes,
             readings.control_received_bytes,
         );
-        raise(&self.datagrams_dropped, readings.datagrams_dropped);
+        raise_to(&self.datagrams_dropped, readings.datagrams_dropped);
         let mut text = String::new();
         encode(&mut text, &self.registry)?;
         Ok(text)
     }
 
-    /// Sets a tier's queue length, as it is shown next.
+    /// Sets the gauge of a tier's queue length.
     pub fn set_waiting(&self, tier: &Name, count: usize) {
         self.waiting
             .get_or_create(&tier_label(tier))
             .set(count as i64);
     }
 
-    /// Counts a request's end.
+    /// Counts a finished request.
     pub fn ended(&self, tier: &Name, outcome: &str) {
         self.requests.get_or_create(&labels(tier, outcome)).inc();
     }
 
-    /// Counts a shed.
+    /// Counts a shed request.
     pub fn shed(&self, tier: &Name, reason: &str) {
         self.sheds.get_or_create(&labels(tier, reason)).inc();
     }
@@ -284,8 +284,8 @@
     }
 }
 
-/// Brings a counter up to a value that is counted elsewhere.
-fn raise(counter: &Counter, value: u64) {
+/// Raises a counter to a value that another component counts. Never lowers it.
+fn raise_to(counter: &Counter, value: u64) {
     let counter: &AtomicU64 = counter.inner();
     counter.fetch_max(value, Ordering::Relaxed);
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of `ryevalve serve`: each a flag and an environment variable, checked at start.
+//! The settings of `ryevalve serve`. Each is a flag and an environment variable, and is validated at start-up.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -9,13 +9,13 @@
 /// How log lines are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
     /// Plain text.
     Plain,
 }
 
-/// A key that is never shown, logged or dumped.
+/// A key that is never printed, logged or dumped.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(String);
 
@@ -37,49 +37,49 @@
     }
 }
 
-/// Where an instance listens, whom it knows and how much it takes on.
+/// The addresses, peers, keys and limits of one instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The instance's name, unlike any other's.
+    /// The instance's name, unique among all instances.
     pub name: Name,
-    /// The hall it stands in.
+    /// The hall in which it runs.
     pub hall: Name,
-    /// The data centre it stands in.
+    /// The data centre in which it runs.
     pub data_centre: Name,
-    /// Where callers connect.
+    /// The address on which it listens for callers.
     pub caller_addr: SocketAddr,
-    /// Where operators connect.
+    /// The address on which it listens for operators.
     pub operator_addr: SocketAddr,
-    /// Where the other instances reach it, by UDP and TCP.
+    /// The address on which it listens for other instances, over UDP and TCP.
     pub peer_addr: SocketAddr,
-    /// Peers to meet first, beside those on the platform's list.
+    /// Peers to contact at start-up, in addition to those in the platform's instance list.
     pub seeds: Vec<SocketAddr>,
-    /// The platform's object API.
+    /// The address of the platform's object API.
     pub platform_addr: SocketAddr,
-    /// Shared by all instances; authenticates what they send each other.
+    /// Shared by all instances; authenticates the messages between them.
     pub cluster_key: Secret,
-    /// An operator key that is good before any configuration is.
+    /// An operator key that is valid even before a configuration is in force.
     pub operator_key: Secret,
     /// How log lines are written.
     pub log_format: LogFormat,
-    /// The most connections of callers.
+    /// The maximum number of caller connections.
     pub max_connections: usize,
-    /// The longest request body, in bytes.
+    /// The maximum length of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Time for a caller to send its request's header, in milliseconds.
+    /// The time limit for receiving a request's header, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Time for a caller to send its request's body, in milliseconds.
+    /// The time limit for receiving a request's body, in milliseconds.
     pub body_timeout_ms: u64,
-    /// Time that a planned stop waits for requests in progress, in milliseconds.
+    /// The time for which a graceful shutdown waits for requests in progress, in milliseconds.
     pub stop_timeout_ms: u64,
-    /// How many requests the recorder keeps.
+    /// The number of finished requests that the recorder keeps.
     pub record_requests: usize,
 }
 
-/// A setting that cannot be used.
+/// An invalid, missing or unknown setting.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 pub enum SettingsError {
-    /// The value is not of the kind that is needed.
+    /// The value is not valid for the setting.
     #[snafu(display(
         "--{name} (RYEVALVE_{}): `{value}` is not usable; expected {expected}",
         env_name(name)
@@ -87,12 +87,12 @@
     Bad {
         /// The flag.
         name: &'static str,
-        /// The value given; never a key.
+        /// The given value; for keys only their length.
         value: String,
-        /// What would do.
+        /// A description of valid values.
         expected: &'static str,
     },
-    /// A setting without which there is no start.
+    /// A required setting is missing.
     #[snafu(display(
         "--{name} (RYEVALVE_{}) is missing; expected {expected}",
         env_name(name)
@@ -100,26 +100,26 @@
     Missing {
         /// The flag.
         name: &'static str,
-        /// What would do.
+        /// A description of valid values.
         expected: &'static str,
     },
-    /// No such flag.
+    /// The flag does not exist.
     #[snafu(display("unknown flag --{name}; {hint}"))]
     Unknown {
-        /// What was given.
+        /// The given flag.
         name: String,
-        /// The nearest that exists.
+        /// A hint with the most similar existing flag.
         hint: String,
     },
 }
 
-/// One flag of `serve`: name, default, and what it expects.
+/// One flag of `serve`: its name, default and valid values.
 pub struct Flag {
     /// The flag without its dashes.
     pub name: &'static str,
-    /// The value if it is not given; none if it must be.
+    /// The default value; none if the flag is required.
     pub default: Option<&'static str>,
-    /// What is expected of it, for help and errors.
+    /// A description of valid values, for help and error messages.
     pub expected: &'static str,
 }
 
@@ -210,16 +210,16 @@
 
 const MIN_KEY_LEN: usize = 16;
 
-/// Returns the environment variable of a flag, without its `RYEVALVE_`.
+/// Returns the environment variable of a flag, without the prefix `RYEVALVE_`.
 pub fn env_name(flag: &str) -> String {
     flag.to_uppercase().replace('-', "_")
 }
 
 impl Settings {
-    /// Merges flags over environment variables over defaults, and checks the result.
+    /// Reads each setting from the flags, else from the environment, else from the defaults, and validates it.
     ///
     /// # Errors
-    /// Names the first setting that is unknown, missing or not usable.
+    /// The first setting that is unknown, missing or invalid.
     pub fn merge(
         flags: &BTreeMap<String, String>,
         env: impl Fn(&str) -> Option<String>,
@@ -313,17 +313,17 @@
         }
     }
 
-    fn number(&self, name: &'static str, least: u64, most: u64) -> Result<u64, SettingsError> {
+    fn number(&self, name: &'static str, min: u64, max: u64) -> Result<u64, SettingsError> {
         let value = self.raw(name)?;
         match value.parse() {
-            Ok(number) if (least..=most).contains(&number) => Ok(number),
+            Ok(number) if (min..=max).contains(&number) => Ok(number),
             _ => Err(bad(name, value)),
         }
     }
 }
 
 fn find(name: &'static str) -> &'static Flag {
-    // Every name asked for is in the table; the settings test goes through all of them.
+    // Every name that `merge` uses is in the table, which the settings test checks.
     FLAGS.iter().find(|f| f.name == name).unwrap_or(&FLAGS[0])
 }
 
