--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: subcommands, their flags, and exit codes.
+//! The command line: subcommands, their flags and exit codes.
 
 use std::{
     collections::BTreeMap,
@@ -154,16 +154,16 @@
 Exit 0: done. 1: a property or a stated outcome does not hold. 2: bad input.
 ";
 
-/// Why a run of the program ended early.
+/// Why the program ended with an error.
 #[derive(Debug, Snafu)]
 enum CliError {
-    /// The command line makes no sense.
+    /// The command line or the input is invalid.
     #[snafu(display("{message}"))]
     Usage { message: String },
-    /// Something was refused, or not reached.
+    /// An operation failed, was refused or could not reach an instance.
     #[snafu(display("{message}"))]
     Failed { message: String },
-    /// An order may have been carried out.
+    /// The outcome is unknown: the command may have been carried out.
     #[snafu(display("{message}"))]
     Unknown { message: String },
 }
@@ -207,7 +207,7 @@
     }
 }
 
-/// Runs the program with its arguments, the program's own name left out.
+/// Runs the program with its arguments, without the program name.
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     match run(args) {
         Ok(code) => code,
@@ -258,7 +258,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Writes to standard output; a reader that went away ends the program quietly.
+/// Writes to standard output and flushes it.
 fn write_out(text: &str) -> Result<(), CliError> {
     let mut out = io::stdout().lock();
     let written = out.write_all(text.as_bytes()).and_then(|()| out.flush());
@@ -271,7 +271,7 @@
         .map_err(|value| CliError::usage(format!("{value:?} is not text")))
 }
 
-/// A subcommand's arguments.
+/// The parsed arguments of a subcommand.
 #[derive(Default)]
 struct Args {
     flags: BTreeMap<String, String>,
@@ -387,7 +387,7 @@
     }
     args.no_values()?;
     logs::start(LogFormat::Json, LogTarget::Stdout);
-    // One thread: the platform's instances have a part of one core.
+    // Single-threaded, as the platform gives an instance only a fraction of one core.
     let built = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -453,7 +453,7 @@
     };
     let text = read_logs(files)?;
     match explain::explain(&text, id) {
-        Some(words) => print(&words),
+        Some(explanation) => print(&explanation),
         None => Err(CliError::failed(format!("no line is about request {id}"))),
     }
 }
@@ -486,7 +486,7 @@
     print(&summary::summarize(&text).to_string())
 }
 
-/// Reads all of the named files, or the standard input if none is.
+/// Reads and concatenates the given files, or reads standard input if there are none.
 fn read_logs(files: &[String]) -> Result<String, CliError> {
     if files.is_empty() {
         return read_file("-");
@@ -529,40 +529,40 @@
     if args.help {
         return print(COMMAND_HELP);
     }
-    let caller = Caller {
+    let client = CommandClient {
         at: args.at()?,
         key: args.key(),
         json: args.json()?,
         runtime: runtime()?,
     };
     match args.values.as_slice() {
-        [] => caller.read_lines(),
-        [text] if text == "-" => caller.give(&read_file("-")?, args.get("id")),
-        [text] => caller.give(text, args.get("id")),
+        [] => client.read_lines(),
+        [text] if text == "-" => client.send(&read_file("-")?, args.get("id")),
+        [text] => client.send(text, args.get("id")),
         _ => Err(CliError::usage(
             "quote the command, so that it is one argument",
         )),
     }
 }
 
-struct Caller {
+struct CommandClient {
     at: SocketAddr,
     key: Secret,
     json: bool,
     runtime: tokio::runtime::Runtime,
 }
 
-impl Caller {
-    fn give(&self, text: &str, id: Option<&str>) -> Result<ExitCode, CliError> {
+impl CommandClient {
+    fn send(&self, text: &str, id: Option<&str>) -> Result<ExitCode, CliError> {
         let id = id.map_or_else(new_id, str::to_owned);
         let body = CommandBody {
             text: text.to_owned(),
             id: Some(id.clone()),
         };
-        let given = self
+        let sent = self
             .runtime
             .block_on(client::command(self.at, &self.key, &body));
-        let reply = given.map_err(|error| match CliError::from(error) {
+        let reply = sent.map_err(|error| match CliError::from(error) {
             CliError::Unknown { message } => CliError::Unknown {
                 message: format!("{message}; give it again with --id {id}"),
             },
@@ -586,11 +586,11 @@
     }
 
     fn read_lines(&self) -> Result<ExitCode, CliError> {
-        let prompts = io::stdin().is_terminal();
+        let is_interactive = io::stdin().is_terminal();
         let mut history: Vec<String> = Vec::new();
         let mut last = ExitCode::SUCCESS;
         loop {
-            if prompts {
+            if is_interactive {
                 write_out("ryevalve> ")?;
             }
             let mut line = String::new();
@@ -599,11 +599,11 @@
             if read == 0 {
                 return Ok(last);
             }
-            let Some(text) = recall(line.trim(), &history)? else {
+            let Some(text) = expand_line(line.trim(), &history)? else {
                 continue;
             };
             history.push(text.clone());
-            last = match self.give(&text, None) {
+            last = match self.send(&text, None) {
                 Ok(code) => code,
                 Err(error) => {
                     eprintln!("ryevalve: {error}");
@@ -614,12 +614,13 @@
     }
 }
 
-/// Returns the command that a line stands for; none if it is empty or asks for the history.
-fn recall(line: &str, history: &[String]) -> Result<Option<String>, CliError> {
+/// Returns the command to run for an input line, with `!N` replaced by command N of the history. Returns none if the
+/// line is empty, is `history!` (which prints the history) or names no command.
+fn expand_line(line: &str, history: &[String]) -> Result<Option<String>, CliError> {
     if line.is_empty() {
         return Ok(None);
     }
-    // As a word alone, since `history where ...` is a question.
+    // Ends in `!` because `history where ...` is a query.
     if line == "history!" {
         for (index, text) in history.iter().enumerate() {
             write_out(&format!("{:>4}  {text}\n", index + 1))?;
@@ -679,14 +680,14 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn number(args: &Args, name: &str, default: u64, most: u64) -> Result<u64, CliError> {
+fn number(args: &Args, name: &str, default: u64, max: u64) -> Result<u64, CliError> {
     let Some(value) = args.get(name) else {
         return Ok(default);
     };
     match value.parse() {
-        Ok(number) if (1..=most).contains(&number) => Ok(number),
+        Ok(number) if (1..=max).contains(&number) => Ok(number),
         _ => {
-            let message = format!("--{name}: `{value}` is not usable; expected 1 to {most}");
+            let message = format!("--{name}: `{value}` is not usable; expected 1 to {max}");
             Err(CliError::usage(message))
         }
     }
@@ -714,20 +715,20 @@
     } else {
         write_out(&outcome_table(&outcome))?;
     }
-    let mut wrong = unmet(&expectations, &outcome);
+    let mut failures = unmet(&expectations, &outcome);
     for policy in outcome.policies.iter().filter(|p| p.violations > 0) {
         let first = policy.breaches.first().cloned().unwrap_or_default();
-        wrong.push(format!(
+        failures.push(format!(
             "{}: {} breaches, first: {first}",
             policy.policy, policy.violations
         ));
     }
-    if wrong.is_empty() {
+    if failures.is_empty() {
         return Ok(ExitCode::SUCCESS);
     }
     Err(CliError::failed(format!(
         "does not hold:\n{}",
-        wrong.join("\n")
+        failures.join("\n")
     )))
 }
 
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! What `ryevalve command` and `ryevalve dump` use to reach an instance's operator listener.
+//! The HTTP client of an instance's operator listener, used by `ryevalve command` and `ryevalve dump`.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -19,66 +19,66 @@
 
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why an instance could not be asked.
+/// Why a call to an instance failed.
 #[derive(Debug, Snafu)]
 pub enum ClientError {
-    /// It could not be reached.
+    /// The connection could not be opened.
     #[snafu(display("{source}"))]
     Connect {
-        /// How it failed.
+        /// The underlying error.
         source: ConnectError,
     },
-    /// It did not answer; an order may have been carried out.
+    /// The instance did not answer; the command may have been carried out.
     #[snafu(display("no answer came; an order may have been carried out"))]
     NoAnswer {
-        /// How it failed.
+        /// The underlying error.
         source: SendError,
     },
-    /// The answer did not come in time; an order may have been carried out.
+    /// The call timed out; the command may have been carried out.
     #[snafu(display("no answer came in time; an order may have been carried out"))]
     Late,
-    /// The answer broke off.
+    /// The connection broke before the answer was complete.
     #[snafu(display("the answer broke off"))]
     Cut {
-        /// How it failed.
+        /// The underlying error.
         source: hyper::Error,
     },
-    /// The key is missing or not known.
+    /// The operator key is missing or unknown.
     #[snafu(display("the key is missing or not known (--key or RYEVALVE_OPERATOR_KEY)"))]
     WrongKey,
-    /// It answered with an error.
+    /// The instance answered with an error status.
     #[snafu(display("answered {status}: {text}"))]
     Refused {
-        /// Its status.
+        /// The HTTP status.
         status: StatusCode,
-        /// Its text.
+        /// The body of the answer.
         text: String,
     },
-    /// The answer cannot be read.
+    /// The command or the answer is not valid JSON.
     #[snafu(display("the answer cannot be read"))]
     Unreadable {
-        /// What the reader said.
+        /// The JSON error.
         source: serde_json::Error,
     },
-    /// The runtime could not be started.
+    /// The async runtime could not be started.
     #[snafu(display("cannot start"))]
     Runtime {
-        /// What the system said.
+        /// The operating system's error.
         source: io::Error,
     },
 }
 
 impl ClientError {
-    /// Returns whether an order may have been carried out all the same.
+    /// Returns whether the command may have been carried out in spite of the error.
     pub fn is_unknown(&self) -> bool {
         matches!(self, Self::NoAnswer { .. } | Self::Late | Self::Cut { .. })
     }
 }
 
-/// Gives a command.
+/// Sends a command and returns the reply.
 ///
 /// # Errors
-/// Says whether it may have been carried out.
+/// [`ClientError::is_unknown`] tells whether the command may have been carried out.
 pub async fn command(
     at: SocketAddr,
     key: &Secret,
@@ -89,10 +89,10 @@
     serde_json::from_slice(&text).context(UnreadableSnafu)
 }
 
-/// Fetches the state of an instance, as JSON.
+/// Fetches the state of an instance as JSON.
 ///
 /// # Errors
-/// It could not be reached or did not answer.
+/// The instance could not be reached, or did not give a readable answer.
 pub async fn dump(at: SocketAddr, key: &Secret) -> Result<serde_json::Value, ClientError> {
     let text = call(at, key, Method::GET, "/dump", Vec::new()).await?;
     serde_json::from_slice(&text).context(UnreadableSnafu)
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -4,22 +4,23 @@
 
 use serde_json::{Map, Value};
 
-/// Reads a log line. Lines that are not JSON objects may begin with what a collector put before them.
+/// Parses the JSON object of a log line, skipping any prefix that a log collector added. Returns none for other lines.
 pub(crate) fn object(line: &str) -> Option<Map<String, Value>> {
     let start = line.find('{')?;
     serde_json::from_str(&line[start..]).ok()
 }
 
-/// Returns the lines of a request, in the order of their times.
+/// Returns the log lines of a request, sorted by time.
 pub fn lines_of(text: &str, request_id: &str) -> Vec<Map<String, Value>> {
     let objects = text.lines().filter_map(object);
-    let own = objects.filter(|o| o.get("request_id").and_then(Value::as_str) == Some(request_id));
-    let mut own: Vec<_> = own.collect();
-    own.sort_by_key(|o| o.get("at").and_then(Value::as_u64));
-    own
+    let matching =
+        objects.filter(|o| o.get("request_id").and_then(Value::as_str) == Some(request_id));
+    let mut lines: Vec<_> = matching.collect();
+    lines.sort_by_key(|o| o.get("at").and_then(Value::as_u64));
+    lines
 }
 
-/// Says in words what happened to a request; none if no line is about it.
+/// Describes what happened to a request. Returns none if no log line belongs to it.
 pub fn explain(text: &str, request_id: &str) -> Option<String> {
     let lines = lines_of(text, request_id);
     let first_at = lines.first()?.get("at").and_then(Value::as_u64)?;
@@ -75,7 +76,7 @@
     }
 }
 
-/// The words of reasons, for people.
+/// Readable descriptions of the values of `reason` in log lines.
 const REASONS: [(&str, &str); 27] = [
     (
         "answer_broke_off",
@@ -157,12 +158,12 @@
     ("unreachable", "no connection to the endpoint came up"),
 ];
 
-fn reason(word: &str) -> &str {
-    let known = REASONS.iter().find(|(known, _)| *known == word);
-    known.map_or(word, |(_, text)| text)
+fn reason(code: &str) -> &str {
+    let known = REASONS.iter().find(|(known, _)| *known == code);
+    known.map_or(code, |(_, text)| text)
 }
 
-/// The fields that decided, each with its name.
+/// The fields to print with each event: the inputs of the decision.
 const INPUTS: [&str; 17] = [
     "route",
     "organisation",
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! A request scheduler for engines of unlike speed.
+//! A request scheduler for endpoints of different speeds.
 //!
-//! The decisions are in [`core`], free of clocks and sockets; [`instance`] runs them among callers
-//! ([`entry`]), endpoints ([`endpoint`]), the other instances ([`peers`], [`pool`]), the platform
-//! ([`platform`]) and operators ([`operator`]). [`replay`] runs the same decisions in virtual time.
+//! The scheduling logic is in [`core`] and uses no clocks or sockets. [`instance`] connects it to callers ([`entry`]),
+//! endpoints ([`endpoint`]), other instances ([`peers`], [`pool`]), the platform ([`platform`]) and operators
+//! ([`operator`]). [`replay`] runs the same logic in virtual time.
 
 pub mod balance;
 pub mod cli;
--- a/src/limit_history.rs
+++ b/src/limit_history.rs
@@ -1,4 +1,5 @@
-//! Sums up from log lines, second by second, what quota servers granted an organisation, and by which shares.
+//! Summarises from log lines, per second, what quota servers granted an organisation and which shares of its limit they
+//! had leased.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -12,38 +13,38 @@
     limits::quota::COPIES,
 };
 
-const MS_A_SECOND: i64 = 1_000;
+const MS_PER_SECOND: i64 = 1_000;
 
-/// What quota servers wrote of an organisation's limit in one second.
+/// What quota servers logged about an organisation's limit in one second.
 #[derive(Debug, Default)]
 pub struct Second {
-    /// Units granted, over all servers.
+    /// Units granted by all servers.
     pub granted: i64,
-    /// Requests denied, over all servers.
+    /// Requests denied by all servers.
     pub denied: i64,
-    /// Accounts of which a line was written.
+    /// Number of accounts that logged their state.
     pub accounts: usize,
-    /// The shares of the limit that were leased to them, summed; 1 is the whole limit.
+    /// Sum of the shares of the limit that were leased to these accounts; 1 is the whole limit.
     pub share: f64,
-    /// The fewest instances by which one of them divides a limit.
+    /// The smallest number of instances by which one of these accounts divides the limit.
     pub fewest_instances: Option<i64>,
-    /// The configurations in force.
+    /// The configuration versions in force.
     pub versions: BTreeSet<i64>,
-    /// Changes of the limit, in words.
+    /// Descriptions of the changes of the limit.
     pub changes: BTreeSet<String>,
 }
 
-/// What an organisation was granted, by second since 1970.
+/// The history of an organisation's limit, by Unix time in seconds.
 #[derive(Debug, Default)]
 pub struct LimitHistory {
-    /// What was written in each.
+    /// The seconds in which a line was logged.
     pub seconds: BTreeMap<i64, Second>,
 }
 
-/// Returns the history of an organisation's limit; none if no line is about it.
+/// Returns the history of an organisation's limit, or none if no log line is about it.
 ///
-/// A log is of one instance, or has its name before each line: what a server granted is the growth of what it counts
-/// since it opened the account.
+/// Each log must come from one instance, or have the instance's name before each line. Servers log the total granted
+/// since they opened the account, so the grants of one second are the growth of that total.
 pub fn history(logs: &[&str], organisation: &str) -> Option<LimitHistory> {
     let mut history = LimitHistory::default();
     for log in logs {
@@ -60,21 +61,24 @@
             if text_of(&fields, "organisation") != organisation {
                 continue;
             }
-            let at = number_of(&fields, "at").div_euclid(MS_A_SECOND);
+            let at = number_of(&fields, "at").div_euclid(MS_PER_SECOND);
             match text_of(&fields, "event") {
                 "limit_changed" => {
-                    let change = change_in_words(&fields);
+                    let change = describe_change(&fields);
                     self.seconds.entry(at).or_default().changes.insert(change);
                 }
                 "limit_state" => {
-                    // What a collector put before the line names the instance.
+                    // The prefix that a log collector adds names the instance.
                     let writer = line.split('{').next().unwrap_or_default();
                     let writer = writer.split_whitespace().last().unwrap_or_default();
                     let account = (writer.to_owned(), number_of(&fields, "copy"));
                     let granted = number_of(&fields, "granted");
                     let before = granted_before.insert(account, granted);
-                    let grown = granted - before.filter(|b| *b <= granted).unwrap_or(0);
-                    self.seconds.entry(at).or_default().add(&fields, grown);
+                    let newly_granted = granted - before.filter(|b| *b <= granted).unwrap_or(0);
+                    self.seconds
+                        .entry(at)
+                        .or_default()
+                        .add(&fields, newly_granted);
                 }
                 _ => {}
             }
@@ -96,16 +100,16 @@
     }
 }
 
-fn change_in_words(fields: &Map<String, Value>) -> String {
-    let words = |rate: &str, burst: &str| match number_of(fields, rate) {
+fn describe_change(fields: &Map<String, Value>) -> String {
+    let describe = |rate: &str, burst: &str| match number_of(fields, rate) {
         0 => "none".to_owned(),
         rate => format!("{rate}/s and {}", number_of(fields, burst)),
     };
     format!(
         "version {}: from {} to {}",
         number_of(fields, "config_version"),
-        words("before_per_s", "before_burst"),
-        words("rate_per_s", "burst"),
+        describe("before_per_s", "before_burst"),
+        describe("rate_per_s", "burst"),
     )
 }
 
--- a/src/listener.rs
+++ b/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections up to a bound, and ends once those that are open have ended.
+//! An accept loop with a connection limit and a graceful shutdown.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,10 +9,10 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Out of descriptors, the next accept is tried after this time.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, for example when the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Serves connections until `stop`, then returns once the open ones have ended.
+/// Accepts connections until `stop` is cancelled, then returns once all open connections have ended.
 pub async fn serve<F, R>(
     listener: TcpListener,
     max_connections: usize,
@@ -24,7 +24,7 @@
 {
     let permits = Arc::new(Semaphore::new(max_connections));
     loop {
-        // Above the bound nothing is accepted: callers wait in the system's queue, unread.
+        // At the limit nothing is accepted: further connections wait in the kernel's accept queue.
         let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
@@ -33,7 +33,7 @@
             accepted = listener.accept() => accepted,
         };
         let Ok((stream, _)) = accepted else {
-            time::sleep(ACCEPT_PAUSE).await;
+            time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let serving = serve_one(stream);
@@ -44,6 +44,6 @@
     }
     drop(listener);
     let all = u32::try_from(max_connections).unwrap_or(u32::MAX);
-    // Each open connection holds a permit until its last byte is written.
+    // Each open connection holds a permit until its last byte is written, so this waits for all of them.
     let _ = permits.acquire_many(all).await;
 }
--- a/src/prelude.rs
+++ b/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The types that most modules use.
+//! Re-exports of the types that most modules use.
 
 pub use crate::core::types::{
     Incarnation, Micros, Name, Rank, Registration, RequestId, RequestMeta, ShedReason, short_hash,
--- a/src/summary.rs
+++ b/src/summary.rs
@@ -1,4 +1,4 @@
-//! Sums up from log lines how requests ended and why, and how well first events were foreseen.
+//! Summarises from log lines how requests ended and why, and how accurately the time to the first event was predicted.
 
 use std::{
     collections::BTreeMap,
@@ -10,69 +10,69 @@
 
 use crate::{explain, gateway::report::SAMPLE_INTERVAL};
 
-/// The longest first event that is told apart, in milliseconds: no caller waits longer.
+/// The longest recorded time to the first event, in milliseconds: no caller waits longer.
 const MAX_FIRST_MS: u64 = 600_000;
 /// Significant digits of the quantiles.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 
-/// How requests ended, by route, and how well first events were foreseen.
+/// Outcomes of requests by route, and expected and measured times to the first event.
 #[derive(Debug, Default)]
 pub struct Summary {
-    /// Requests by route and cause; a line that stands for a sample counts for all of it.
+    /// Number of requests by route and cause. A sampled line counts for every request that it represents.
     pub causes: BTreeMap<(String, String), u64>,
-    /// First events of streams by where they came from.
+    /// Times to the first event of streams, by source.
     pub first_events: BTreeMap<Source, FirstEvents>,
 }
 
-/// Where a first event came from.
+/// The kind of endpoint that a first event came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Source {
-    /// From an endpoint in the instance's own hall.
+    /// Whether the endpoint is in the instance's own hall.
     pub same_hall: bool,
-    /// From one that was believed to answer within the target.
+    /// Whether the endpoint was expected to answer within the target.
     pub expected_in_time: bool,
 }
 
-/// First events, expected and seen, in milliseconds.
+/// Expected and measured times to the first event, in milliseconds.
 #[derive(Debug)]
 pub struct FirstEvents {
     expected_ms: Histogram<u64>,
-    seen_ms: Histogram<u64>,
+    measured_ms: Histogram<u64>,
     late: u64,
 }
 
 impl Default for FirstEvents {
     fn default() -> Self {
-        let histogram = || Histogram::new_with_max(MAX_FIRST_MS, DIGITS);
-        // The bounds are constants that the library takes.
-        let [expected_ms, seen_ms] = [(); 2].map(|()| histogram().expect("bounds are valid"));
+        let histogram = || Histogram::new_with_max(MAX_FIRST_MS, SIGNIFICANT_DIGITS);
+        // The bounds are constants that are valid for the library.
+        let [expected_ms, measured_ms] = [(); 2].map(|()| histogram().expect("bounds are valid"));
         Self {
             expected_ms,
-            seen_ms,
+            measured_ms,
             late: 0,
         }
     }
 }
 
 impl FirstEvents {
-    /// Returns how many first events there were.
+    /// Returns the number of first events.
     pub fn count(&self) -> u64 {
-        self.seen_ms.len()
+        self.measured_ms.len()
     }
 
-    /// Returns how many of them came after their target.
+    /// Returns the number of first events that came after their target.
     pub fn late(&self) -> u64 {
         self.late
     }
 
-    fn add(&mut self, expected_ms: u64, seen_ms: u64, is_late: bool, count: u64) {
+    fn add(&mut self, expected_ms: u64, measured_ms: u64, is_late: bool, count: u64) {
         self.expected_ms.saturating_record_n(expected_ms, count);
-        self.seen_ms.saturating_record_n(seen_ms, count);
+        self.measured_ms.saturating_record_n(measured_ms, count);
         self.late += if is_late { count } else { 0 };
     }
 }
 
-/// Sums up the lines of any number of instances.
+/// Summarises the log lines of any number of instances.
 pub fn summarize(text: &str) -> Summary {
     let mut summary = Summary::default();
     for line in text.lines().filter_map(explain::object) {
@@ -157,7 +157,7 @@
             };
             let (count, late) = (events.count(), events.late());
             write!(f, "{hall:10} {expected:10} {count:>8} {late:>8}  ")?;
-            for histogram in [&events.expected_ms, &events.seen_ms] {
+            for histogram in [&events.expected_ms, &events.measured_ms] {
                 let at = |quantile| histogram.value_at_quantile(quantile);
                 write!(f, " {:>6} {:>6} {:>6}  ", at(0.1), at(0.5), at(0.9))?;
             }
