--- a/src/cli.rs
+++ b/src/cli.rs
@@ -258,7 +258,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Writes to standard output and flushes it.
+/// Writes to standard output and flushes it. A closed reader is an error, not a panic.
 fn write_out(text: &str) -> Result<(), CliError> {
     let mut out = io::stdout().lock();
     let written = out.write_all(text.as_bytes()).and_then(|()| out.flush());
--- a/tests/gateway/clock.rs
+++ b/tests/gateway/clock.rs
@@ -1,8 +1,8 @@
-//! The clock goes on while the machine is suspended and the runtime's timers stand still.
+//! Tests that the clock keeps counting while the machine is suspended and the runtime's timers stop.
 //!
-//! The story: a machine was suspended for seconds. Its steady clock had not moved, so what it believed of the
-//! store seemed new, requests whose callers had given up were held on for as long as it had slept, and a planned
-//! stop overran its grace.
+//! They guard against a failure after a suspension of some seconds: the monotonic clock had not advanced, so cached
+//! state from the store seemed fresh, requests whose callers had given up were held for as long as the suspension
+//! had lasted, and a graceful shutdown overran its grace period.
 
 use std::time::Duration;
 
@@ -12,21 +12,21 @@
 const SECOND: u64 = 1_000_000;
 
 #[tokio::test(start_paused = true)]
-async fn a_suspension_counts_though_the_runtime_stands_still() {
+async fn clock_includes_suspensions() {
     let source = TimeSource::simulated();
     let clock = Clock::new(source);
     time::sleep(Duration::from_secs(1)).await;
     assert_eq!(clock.now_us(), SECOND);
     source.suspend(Duration::from_secs(5));
     assert_eq!(clock.now_us(), 6 * SECOND);
-    // One that starts later counts from its own start.
+    // A clock that starts later counts from its own start.
     let later = Clock::new(source);
     source.suspend(Duration::from_secs(2));
     assert_eq!((later.now_us(), clock.now_us()), (2 * SECOND, 8 * SECOND));
 }
 
 #[tokio::test(start_paused = true)]
-async fn whoever_waits_for_a_time_is_woken_after_a_suspension_over_it() {
+async fn sleep_until_wakes_after_a_suspension_past_its_time() {
     let source = TimeSource::simulated();
     let clock = Clock::new(source);
     tokio::spawn(clock.watch_for_suspensions());
@@ -35,7 +35,7 @@
     time::sleep(Duration::from_secs(2)).await;
     source.suspend(Duration::from_secs(5));
     time::sleep(Duration::from_secs(1)).await;
-    assert!(!waiting.is_finished(), "it is second 8 only");
+    assert!(!waiting.is_finished(), "only 8 s have passed");
     source.suspend(Duration::from_secs(5));
     waiting.await.unwrap();
     let awake = started.elapsed();
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_came_meanwhile_is_taken_though_the_time_is_over() {
+async fn a_result_received_during_a_suspension_wins_over_the_timeout() {
     let source = TimeSource::simulated();
     let clock = Clock::new(source);
     tokio::spawn(clock.watch_for_suspensions());
@@ -61,33 +61,33 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_question_open_over_a_suspension_is_given_up_and_known_to_be_young() {
+async fn a_call_open_during_a_suspension_is_abandoned_and_the_resumption_is_recent() {
     let source = TimeSource::simulated();
     let clock = Clock::new(source);
     tokio::spawn(clock.watch_for_suspensions());
-    let asking = tokio::spawn(async move {
+    let call = tokio::spawn(async move {
         let never = std::future::pending::<()>();
         clock.unless_suspended(never).await
     });
     time::sleep(Duration::from_secs(60)).await;
-    assert!(!asking.is_finished() && !clock.has_just_resumed());
+    assert!(!call.is_finished() && !clock.has_just_resumed());
     source.suspend(Duration::from_secs(1));
     assert!(clock.has_just_resumed());
-    assert_eq!(asking.await.unwrap(), None);
+    assert_eq!(call.await.unwrap(), None);
     time::sleep(Duration::from_millis(100)).await;
     assert!(!clock.has_just_resumed());
 }
 
 #[tokio::test]
-async fn the_machines_clock_goes_as_fast_as_time() {
+async fn the_machine_clock_matches_elapsed_time() {
     let clock = Clock::default();
     let started = Instant::now();
     time::sleep(Duration::from_millis(50)).await;
-    let (shown, passed) = (clock.now_us(), started.elapsed().as_micros() as u64);
+    let (clock_us, elapsed_us) = (clock.now_us(), started.elapsed().as_micros() as u64);
     assert!(
-        shown <= passed + 1_000 && shown + 20_000 >= passed,
-        "{shown} of {passed}"
+        clock_us <= elapsed_us + 1_000 && clock_us + 20_000 >= elapsed_us,
+        "{clock_us} of {elapsed_us} us"
     );
     clock.sleep_until(clock.now_us() + 30_000).await;
-    assert!(clock.now_us() >= shown + 30_000);
+    assert!(clock.now_us() >= clock_us + 30_000);
 }
--- a/tests/gateway/explain.rs
+++ b/tests/gateway/explain.rs
@@ -1,4 +1,4 @@
-//! A request's lines are found among others, put in order and said in words.
+//! Tests that the log lines of a request are selected, sorted and described.
 
 use ryevalve::explain::explain;
 
@@ -11,25 +11,28 @@
 "#;
 
 #[test]
-fn lines_of_several_instances_come_in_order() {
-    let words = explain(LOG, "r-1").unwrap();
-    let resumed = words.find("taken up at i-9 after event 3").unwrap();
-    let refused = words.find("answered 502 after 900 ms").unwrap();
-    assert!(resumed < refused, "{words}");
-    assert!(words.contains("+  600 ms"), "{words}");
-    assert!(words.contains("config_version 7"), "{words}");
-    assert!(!words.contains("r-2"));
+fn lines_of_several_instances_are_sorted_by_time() {
+    let explanation = explain(LOG, "r-1").unwrap();
+    let resumed = explanation.find("taken up at i-9 after event 3").unwrap();
+    let refused = explanation.find("answered 502 after 900 ms").unwrap();
+    assert!(resumed < refused, "{explanation}");
+    assert!(explanation.contains("+  600 ms"), "{explanation}");
+    assert!(explanation.contains("config_version 7"), "{explanation}");
+    assert!(!explanation.contains("r-2"));
 }
 
 #[test]
-fn a_request_without_a_line_is_not_explained() {
+fn a_request_without_log_lines_has_no_explanation() {
     assert_eq!(explain(LOG, "r-3"), None);
     assert_eq!(explain("", "r-1"), None);
 }
 
 #[test]
-fn an_age_that_is_not_known_is_said_so() {
+fn an_unknown_age_is_shown_as_unknown() {
     let line = r#"{"at":1,"event":"request_refused","request_id":"r-9","status":503,"held_ms":0,"reason":"busy","endpoints_age_ms":null}"#;
-    let words = explain(line, "r-9").unwrap();
-    assert!(words.contains("endpoints_age_ms unknown"), "{words}");
+    let explanation = explain(line, "r-9").unwrap();
+    assert!(
+        explanation.contains("endpoints_age_ms unknown"),
+        "{explanation}"
+    );
 }
--- a/tests/gateway/limit_history.rs
+++ b/tests/gateway/limit_history.rs
@@ -1,4 +1,4 @@
-//! What an organisation was granted is summed up by second over the logs of several instances.
+//! Tests that an organisation's grants are summed per second over the logs of several instances.
 
 use ryevalve::{limit_history::history, limits::quota::COPIES};
 
@@ -13,13 +13,13 @@
 "#;
 
 #[test]
-fn grants_are_summed_over_servers_beside_the_shares_that_they_came_from() {
+fn grants_and_shares_are_summed_over_servers() {
     let history = history(&[ONE, OTHER], "org").unwrap();
     let second = &history.seconds[&2];
     assert_eq!(
         second.granted,
         300 + 70,
-        "the growth of one, and the other's first"
+        "the growth of one total and the first total of the other"
     );
     assert_eq!(second.denied, 1);
     let share = (0.5 + 0.9) / f64::from(COPIES);
@@ -33,6 +33,6 @@
 }
 
 #[test]
-fn an_organisation_without_a_line_has_no_history() {
+fn an_organisation_without_log_lines_has_no_history() {
     assert!(history(&[ONE], "unheard-of").is_none());
 }
--- a/tests/gateway/logs.rs
+++ b/tests/gateway/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines are whole, and nobody who reads slowly or not at all holds the program up.
+//! Tests that log lines are written whole, and that a slow or stuck reader does not block the program.
 
 use std::{
     io::{self, Write},
@@ -29,16 +29,16 @@
     assert!(json["at"].as_u64().is_some());
 }
 
-/// A reader that does not read until it is told to.
-struct Stuck {
-    go_on: mpsc::Receiver<()>,
+/// A writer that blocks until `resume` is signalled or closed.
+struct StuckWriter {
+    resume: mpsc::Receiver<()>,
     seen: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Stuck {
+impl Write for StuckWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        // An error only says that nobody holds it back any more.
-        let _ = self.go_on.recv();
+        // An error means that the sender was dropped, which unblocks the writer.
+        let _ = self.resume.recv();
         self.seen.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
     }
@@ -49,38 +49,38 @@
 }
 
 #[test]
-fn a_reader_that_does_not_read_holds_nothing_up_and_losses_are_said() {
+fn a_stuck_reader_does_not_block_and_dropped_lines_are_reported() {
     let buffer = Arc::new(LineBuffer::new(10_000));
-    let (go_on, wait) = mpsc::channel();
+    let (resume, wait) = mpsc::channel();
     let seen = Arc::new(Mutex::new(Vec::new()));
-    let stuck = Stuck {
-        go_on: wait,
+    let stuck = StuckWriter {
+        resume: wait,
         seen: seen.clone(),
     };
     let writer = buffer.clone();
     let thread = thread::spawn(move || writer.write_out(stuck));
-    let begun = Instant::now();
+    let started = Instant::now();
     for number in 0..100_000 {
         buffer.push(&format!("line {number}"));
     }
-    assert!(begun.elapsed() < Duration::from_secs(5), "pushing waited");
-    drop(go_on);
+    assert!(started.elapsed() < Duration::from_secs(5), "pushing waited");
+    drop(resume);
     buffer.close();
     thread.join().unwrap();
     let text = String::from_utf8(seen.lock().unwrap().clone()).unwrap();
     assert!(text.ends_with('\n'));
     assert!(
         text.contains("log_lines_dropped"),
-        "the losses are not said"
+        "dropped lines are not reported"
     );
-    let whole = text.lines().filter(|l| l.starts_with("line "));
-    assert!(whole.clone().count() > 100);
-    assert!(whole.clone().all(|l| l[5..].parse::<u32>().is_ok()));
+    let written = text.lines().filter(|l| l.starts_with("line "));
+    assert!(written.clone().count() > 100);
+    assert!(written.clone().all(|l| l[5..].parse::<u32>().is_ok()));
 }
 
-struct Closed;
+struct ClosedPipe;
 
-impl Write for Closed {
+impl Write for ClosedPipe {
     fn write(&mut self, _: &[u8]) -> io::Result<usize> {
         Err(io::ErrorKind::BrokenPipe.into())
     }
@@ -94,17 +94,17 @@
 fn a_closed_reader_ends_the_writer_and_the_buffer_stays_bounded() {
     let buffer = Arc::new(LineBuffer::new(1_000));
     buffer.push("first");
-    buffer.write_out(Closed);
+    buffer.write_out(ClosedPipe);
     for number in 0..10_000 {
         buffer.push(&format!("line {number}"));
     }
     assert!(buffer.take_dropped() > 9_000);
 }
 
-/// Keeps what it is given, each piece by itself.
-struct Pieces(Arc<Mutex<Vec<Vec<u8>>>>);
+/// Records each write separately.
+struct WriteRecorder(Arc<Mutex<Vec<Vec<u8>>>>);
 
-impl Write for Pieces {
+impl Write for WriteRecorder {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().push(bytes.to_vec());
         Ok(bytes.len())
@@ -116,46 +116,46 @@
 }
 
 #[test]
-fn lines_are_written_whole_in_pieces_that_a_pipe_takes_at_once() {
+fn lines_are_written_whole_in_atomic_pipe_writes() {
     let buffer = Arc::new(LineBuffer::new(1 << 20));
     for number in 0..1_000 {
         buffer.push(&format!("line {number} {}", "x".repeat(number % 300)));
     }
     buffer.push(&"y".repeat(10_000));
-    let pieces = Arc::new(Mutex::new(Vec::new()));
+    let writes = Arc::new(Mutex::new(Vec::new()));
     buffer.close();
-    buffer.write_out(Pieces(pieces.clone()));
-    let pieces = pieces.lock().unwrap();
-    assert!(pieces.iter().all(|p| p.ends_with(b"\n")));
+    buffer.write_out(WriteRecorder(writes.clone()));
+    let writes = writes.lock().unwrap();
+    assert!(writes.iter().all(|w| w.ends_with(b"\n")));
     assert!(
-        pieces
+        writes
             .iter()
-            .all(|p| p.len() <= 4_096 || p.starts_with(b"yyy"))
+            .all(|w| w.len() <= 4_096 || w.starts_with(b"yyy"))
     );
-    let lines: usize = pieces
+    let lines: usize = writes
         .iter()
-        .map(|p| p.iter().filter(|b| **b == b'\n').count())
+        .map(|w| w.iter().filter(|b| **b == b'\n').count())
         .sum();
     assert_eq!(lines, 1_001);
 }
 
 #[test]
-fn the_last_lines_are_written_before_the_end_and_a_stuck_reader_is_not_waited_for() {
+fn flush_writes_the_last_lines_and_times_out_on_a_stuck_reader() {
     let buffer = Arc::new(LineBuffer::new(10_000));
-    let pieces = Arc::new(Mutex::new(Vec::new()));
-    let (writer, kept) = (buffer.clone(), pieces.clone());
-    thread::spawn(move || writer.write_out(Pieces(kept)));
+    let writes = Arc::new(Mutex::new(Vec::new()));
+    let (writer, recorded) = (buffer.clone(), writes.clone());
+    thread::spawn(move || writer.write_out(WriteRecorder(recorded)));
     buffer.push("the first");
     thread::sleep(Duration::from_millis(50));
-    // The writer gathers lines now; this one would be lost without a flush.
+    // The writer is in its batch interval: without a flush this line would be lost.
     buffer.push("the last");
     assert!(buffer.flush(Duration::from_secs(5)));
-    assert_eq!(pieces.lock().unwrap().concat(), b"the first\nthe last\n");
+    assert_eq!(writes.lock().unwrap().concat(), b"the first\nthe last\n");
 
     let buffer = Arc::new(LineBuffer::new(10_000));
-    let (_go_on, wait) = mpsc::channel();
-    let stuck = Stuck {
-        go_on: wait,
+    let (_resume, wait) = mpsc::channel();
+    let stuck = StuckWriter {
+        resume: wait,
         seen: Arc::default(),
     };
     let writer = buffer.clone();
--- a/tests/gateway/summary.rs
+++ b/tests/gateway/summary.rs
@@ -1,4 +1,4 @@
-//! Log lines are summed up by cause, and first events by what was expected of them.
+//! Tests that log lines are counted by cause, and first events by source and expectation.
 
 use ryevalve::summary::{Source, summarize};
 
@@ -21,7 +21,7 @@
         summary.causes.get(&key).copied().unwrap_or(0)
     };
     assert_eq!(count("r", "refused 429 over_limit"), 2);
-    assert_eq!(count("r", "in time"), 16, "one line in sixteen is written");
+    assert_eq!(count("r", "in time"), 16, "one line in sixteen is logged");
     assert_eq!(count("r", "late, first event"), 1);
     assert_eq!(count("r", "late, pause between events"), 1);
     assert_eq!(count("r", "late, refused before"), 1);
@@ -30,9 +30,9 @@
 }
 
 #[test]
-fn first_events_are_told_apart_by_hall_and_by_what_was_expected() {
+fn first_events_are_grouped_by_hall_and_expectation() {
     let summary = summarize(LOG);
-    let of = |same_hall, expected_in_time| {
+    let counts = |same_hall, expected_in_time| {
         let source = Source {
             same_hall,
             expected_in_time,
@@ -40,15 +40,15 @@
         let events = summary.first_events.get(&source);
         events.map(|e| (e.count(), e.late()))
     };
-    assert_eq!(of(true, true), Some((17, 1)));
-    assert_eq!(of(false, false), Some((1, 0)));
-    assert_eq!(of(true, false), None);
+    assert_eq!(counts(true, true), Some((17, 1)));
+    assert_eq!(counts(false, false), Some((1, 0)));
+    assert_eq!(counts(true, false), None);
     let shown = summary.to_string();
     assert!(shown.contains("late, first event"), "{shown}");
 }
 
 #[test]
-fn without_lines_there_is_nothing_to_sum_up() {
+fn an_empty_log_gives_an_empty_summary() {
     let summary = summarize("");
     assert!(summary.causes.is_empty() && summary.first_events.is_empty());
 }
--- a/tests/product/cli.rs
+++ b/tests/product/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: every bad setting is named, and exit codes are as documented.
+//! Tests of the command line: errors name the invalid setting, and exit codes are as documented.
 
 use std::process::{Command, Output};
 
@@ -15,7 +15,7 @@
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-const GOOD: [&str; 13] = [
+const VALID_ARGS: [&str; 13] = [
     "serve",
     "--name",
     "a",
@@ -32,7 +32,7 @@
 ];
 
 #[test]
-fn each_bad_setting_is_named_with_what_was_expected() {
+fn errors_name_the_invalid_setting_and_its_valid_values() {
     let table = [
         ("--name", "a b", "letters, digits"),
         ("--caller-addr", "localhost:1", "IP and port"),
@@ -47,7 +47,7 @@
     ];
     for (flag, value, expected) in table {
         let equals = format!("{flag}={value}");
-        let output = run(&[GOOD.as_slice(), &[&equals]].concat());
+        let output = run(&[VALID_ARGS.as_slice(), &[&equals]].concat());
         let text = stderr(&output);
         assert_eq!(output.status.code(), Some(2), "{flag}: {text}");
         let name = flag.trim_start_matches("--");
@@ -58,7 +58,7 @@
         );
         assert!(text.contains(expected), "{text}");
     }
-    let short = run(&[GOOD.as_slice(), &["--cluster-key", "short"]].concat());
+    let short = run(&[VALID_ARGS.as_slice(), &["--cluster-key", "short"]].concat());
     assert_eq!(short.status.code(), Some(2));
     assert!(
         !stderr(&short).contains("short`"),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn subcommands_help_and_refuse_what_they_do_not_know() {
+fn subcommands_print_help_and_reject_unknown_flags() {
     for subcommand in ["serve", "check", "command", "dump", "trace", "replay"] {
         let help = run(&[subcommand, "--help"]);
         assert!(help.status.success());
