--- a/src/cli.rs
+++ b/src/cli.rs
@@ -529,16 +529,16 @@
     if args.help {
         return print(COMMAND_HELP);
     }
-    let client = CommandClient {
+    let command_client = CommandClient {
         at: args.at()?,
         key: args.key(),
         json: args.json()?,
         runtime: runtime()?,
     };
     match args.values.as_slice() {
-        [] => client.read_lines(),
-        [text] if text == "-" => client.send(&read_file("-")?, args.get("id")),
-        [text] => client.send(text, args.get("id")),
+        [] => command_client.read_lines(),
+        [text] if text == "-" => command_client.send(&read_file("-")?, args.get("id")),
+        [text] => command_client.send(text, args.get("id")),
         _ => Err(CliError::usage(
             "quote the command, so that it is one argument",
         )),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -84,7 +84,7 @@
         "--{name} (RYEVALVE_{}): `{value}` is not usable; expected {expected}",
         env_name(name)
     ))]
-    Bad {
+    Invalid {
         /// The flag.
         name: &'static str,
         /// The given value; for keys only their length.
@@ -262,7 +262,7 @@
 
 impl<E: Fn(&str) -> Option<String>> Values<'_, E> {
     fn raw(&self, name: &'static str) -> Result<String, SettingsError> {
-        let flag = find(name);
+        let flag = find_flag(name);
         self.flags
             .get(name)
             .cloned()
@@ -278,28 +278,28 @@
         let value = self.raw(name)?;
         let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
         if value.is_empty() || !value.chars().all(plain) {
-            return Err(bad(name, value));
+            return Err(invalid(name, value));
         }
         Ok(value.into())
     }
 
     fn addr(&self, name: &'static str) -> Result<SocketAddr, SettingsError> {
         let value = self.raw(name)?;
-        value.parse().map_err(|_| bad(name, value))
+        value.parse().map_err(|_| invalid(name, value))
     }
 
     fn addrs(&self, name: &'static str) -> Result<Vec<SocketAddr>, SettingsError> {
         let value = self.raw(name)?;
         let parts = value.split(',').map(str::trim).filter(|p| !p.is_empty());
         let parsed: Result<Vec<SocketAddr>, _> = parts.map(str::parse).collect();
-        parsed.map_err(|_| bad(name, value))
+        parsed.map_err(|_| invalid(name, value))
     }
 
     fn key(&self, name: &'static str) -> Result<Secret, SettingsError> {
         let value = self.raw(name)?;
         if value.len() < MIN_KEY_LEN {
             let shown = format!("<{} characters>", value.len());
-            return Err(bad(name, shown));
+            return Err(invalid(name, shown));
         }
         Ok(Secret::new(value))
     }
@@ -309,7 +309,7 @@
         match value.as_str() {
             "json" => Ok(LogFormat::Json),
             "plain" => Ok(LogFormat::Plain),
-            _ => Err(bad(name, value)),
+            _ => Err(invalid(name, value)),
         }
     }
 
@@ -317,20 +317,20 @@
         let value = self.raw(name)?;
         match value.parse() {
             Ok(number) if (min..=max).contains(&number) => Ok(number),
-            _ => Err(bad(name, value)),
+            _ => Err(invalid(name, value)),
         }
     }
 }
 
-fn find(name: &'static str) -> &'static Flag {
+fn find_flag(name: &'static str) -> &'static Flag {
     // Every name that `merge` uses is in the table, which the settings test checks.
     FLAGS.iter().find(|f| f.name == name).unwrap_or(&FLAGS[0])
 }
 
-fn bad(name: &'static str, value: String) -> SettingsError {
-    SettingsError::Bad {
+fn invalid(name: &'static str, value: String) -> SettingsError {
+    SettingsError::Invalid {
         name,
         value,
-        expected: find(name).expected,
+        expected: find_flag(name).expected,
     }
 }
