--- a/src/entry/claims.rs
+++ b/src/entry/claims.rs
@@ -207,7 +207,7 @@
     ) -> Vec<ClaimAnswer> {
         for attempt in 0..MAX_WRITE_ATTEMPTS {
             if attempt > 0 {
-                time::sleep(crate::store::backoff(attempt)).await;
+                time::sleep(crate::store::back_off_delay(attempt)).await;
             }
             let Some((version, mut claims)) = self.load().await else {
                 break;
