--- a/standins/src/soak/callers.rs
+++ b/standins/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections until those end, and remember what they got.
+//! Callers that reuse their connections and record the outcome of each request.
 
 use std::{
     net::SocketAddr,
@@ -19,19 +19,19 @@
 
 use crate::soak::World;
 
-/// A caller's patience; routes answer within 3 s.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// Between two requests of a caller, in milliseconds.
+/// Timeout of a request; the routes' own timeout is 3 s.
+const TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause between two requests of a caller, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 10..80;
 
-/// What a request asks for.
+/// Route of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Path {
-    /// May run once only.
+    /// Non-idempotent: may run only once.
     Once,
-    /// May run again.
+    /// Idempotent: may be retried.
     Again,
-    /// A stream that may be taken up elsewhere.
+    /// Streaming: another endpoint may resume it.
     Resume,
 }
 
@@ -45,53 +45,53 @@
     }
 }
 
-/// How a request ended for its caller.
+/// Outcome of a request as its caller saw it.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    /// An answer came; whether its body came to its end.
+    /// A response arrived, possibly incomplete.
     Answered {
-        /// Its status.
+        /// Status code.
         status: StatusCode,
-        /// Its body, as far as it came.
+        /// Body, as far as it arrived.
         body: Bytes,
-        /// The body came to its end.
+        /// Whether the body is complete.
         is_whole: bool,
-        /// It has an endpoint's proof.
+        /// Whether the response has an endpoint's signature.
         is_signed: bool,
     },
-    /// The connection broke, or nothing came.
+    /// The connection broke or the request timed out.
     Lost,
 }
 
 /// A request as its caller saw it.
 #[derive(Clone, Debug)]
 pub struct Sent {
-    /// What it asked for.
+    /// Route.
     pub path: Path,
-    /// The key it showed.
+    /// API key.
     pub key: String,
-    /// The instance that took it.
+    /// Index of the instance that it was sent to.
     pub instance: usize,
-    /// When it was sent.
+    /// Time of sending.
     pub at: Instant,
-    /// How it ended; none while it is under way.
+    /// Outcome; `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
-/// Who calls.
+/// Parameters of a caller.
 #[derive(Clone, Debug)]
 pub struct Caller {
-    /// Tells its requests from those of others.
+    /// Number that makes its request ids unique.
     pub number: usize,
-    /// The key that it shows; any in force if there is none.
+    /// Its API key; `None` picks one for each request.
     pub key: Option<&'static str>,
-    /// Between two of its requests, in milliseconds.
+    /// Pause between two of its requests, in milliseconds.
     pub pause_ms: std::ops::Range<u64>,
 }
 
 impl Caller {
-    /// Returns one that shows any key in force.
-    pub fn of_any_key(number: usize) -> Self {
+    /// Returns a caller that picks a key for each request.
+    pub fn with_any_key(number: usize) -> Self {
         Self {
             number,
             key: None,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Calls until aborted.
+/// Sends requests until aborted.
 pub async fn run(world: Arc<World>, caller: Caller, seed: u64) {
     let Caller {
         number,
@@ -108,11 +108,11 @@
         pause_ms,
     } = caller;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut kept: Option<(usize, SendRequest<Full<Bytes>>)> = None;
+    let mut idle_connection: Option<(usize, SendRequest<Full<Bytes>>)> = None;
     for count in 0.. {
         time::sleep(Duration::from_millis(rng.random_range(pause_ms.clone()))).await;
-        let (index, mut sender) = match kept.take() {
-            Some(kept) => kept,
+        let (index, mut sender) = match idle_connection.take() {
+            Some(idle_connection) => idle_connection,
             None => {
                 let index = rng.random_range(0..world.store_proxies.len());
                 let addr = world.instances.lock().expect("no holder panics")[index].callers();
@@ -122,7 +122,7 @@
                 (index, sender)
             }
         };
-        if time::timeout(PATIENCE, sender.ready())
+        if time::timeout(TIMEOUT, sender.ready())
             .await
             .map_or(true, |r| r.is_err())
         {
@@ -141,46 +141,46 @@
             at: Instant::now(),
             outcome: None,
         };
-        let sent_to = |sent: Sent| {
+        let record = |sent: Sent| {
             world
                 .sent
                 .lock()
                 .expect("no holder panics")
                 .insert(id.clone(), sent);
         };
-        sent_to(sent.clone());
+        record(sent.clone());
         let exchange = exchange(&mut sender, path, &id, &key);
-        let got = time::timeout(PATIENCE, exchange).await;
-        let outcome = got.unwrap_or(Outcome::Lost);
-        let stays = matches!(outcome, Outcome::Answered { is_whole: true, .. });
-        sent_to(Sent {
+        let result = time::timeout(TIMEOUT, exchange).await;
+        let outcome = result.unwrap_or(Outcome::Lost);
+        let is_reusable = matches!(outcome, Outcome::Answered { is_whole: true, .. });
+        record(Sent {
             outcome: Some(outcome),
             ..sent
         });
-        if stays {
-            kept = Some((index, sender));
+        if is_reusable {
+            idle_connection = Some((index, sender));
         }
     }
 }
 
-/// Mostly a key in force, at times one that was taken away.
+/// Picks a valid key, or in one of 8 cases a revoked one.
 fn pick_key(world: &World, rng: &mut ChaCha8Rng) -> String {
-    let promised = world.promised();
-    let revoked = &promised.revoked;
+    let run_state = world.run_state();
+    let revoked = &run_state.revoked;
     if !revoked.is_empty() && rng.random_range(0..8) == 0 {
         return revoked[rng.random_range(0..revoked.len())].0.clone();
     }
-    promised.keys[rng.random_range(0..promised.keys.len())].clone()
+    run_state.keys[rng.random_range(0..run_state.keys.len())].clone()
 }
 
 async fn connect(addr: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-    let connecting = TcpStream::connect(addr);
-    let stream = time::timeout(Duration::from_secs(1), connecting)
+    let connect = TcpStream::connect(addr);
+    let stream = time::timeout(Duration::from_secs(1), connect)
         .await
         .ok()?
         .ok()?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-    // Its errors reach whoever waits for an answer.
+    // Errors of the connection are also returned to the pending request.
     tokio::spawn(connection);
     Some(sender)
 }
@@ -201,10 +201,10 @@
     let Ok(response) = sender.send_request(request).await else {
         return Outcome::Lost;
     };
-    let (parts, mut rest) = response.into_parts();
+    let (parts, mut incoming) = response.into_parts();
     let mut body = Vec::new();
     let is_whole = loop {
-        match rest.frame().await {
+        match incoming.frame().await {
             None => break true,
             Some(Ok(frame)) => body.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
             Some(Err(_)) => break false,
--- a/standins/src/soak/checks.rs
+++ b/standins/src/soak/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold, from what callers got and endpoints ran.
+//! Checks of the guarantees against what callers received and endpoints ran.
 
 use std::{collections::HashMap, time::Instant};
 
@@ -7,21 +7,22 @@
 use crate::{
     runner::{EVENTS, event, whole_body},
     soak::{
-        IN_FORCE, Promised, REVOKED, Report, SLACK, World,
+        CONFIG_PROPAGATION, KEY_REVOCATION, RACE_MARGIN, Report, RunState, World, announcements,
         callers::{Outcome, Path, Sent},
-        data_centres, limits, organisations, words,
+        data_centres, limits, organisations,
     },
 };
 
-/// Of the requests of the calm part, at least this share is served.
+/// Minimum share of the requests in the calm phase that must be served.
 const CALM_SHARE: f64 = 0.9;
 
+/// One execution of a request on an endpoint.
 struct Run {
     endpoint: usize,
     at: Instant,
 }
 
-/// Checks a run that has ended.
+/// Checks a completed soak run.
 pub fn check(world: &World) -> Report {
     let sent = world.sent.lock().expect("no holder panics");
     let mut runs: HashMap<String, Vec<Run>> = HashMap::new();
@@ -35,54 +36,57 @@
             runs.entry(id).or_default().push(run);
         }
     }
-    let promised = world.promised();
+    let run_state = world.run_state();
     let mut report = Report {
         requests: sent.len(),
-        breaches: promised.breaches.clone(),
+        breaches: run_state.breaches.clone(),
         ..Report::default()
     };
-    let none = Vec::new();
+    let no_runs = Vec::new();
     for (id, one) in sent.iter() {
-        let runs = runs.get(id).unwrap_or(&none);
+        let runs = runs.get(id).unwrap_or(&no_runs);
         let mut breach = |what: &str| report.breaches.push(format!("{id}: {what}: {one:?}"));
-        check_runs(one, runs, &promised, &mut breach);
+        check_runs(one, runs, &run_state, &mut breach);
         report.served += usize::from(check_answer(id, one, runs, &mut breach));
     }
     for id in runs.keys().filter(|id| !sent.contains_key(*id)) {
-        let unasked = format!("{id}: ran, and nobody sent it");
-        report.breaches.push(unasked);
+        let unknown = format!("{id}: ran, and nobody sent it");
+        report.breaches.push(unknown);
     }
-    check_calm(&sent, &promised, &mut report);
-    limits::check(world, &promised, &mut report);
-    organisations::check(world, &sent, &promised, &mut report);
-    words::check(world, &sent, &promised, &mut report);
-    data_centres::check(world, promised.data_centres, &mut report);
+    check_calm(&sent, &run_state, &mut report);
+    limits::check(world, &run_state, &mut report);
+    organisations::check(world, &sent, &run_state, &mut report);
+    announcements::check(world, &sent, &run_state, &mut report);
+    data_centres::check(world, run_state.data_centres, &mut report);
     report
 }
 
-fn check_runs(sent: &Sent, runs: &[Run], promised: &Promised, breach: &mut impl FnMut(&str)) {
+fn check_runs(sent: &Sent, runs: &[Run], run_state: &RunState, breach: &mut impl FnMut(&str)) {
     if sent.path == Path::Once && runs.len() > 1 {
         breach("ran more than once");
     }
     if sent.path != Path::Once && runs.len() > 2 {
         breach("ran on more endpoints than its route allows");
     }
-    let revoked = promised.revoked.iter().find(|(key, _)| *key == sent.key);
+    let revoked = run_state.revoked.iter().find(|(key, _)| *key == sent.key);
     if let Some((_, at)) = revoked
-        && sent.at > *at + REVOKED
+        && sent.at > *at + KEY_REVOCATION
         && !runs.is_empty()
     {
         breach("ran with a key that was taken away");
     }
-    for (endpoint, at) in &promised.draining {
+    for (endpoint, at) in &run_state.draining {
         let late = runs.iter().filter(|r| r.endpoint == *endpoint);
-        if late.into_iter().any(|r| r.at > *at + IN_FORCE + SLACK) {
+        if late
+            .into_iter()
+            .any(|r| r.at > *at + CONFIG_PROPAGATION + RACE_MARGIN)
+        {
             breach("reached an endpoint that leaves");
         }
     }
 }
 
-/// Checks what a caller got; returns whether it was served.
+/// Checks the response to a request; returns whether the request was served.
 fn check_answer(id: &str, sent: &Sent, runs: &[Run], breach: &mut impl FnMut(&str)) -> bool {
     let Some(Outcome::Answered {
         status,
@@ -93,13 +97,13 @@
     else {
         return false;
     };
-    let promises_unrun = [
+    let not_run_statuses = [
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::REQUEST_TIMEOUT,
         StatusCode::MISDIRECTED_REQUEST,
     ];
-    if promises_unrun.contains(status) && !runs.is_empty() {
+    if not_run_statuses.contains(status) && !runs.is_empty() {
         breach("refused as not run, and it ran");
     }
     if !status.is_success() {
@@ -121,31 +125,31 @@
     *is_whole
 }
 
-/// Without faults nearly all is served, and a planned stop cuts off nothing.
-fn check_calm(sent: &HashMap<String, Sent>, promised: &Promised, report: &mut Report) {
-    let Some(from) = promised.calm_from else {
+/// Checks that nearly all requests of the calm phase are served and that a planned stop interrupts no_runs.
+fn check_calm(sent: &HashMap<String, Sent>, run_state: &RunState, report: &mut Report) {
+    let Some(from) = run_state.calm_since else {
         return;
     };
-    let revoked: Vec<&String> = promised.revoked.iter().map(|(key, _)| key).collect();
-    let owed = sent
+    let revoked: Vec<&String> = run_state.revoked.iter().map(|(key, _)| key).collect();
+    let eligible = sent
         .iter()
         .filter(|(_, s)| s.at > from && !revoked.contains(&&s.key))
         .filter(|(_, s)| !organisations::is_limited(&s.key));
-    // Those still under way at the end are left out.
-    let owed: Vec<_> = owed.filter(|(_, s)| s.outcome.is_some()).collect();
-    let served = owed.iter().filter(|(_, s)| {
+    // Excludes requests still in flight at the end.
+    let eligible: Vec<_> = eligible.filter(|(_, s)| s.outcome.is_some()).collect();
+    let served = eligible.iter().filter(|(_, s)| {
         matches!(&s.outcome, Some(Outcome::Answered { status, is_whole: true, .. }) if status.is_success())
     });
-    let (served, all) = (served.count(), owed.len());
+    let (served, all) = (served.count(), eligible.len());
     if all == 0 || (served as f64) < all as f64 * CALM_SHARE {
-        let shown = owed.iter().find(|(_, s)| !matches!(&s.outcome, Some(Outcome::Answered { status, .. }) if status.is_success()));
+        let shown = eligible.iter().find(|(_, s)| !matches!(&s.outcome, Some(Outcome::Answered { status, .. }) if status.is_success()));
         report.breaches.push(format!(
             "{served} of {all} served without faults, as {shown:?}"
         ));
     }
-    let cut = owed.iter().filter(|(_, s)| {
+    let cut = eligible.iter().filter(|(_, s)| {
         let is_whole = matches!(&s.outcome, Some(Outcome::Answered { is_whole: true, .. }));
-        promised
+        run_state
             .stopped
             .iter()
             .any(|(index, _)| *index == s.instance)
--- a/standins/src/soak/data_centres.rs
+++ b/standins/src/soak/data_centres.rs
@@ -1,22 +1,22 @@
-//! A data centre that is evacuated, and an endpoint that turns cold, in the calm part.
+//! Evacuation of a data centre and warm-up of a cold endpoint in the calm phase.
 
 use std::time::{Duration, Instant};
 
 use serde_json::json;
 
-use crate::soak::{IN_FORCE, Report, SLACK, World};
+use crate::soak::{CONFIG_PROPAGATION, RACE_MARGIN, Report, World};
 
-/// The service's bound on cold endpoints, in requests a second.
+/// The service's rate limit for cold endpoints, in requests per second.
 pub const COLD_PER_S: f64 = 2.0;
-/// How long an endpoint is cold after its start, in seconds.
+/// Warm-up time of an endpoint after its start, in seconds.
 pub const COLD_FOR_S: f64 = 1.0;
-/// As the settings of the instances say.
+/// `warmupOverage` and `warmupSlack` of the settings of the instances.
 const COLD_OVERAGE: f64 = 1.5;
 const COLD_SLACK: f64 = 5.0;
-/// How long the endpoint of the calm part stays cold.
+/// Warm-up time of the endpoint that turns cold in the calm phase.
 const COLD: Duration = Duration::from_secs(6);
 
-/// What operators and an endpoint said in the calm part.
+/// The evacuated data centre and the cold endpoint of the calm phase.
 #[derive(Clone, Copy, Debug)]
 pub struct Calm {
     evacuated: usize,
@@ -24,34 +24,34 @@
     from: Instant,
 }
 
-/// Returns the data centre of an endpoint: each has its own.
+/// Returns the data centre of an endpoint; each endpoint has a separate one.
 pub fn of_endpoint(endpoint: usize) -> String {
     format!("site-{endpoint}")
 }
 
-/// Evacuates the data centre of one endpoint, and turns another one cold.
-pub fn begin_calm(world: &World, evacuated: usize, cold: usize) {
+/// Evacuates the data centre of one endpoint and marks another endpoint as cold.
+pub fn start_calm(world: &World, evacuated: usize, cold: usize) {
     let data_centre = of_endpoint(evacuated);
     world.platform.set("evacuations", &data_centre, json!({}));
-    world.entry(cold, "ready", COLD.as_millis() as u64);
-    world.promised().data_centres = Some(Calm {
+    world.register_with_warmup(cold, "ready", COLD.as_millis() as u64);
+    world.run_state().data_centres = Some(Calm {
         evacuated,
         cold,
         from: Instant::now(),
     });
 }
 
-/// Checks that nothing reached the one, and no more than it bears the other, once that was to be known.
+/// Checks that, after propagation, the evacuated endpoint got no requests and the cold one no more than its limit.
 pub fn check(world: &World, calm: Option<Calm>, report: &mut Report) {
     let Some(calm) = calm else { return };
-    let known = calm.from + IN_FORCE + SLACK;
+    let in_force = calm.from + CONFIG_PROPAGATION + RACE_MARGIN;
     let arrivals = |endpoint: usize, until: Instant| {
         let seen = world.runners[endpoint].seen();
         let at = seen.iter().map(|s| s.at);
-        let at: Vec<Instant> = at.filter(|at| (known..until).contains(at)).collect();
+        let at: Vec<Instant> = at.filter(|at| (in_force..until).contains(at)).collect();
         at
     };
-    let end = known + COLD * 10;
+    let end = in_force + COLD * 10;
     let late = arrivals(calm.evacuated, end).len();
     if late > 0 {
         report.breaches.push(format!(
@@ -64,11 +64,11 @@
         let until = *from + Duration::from_secs(1);
         at.iter().filter(|at| (*from..until).contains(at)).count()
     };
-    let most = at.iter().map(in_a_second).max().unwrap_or(0) as f64;
+    let max_per_s = at.iter().map(in_a_second).max().unwrap_or(0) as f64;
     let allowed = COLD_PER_S * COLD_OVERAGE + COLD_SLACK;
-    if most > allowed {
+    if max_per_s > allowed {
         report.breaches.push(format!(
-            "cold endpoint {} got {most} requests in a second, it bears {allowed}",
+            "cold endpoint {} got {max_per_s} requests in a second, it bears {allowed}",
             calm.cold
         ));
     }
--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -1,9 +1,10 @@
-//! A randomized soak: instances of the real program as processes of their own, among stand-ins and
-//! proxies that misbehave, under load that keeps its connections, with signals in series.
+//! Randomized soak test: runs the real binary as several processes against faulty stand-ins and
+//! proxies, under load on persistent connections, and sends signals to the processes.
 //!
-//! A run has a part with faults that overlap, and a calm part after it in which what holds without
-//! faults is checked, too. What is checked is seen from callers and endpoints only.
+//! A run has a phase of overlapping faults and then a calm phase, which also checks the guarantees that
+//! hold only without faults. The checks use only what callers and endpoints observe.
 
+mod announcements;
 mod callers;
 mod checks;
 mod data_centres;
@@ -11,7 +12,6 @@
 mod limits;
 mod organisations;
 mod process;
-mod words;
 
 use std::{
     collections::HashMap,
@@ -34,138 +34,141 @@
     runner::Runner,
     soak::{
         callers::{Caller, Sent},
-        process::{Instance, Place},
+        process::{Host, Instance},
     },
 };
 
-/// A configuration is in force everywhere, and a drain is heeded, this long after the store took it.
-const IN_FORCE: Duration = Duration::from_secs(2);
-/// A key may be used this long after it was taken away, whatever is cut off or frozen.
-const REVOKED: Duration = Duration::from_secs(5);
-/// Requests cross what they race with by this much: sending takes time.
-const SLACK: Duration = Duration::from_millis(500);
-/// Time after the last fault in which everything comes back.
+/// Every instance applies a configuration or a drain within this time of the write to the store.
+const CONFIG_PROPAGATION: Duration = Duration::from_secs(2);
+/// A revoked key may be accepted for this long, even by an instance that is partitioned or frozen.
+const KEY_REVOCATION: Duration = Duration::from_secs(5);
+/// Allowance for requests that are being sent while a change takes effect.
+const RACE_MARGIN: Duration = Duration::from_millis(500);
+/// Time for all components to recover after the last fault.
 const RECOVERY: Duration = Duration::from_secs(9);
-/// The calm part.
+/// Length of the calm phase.
 const CALM: Duration = Duration::from_secs(7);
-/// The length of the part of the calm one before its planned changes.
+/// Time from the start of the calm phase to its planned changes.
 const BEFORE_CHANGES: Duration = Duration::from_secs(2);
 
-/// What is run.
+/// Parameters of a soak run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The program.
+    /// Path of the ryevalve binary.
     pub binary: PathBuf,
-    /// Decides on faults and load.
+    /// Seed of the random choice of faults and load.
     pub seed: u64,
-    /// Length of the part with faults.
+    /// Length of the phase with faults.
     pub faults_for: Duration,
-    /// Processes of the program.
+    /// Number of ryevalve processes.
     pub instances: usize,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: usize,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
 }
 
-/// What came of a run.
+/// Result of a soak run.
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Those answered with success.
+    /// Number of requests that got a complete successful response.
     pub served: usize,
-    /// Faults brought about.
+    /// Number of injected faults.
     pub faults: usize,
-    /// What did not hold, each with the request or the process that shows it.
+    /// Violated guarantees, each with the request or process that shows it.
     pub breaches: Vec<String>,
 }
 
-/// What the parts of a run share.
+/// State shared by the tasks of a run.
 struct World {
     platform: Platform,
     runners: Vec<Runner>,
     runner_proxies: Vec<Proxy>,
     store_proxies: Vec<Proxy>,
-    /// How often each endpoint started again.
+    /// Number of restarts of each endpoint.
     starts: Vec<AtomicUsize>,
     instances: Mutex<Vec<Instance>>,
     sent: Mutex<HashMap<String, Sent>>,
-    state: Mutex<Promised>,
+    state: Mutex<RunState>,
 }
 
-/// What operators have changed.
+/// Changes and disturbances made so far, which the checks take into account.
 #[derive(Debug, Default)]
-struct Promised {
+struct RunState {
     version: u64,
-    /// How much of their limits is in force of organisations above them.
-    limit_times: f64,
-    /// Keys in force.
+    /// Factor on the limits of the organisations that exceed them.
+    limit_factor: f64,
+    /// Valid keys.
     keys: Vec<String>,
-    /// Keys taken away, and when.
+    /// Revoked keys and the time of revocation.
     revoked: Vec<(String, Instant)>,
-    /// Endpoints that were said to leave, and when.
+    /// Endpoints set to draining in the calm phase, and when.
     draining: Vec<(usize, Instant)>,
-    /// Planned stops of the calm part.
+    /// Instances stopped as planned in the calm phase, and when.
     stopped: Vec<(usize, Instant)>,
-    /// The endpoint that names a limit in the calm part, and since when.
+    /// The endpoint that announces a limit in the calm phase, and since when.
     limited: Option<(usize, Instant)>,
-    /// The evacuation and the cold endpoint of the calm part.
+    /// The evacuation and the cold endpoint of the calm phase.
     data_centres: Option<data_centres::Calm>,
-    /// Words of endpoints that stood for a while.
-    words: Vec<words::Stood>,
-    /// Instances that forgot or stood still, and from when until when.
+    /// Announcements of endpoints, with the period for which each was valid.
+    announcements: Vec<announcements::Period>,
+    /// Instances that lost their state or were frozen, with the start and end.
     disturbed: Vec<(usize, Instant, Instant)>,
-    /// Endpoints whose connections were held up, and from when until when.
-    held_up: Vec<(usize, Instant, Instant)>,
-    /// When the calm part began.
-    calm_from: Option<Instant>,
+    /// Endpoints whose network path had a fault, with the start and end.
+    impaired: Vec<(usize, Instant, Instant)>,
+    /// Start of the calm phase.
+    calm_since: Option<Instant>,
     breaches: Vec<String>,
 }
 
-impl Promised {
-    /// Returns whether an instance need not have kept to an endpoint's word at some moment in a span: it was disturbed, or
-    /// its connections to the endpoint were held up.
-    fn is_excused(&self, instance: usize, endpoint: usize, from: Instant, until: Instant) -> bool {
-        let meets = |f: Instant, u: Instant| f < until && u + SLACK > from;
+impl RunState {
+    /// Returns whether an instance may have ignored an endpoint's announcement between `from` and `until`, because it was
+    /// disturbed or its network path to the endpoint had a fault.
+    fn is_exempt(&self, instance: usize, endpoint: usize, from: Instant, until: Instant) -> bool {
+        let overlaps = |start: Instant, end: Instant| start < until && end + RACE_MARGIN > from;
         let mut disturbed = self.disturbed.iter();
-        let mut held_up = self.held_up.iter();
-        disturbed.any(|(i, f, u)| *i == instance && meets(*f, *u))
-            || held_up.any(|(e, f, u)| *e == endpoint && meets(*f, *u))
+        let mut impaired = self.impaired.iter();
+        disturbed.any(|(i, start, end)| *i == instance && overlaps(*start, *end))
+            || impaired.any(|(e, start, end)| *e == endpoint && overlaps(*start, *end))
     }
 }
 
-/// Runs a plan.
+/// Runs a soak.
 ///
 /// # Panics
-/// The stand-ins or the program cannot be started.
+/// Panics if the stand-ins or the binary cannot be started.
 pub async fn run(plan: &Plan) -> Report {
     let mut rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let world = Arc::new(World::start(plan).await);
-    world.until_ready().await;
+    world.wait_until_ready().await;
     let mut callers = tokio::task::JoinSet::new();
     for number in 0..plan.callers {
-        let caller = Caller::of_any_key(number);
+        let caller = Caller::with_any_key(number);
         callers.spawn(callers::run(world.clone(), caller, rng.random()));
     }
-    organisations::call(&world, plan, plan.callers, &mut callers);
-    let watching = tokio::spawn(process::keep_running(world.clone()));
-    let naming = tokio::spawn(limits::name_in_series(world.clone(), plan.clone()));
-    let saying = tokio::spawn(words::say_in_series(world.clone(), plan.clone()));
-    let limiting = organisations::change_in_series(world.clone(), plan.clone());
-    let limiting = tokio::spawn(limiting);
-    let faults = faults::bring(&world, plan, &mut rng).await;
-    // It ends with the faults, and fails only if a part of the run panics.
-    let _ = naming.await;
-    let _ = saying.await;
-    let _ = limiting.await;
+    organisations::spawn_callers(&world, plan, plan.callers, &mut callers);
+    let supervisor = tokio::spawn(process::keep_running(world.clone()));
+    let limit_task = tokio::spawn(limits::announce_at_random(world.clone(), plan.clone()));
+    let announcement_task = tokio::spawn(announcements::announce_at_random(
+        world.clone(),
+        plan.clone(),
+    ));
+    let organisation_task = organisations::vary_limits(world.clone(), plan.clone());
+    let organisation_task = tokio::spawn(organisation_task);
+    let faults = faults::inject(&world, plan, &mut rng).await;
+    // These tasks end with the fault phase; an error here means that one of them panicked.
+    let _ = limit_task.await;
+    let _ = announcement_task.await;
+    let _ = organisation_task.await;
     time::sleep(RECOVERY).await;
-    world.calm_part(&mut rng).await;
+    world.run_calm_phase(&mut rng).await;
     callers.abort_all();
     while callers.join_next().await.is_some() {}
-    // Requests that were refused must not run later either.
+    // Waits to catch refused requests that are run later.
     time::sleep(Duration::from_secs(1)).await;
-    watching.abort();
+    supervisor.abort();
     let mut report = checks::check(&world);
     report.faults = faults;
     report
@@ -184,10 +187,10 @@
         }
         let mut store_proxies = Vec::new();
         let mut instances = Vec::new();
-        let places = Place::all(plan.seed, plan.instances);
-        for place in &places {
+        let hosts = Host::all(plan.seed, plan.instances);
+        for host in &hosts {
             let proxy = Proxy::start(platform.addr()).await;
-            let instance = Instance::start(&plan.binary, place, &places, proxy.addr);
+            let instance = Instance::start(&plan.binary, host, &hosts, proxy.addr);
             store_proxies.push(proxy);
             instances.push(instance);
         }
@@ -199,13 +202,13 @@
             starts: (0..plan.endpoints).map(|_| AtomicUsize::new(0)).collect(),
             instances: Mutex::new(instances),
             sent: Mutex::default(),
-            state: Mutex::new(Promised {
-                limit_times: 1.0,
-                ..Promised::default()
+            state: Mutex::new(RunState {
+                limit_factor: 1.0,
+                ..RunState::default()
             }),
         };
         for index in 0..plan.endpoints {
-            world.endpoint(index, "ready");
+            world.register_endpoint(index, "ready");
         }
         for _ in 0..3 {
             world.change_keys(|_| {});
@@ -213,26 +216,26 @@
         world
     }
 
-    fn promised(&self) -> std::sync::MutexGuard<'_, Promised> {
+    fn run_state(&self) -> std::sync::MutexGuard<'_, RunState> {
         self.state.lock().expect("no holder panics")
     }
 
-    /// Changes the keys and puts the next version of the configuration into the store.
-    fn change_keys(&self, change: impl FnOnce(&mut Promised)) {
-        let mut promised = self.promised();
-        promised.version += 1 + promised.version % 3;
-        let key = format!("key-{}", promised.version);
-        promised.keys.push(key);
-        change(&mut promised);
-        let config = config(&promised);
+    /// Adds a key, applies `change` and writes the next version of the configuration to the store.
+    fn change_keys(&self, change: impl FnOnce(&mut RunState)) {
+        let mut run_state = self.run_state();
+        run_state.version += 1 + run_state.version % 3;
+        let key = format!("key-{}", run_state.version);
+        run_state.keys.push(key);
+        change(&mut run_state);
+        let config = config(&run_state);
         self.platform.set("config", "main", config);
     }
 
-    fn endpoint(&self, index: usize, state: &str) {
-        self.entry(index, state, 0);
+    fn register_endpoint(&self, index: usize, state: &str) {
+        self.register_with_warmup(index, state, 0);
     }
 
-    fn entry(&self, index: usize, state: &str, cold_ms: u64) {
+    fn register_with_warmup(&self, index: usize, state: &str, cold_ms: u64) {
         let spec = json!({"backend": "svc", "address": self.runner_proxies[index].addr,
             "zone": data_centres::of_endpoint(index), "version": "v1", "capacity": 8,
             "state": state, "warmupLeftMs": cold_ms, "sequence": 1});
@@ -240,16 +243,16 @@
         self.platform.set("servers", &runner_id(index, start), spec);
     }
 
-    /// Starts an endpoint that has ended again, under a new id.
-    async fn start_again(&self, index: usize) {
+    /// Restarts an endpoint that has ended, under a new id.
+    async fn restart_endpoint(&self, index: usize) {
         let start = self.starts[index].fetch_add(1, Ordering::Relaxed);
         self.platform.remove("servers", &runner_id(index, start));
         let id = runner_id(index, start + 1);
         self.runners[index].start_again(&id).await;
-        self.endpoint(index, "ready");
+        self.register_endpoint(index, "ready");
     }
 
-    async fn until_ready(&self) {
+    async fn wait_until_ready(&self) {
         let count = self.instances.lock().expect("no holder panics").len();
         for index in 0..count {
             while !process::is_ready(self, index).await {
@@ -258,26 +261,26 @@
         }
     }
 
-    /// Without faults: an endpoint's limit, a drain, a key taken away and a planned stop, all heeded.
-    async fn calm_part(&self, rng: &mut ChaCha8Rng) {
-        self.promised().calm_from = Some(Instant::now());
+    /// Runs the phase without faults: an endpoint's limit, a drain, a key revocation and a planned stop.
+    async fn run_calm_phase(&self, rng: &mut ChaCha8Rng) {
+        self.run_state().calm_since = Some(Instant::now());
         let drained = rng.random_range(0..self.runners.len());
         let endpoints = self.runners.len();
-        limits::name_for_calm(self, (drained + 1) % endpoints);
+        limits::announce_calm_limit(self, (drained + 1) % endpoints);
         if endpoints > 5 {
-            // Others are left for all that is asked.
-            data_centres::begin_calm(self, (drained + 2) % endpoints, (drained + 3) % endpoints);
+            // Enough other endpoints remain to serve the load.
+            data_centres::start_calm(self, (drained + 2) % endpoints, (drained + 3) % endpoints);
         }
         time::sleep(BEFORE_CHANGES).await;
-        self.endpoint(drained, "draining");
-        self.promised().draining.push((drained, Instant::now()));
-        self.change_keys(|promised| {
-            let key = promised.keys.remove(0);
-            promised.revoked.push((key, Instant::now()));
+        self.register_endpoint(drained, "draining");
+        self.run_state().draining.push((drained, Instant::now()));
+        self.change_keys(|run_state| {
+            let key = run_state.keys.remove(0);
+            run_state.revoked.push((key, Instant::now()));
         });
         let count = self.instances.lock().expect("no holder panics").len();
         let stopped = rng.random_range(0..count);
-        self.promised().stopped.push((stopped, Instant::now()));
+        self.run_state().stopped.push((stopped, Instant::now()));
         process::signal(self, stopped, "TERM");
         time::sleep(CALM - BEFORE_CHANGES).await;
     }
@@ -287,11 +290,11 @@
     format!("i-soak{index}-{start}")
 }
 
-/// The routes `/once/`, `/again/` and `/resume/`, keyed.
-fn config(promised: &Promised) -> Value {
-    let mut tenants = organisations::tenants(promised.limit_times);
+/// Returns a configuration with the routes `/once/`, `/again/` and `/resume/`, all of which require a key.
+fn config(run_state: &RunState) -> Value {
+    let mut tenants = organisations::tenants(run_state.limit_factor);
     tenants.push(
-        json!({"name": "org", "apiKeys": promised.keys, "unit": "token_count",
+        json!({"name": "org", "apiKeys": run_state.keys, "unit": "token_count",
         "uncachedTokens": 200, "ratePerS": 0, "burst": 0}),
     );
     let route = |name: &str, kind: &str, attempts: u32, resume: bool| {
@@ -303,7 +306,7 @@
         })
     };
     json!({
-        "version": promised.version,
+        "version": run_state.version,
         "routes": [
             route("once", "non_idempotent", 1, false),
             route("again", "idempotent", 2, false),
--- a/standins/src/soak/process.rs
+++ b/standins/src/soak/process.rs
@@ -1,4 +1,4 @@
-//! The program's processes: started, signalled, and started again when they end.
+//! Starts, signals and restarts the ryevalve processes.
 
 use std::{
     fs,
@@ -18,22 +18,22 @@
 use crate::soak::World;
 
 const KEY: &str = "cluster-key-of-the-soak";
-/// The platform starts a process again after a short delay.
+/// Delay before a restart, as on the platform.
 const RESTART_AFTER: Duration = Duration::from_millis(300);
-/// A process is frozen no longer than a fault lasts.
+/// Upper bound on a freeze: the longest duration of a fault.
 const LONGEST_FREEZE: Duration = Duration::from_secs(3);
-/// A planned stop ends after the time that the settings give it, and some more.
+/// Upper bound on a planned stop: `graceS` of the settings plus a margin.
 const LONGEST_STOP: Duration = Duration::from_secs(9);
 
-/// Where an instance runs: every one has a loopback address of its own, and all have the same ports.
+/// Number and loopback address of an instance; all instances use the same ports.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Host {
     number: usize,
     ip: String,
 }
 
-impl Place {
-    /// Returns the places of a run; runs side by side have others.
+impl Host {
+    /// Returns the hosts of a run; the addresses depend on the process id and the seed to separate parallel runs.
     pub fn all(seed: u64, count: usize) -> Vec<Self> {
         let process = std::process::id();
         let net = (u64::from(process) + seed * 7) % 250 + 1;
@@ -47,21 +47,21 @@
     }
 }
 
-/// One instance; its process ends with this.
+/// A running instance; its process is killed on drop.
 pub struct Instance {
-    place: Place,
+    host: Host,
     binary: PathBuf,
     dir: PathBuf,
     child: Child,
-    /// It was told to end, or killed.
+    /// Whether it was sent a signal that ends it.
     pub may_end: bool,
-    /// It is stopped by a signal.
+    /// Whether it is frozen by `SIGSTOP`.
     pub is_frozen: bool,
 }
 
 impl Drop for Instance {
     fn drop(&mut self) {
-        // Errors only say that it has ended already.
+        // An error means that the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = fs::remove_dir_all(&self.dir);
@@ -72,18 +72,18 @@
     /// Starts an instance that reaches the store at `store`.
     ///
     /// # Panics
-    /// It cannot be started.
-    pub fn start(binary: &Path, place: &Place, all: &[Place], store: SocketAddr) -> Self {
-        let name = format!("ryevalve-soak-{}", place.ip);
+    /// Panics if it cannot be started.
+    pub fn start(binary: &Path, host: &Host, all: &[Host], store: SocketAddr) -> Self {
+        let name = format!("ryevalve-soak-{}", host.ip);
         let dir = std::env::temp_dir().join(name);
         fs::create_dir_all(&dir).expect("a directory");
         let seeds = all.iter().take(3).map(|p| format!("\"{}:8229\"", p.ip));
         let seeds = seeds.collect::<Vec<_>>().join(",");
-        let settings = settings(place, &seeds, store);
+        let settings = settings(host, &seeds, store);
         fs::write(dir.join("boot.toml"), settings).expect("settings");
         let child = spawn(binary, &dir);
         Self {
-            place: place.clone(),
+            host: host.clone(),
             binary: binary.to_owned(),
             dir,
             child,
@@ -92,18 +92,18 @@
         }
     }
 
-    /// Returns where callers reach it.
+    /// Returns the address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.address(8221)
     }
 
     fn address(&self, port: u16) -> SocketAddr {
-        format!("{}:{port}", self.place.ip)
+        format!("{}:{port}", self.host.ip)
             .parse()
             .expect("an address")
     }
 
-    fn start_again(&mut self) {
+    fn restart(&mut self) {
         let settings = self.dir.join("boot.toml");
         let text = fs::read_to_string(&settings).expect("settings");
         let text = text.replace("bootstrap = true", "bootstrap = false");
@@ -130,8 +130,8 @@
         .expect("the program starts")
 }
 
-fn settings(place: &Place, seeds: &str, store: SocketAddr) -> String {
-    let Place { number, ip } = place;
+fn settings(host: &Host, seeds: &str, store: SocketAddr) -> String {
+    let Host { number, ip } = host;
     format!(
         r#"
 nodeName = "edge-{number}"
@@ -162,12 +162,12 @@
     )
 }
 
-/// Returns for how long a signal makes a process forget or stand still; none if it does neither.
-fn lasts_after(signal: &str) -> Option<Duration> {
+/// Returns for how long a signal disturbs a process by loss of state or a freeze; `None` if it does neither.
+fn disturbance_duration(signal: &str) -> Option<Duration> {
     match signal {
         "KILL" | "CONT" => Some(Duration::ZERO),
         "STOP" => Some(LONGEST_FREEZE),
-        // It ends within this time and starts anew.
+        // The process ends within this time and is restarted.
         "TERM" => Some(LONGEST_STOP),
         _ => None,
     }
@@ -180,10 +180,10 @@
     if matches!(instance.child.try_wait(), Ok(Some(_))) {
         return;
     }
-    if let Some(lasts) = lasts_after(name) {
+    if let Some(duration) = disturbance_duration(name) {
         let now = Instant::now();
-        let disturbed = (index, now, now + lasts);
-        world.promised().disturbed.push(disturbed);
+        let disturbed = (index, now, now + duration);
+        world.run_state().disturbed.push(disturbed);
     }
     match name {
         "KILL" | "TERM" => instance.may_end = true,
@@ -192,7 +192,7 @@
         _ => {}
     }
     let pid = instance.child.id().to_string();
-    // It may end between the question and the signal.
+    // The process may end between the check and the signal.
     let _ = Command::new("kill").args(["-s", name, &pid]).status();
 }
 
@@ -211,8 +211,7 @@
     fs::write(&settings, text).expect("settings");
 }
 
-/// Starts processes again that have ended, as the platform does; one that ended by itself is a
-/// breach.
+/// Restarts processes that have ended, as the platform does; an unexpected end counts as a breach.
 pub async fn keep_running(world: Arc<World>) {
     loop {
         time::sleep(RESTART_AFTER).await;
@@ -224,30 +223,30 @@
                     continue;
                 };
                 if !instance.may_end {
-                    let number = instance.place.number;
+                    let number = instance.host.number;
                     breaches.push(format!("instance {number} ended by itself: {status}"));
                 }
-                instance.start_again();
+                instance.restart();
             }
         }
-        world.promised().breaches.append(&mut breaches);
+        world.run_state().breaches.append(&mut breaches);
     }
 }
 
-/// Returns whether an instance says that it is ready.
+/// Returns whether an instance's readiness probe succeeds.
 pub async fn is_ready(world: &World, index: usize) -> bool {
     let addr = {
         let instances = world.instances.lock().expect("no holder panics");
         instances[index].address(8224)
     };
-    let asking = async {
+    let probe = async {
         let mut stream = TcpStream::connect(addr).await.ok()?;
         let request = b"GET /readyz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
         stream.write_all(request).await.ok()?;
-        let mut answer = Vec::new();
-        stream.read_to_end(&mut answer).await.ok()?;
-        answer.starts_with(b"HTTP/1.1 200").then_some(())
+        let mut response = Vec::new();
+        stream.read_to_end(&mut response).await.ok()?;
+        response.starts_with(b"HTTP/1.1 200").then_some(())
     };
-    let asked = time::timeout(Duration::from_secs(1), asking).await;
-    asked.is_ok_and(|answer| answer.is_some())
+    let result = time::timeout(Duration::from_secs(1), probe).await;
+    result.is_ok_and(|response| response.is_some())
 }
