--- a/standins/src/platform.rs
+++ b/standins/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's store in its published protocol: objects by kind and name with revisions, lists by
-//! pages, watches, conditional writes, and the ways in which it fails.
+//! Stand-in for the platform's object store: objects by kind and name with revisions, paged lists,
+//! watches, conditional writes and injectable faults, in the published protocol.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -20,79 +20,81 @@
 const READS_PER_S: f64 = 2_000.0;
 const MAX_VALUE_BYTES: usize = 1_048_576;
 const PAGE_ITEMS: usize = 50;
-/// Changes that a watch can go back.
+/// Number of past changes available to watches.
 const HISTORY: usize = 2_000;
-/// Where the product keeps its own objects and the instances' entries.
+/// Kind of ryevalve's own objects.
 const OWN_KIND: &str = "ryevalve";
+/// Kind of the entries of the instance list.
 const INSTANCE_KIND: &str = "ryevalve-instances";
 
-/// One line of the instance list.
+/// Entry of the instance list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Listed {
-    /// The instance's name.
+    /// Name of the instance.
     pub name: String,
-    /// Where it talks to its peers.
+    /// Address for traffic between peers.
     pub peer_addr: SocketAddr,
-    /// Whether it is about to go.
+    /// Whether the instance is leaving.
     pub leaving: bool,
 }
 
-/// How the platform misbehaves.
+/// Faults of the platform.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Answers nothing but 503.
+    /// Responds to every call with 503.
     pub down: bool,
-    /// Refuses each so manieth reading call as one over the limit; 0: none.
+    /// Refuses every n-th read as over the limit; 0 refuses none.
     pub refuses_each: u64,
-    /// Takes calls and answers nothing.
+    /// Accepts calls and never responds.
     pub silent: bool,
-    /// Answers watches at once, whether or not something has changed.
+    /// Responds to watches at once, even if nothing has changed.
     pub hurried: bool,
-    /// Waits before it answers.
+    /// Delay before each response.
     pub delay: Duration,
-    /// In lists and watches, bytes that are no text stand in place of this text.
+    /// Replaces this text in lists and watches by bytes that are not valid UTF-8.
     pub spoils: Option<String>,
-    /// Carries out this many more writes and closes without an answer.
+    /// Applies this many more writes but closes the connection without a response.
     pub lose_write_answers: u32,
-    /// Carries those out this much later.
+    /// Delay before those writes are applied.
     pub lost_writes_late: Duration,
 }
 
-/// Calls taken so far, refused ones included; a watch counts as one read.
+/// Number of calls so far, including refused ones; a watch counts as one read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Reads and watches.
     pub reads: u64,
     /// Writes.
     pub writes: u64,
-    /// Calls over the limit, answered 429.
+    /// Calls refused with 429 as over the limit.
     pub limited: u64,
 }
 
-struct Bucket {
+/// Token bucket with a burst of one second.
+struct TokenBucket {
     rate: f64,
-    left: f64,
-    at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn new(rate: f64) -> Self {
         Self {
             rate,
-            left: rate,
-            at: Instant::now(),
+            tokens: rate,
+            refilled_at: Instant::now(),
         }
     }
 
-    fn take(&mut self) -> bool {
+    fn try_acquire(&mut self) -> bool {
         let now = Instant::now();
-        let earned = (now - self.at).as_secs_f64() * self.rate;
-        self.left = (self.left + earned).min(self.rate);
-        self.at = now;
-        if self.left < 1.0 {
+        let refill = (now - self.refilled_at).as_secs_f64() * self.rate;
+        self.tokens = (self.tokens + refill).min(self.rate);
+        self.refilled_at = now;
+        if self.tokens < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
@@ -116,12 +118,12 @@
     revision: u64,
     objects: BTreeMap<(String, String), Stored>,
     history: VecDeque<Change>,
-    /// Changes up to this revision are forgotten.
-    forgotten: u64,
+    /// Changes up to this revision are no longer in the history.
+    compacted_revision: u64,
     faults: Faults,
     counts: Counts,
-    reads: Bucket,
-    writes: Bucket,
+    reads: TokenBucket,
+    writes: TokenBucket,
 }
 
 impl State {
@@ -130,17 +132,17 @@
             revision: 0,
             objects: BTreeMap::new(),
             history: VecDeque::new(),
-            forgotten: 0,
+            compacted_revision: 0,
             faults: Faults::default(),
             counts: Counts::default(),
-            reads: Bucket::new(READS_PER_S),
-            writes: Bucket::new(WRITES_PER_S),
+            reads: TokenBucket::new(READS_PER_S),
+            writes: TokenBucket::new(WRITES_PER_S),
         }
     }
 
     fn object(&self, kind: &str, name: &str) -> Option<Value> {
         let key = (kind.to_owned(), name.to_owned());
-        self.objects.get(&key).map(|o| shown(name, o))
+        self.objects.get(&key).map(|o| object_json(name, o))
     }
 
     fn revision_of(&self, kind: &str, name: &str) -> Option<u64> {
@@ -148,12 +150,12 @@
         self.objects.get(&key).map(|o| o.revision)
     }
 
-    /// Sets an object's content; a write that changes nothing raises no revision.
+    /// Sets an object's spec and returns its revision, which an unchanged spec does not raise.
     fn set(&mut self, kind: &str, name: &str, spec: Value) -> u64 {
         let key = (kind.to_owned(), name.to_owned());
         let known = self.objects.get(&key);
-        if let Some(same) = known.filter(|o| o.spec == spec) {
-            return same.revision;
+        if let Some(unchanged) = known.filter(|o| o.spec == spec) {
+            return unchanged.revision;
         }
         self.revision += 1;
         let created = known.map_or(self.revision, |o| o.created);
@@ -162,9 +164,9 @@
             created,
             spec,
         };
-        let object = shown(name, &stored);
+        let object = object_json(name, &stored);
         self.objects.insert(key, stored);
-        self.changed(kind, object, false);
+        self.record_change(kind, object, false);
         self.revision
     }
 
@@ -174,11 +176,11 @@
             return false;
         };
         self.revision += 1;
-        self.changed(kind, shown(name, &stored), true);
+        self.record_change(kind, object_json(name, &stored), true);
         true
     }
 
-    fn changed(&mut self, kind: &str, object: Value, deleted: bool) {
+    fn record_change(&mut self, kind: &str, object: Value, deleted: bool) {
         self.history.push_back(Change {
             revision: self.revision,
             kind: kind.to_owned(),
@@ -186,13 +188,13 @@
             deleted,
         });
         if self.history.len() > HISTORY {
-            self.forgotten = self.history.pop_front().map_or(0, |c| c.revision);
+            self.compacted_revision = self.history.pop_front().map_or(0, |c| c.revision);
         }
     }
 
-    /// Returns what changed in a kind since a revision; none if that is forgotten.
+    /// Returns the changes of a kind since a revision, or `None` if the history does not go back that far.
     fn since(&self, kind: &str, revision: u64) -> Option<Vec<Value>> {
-        if revision < self.forgotten {
+        if revision < self.compacted_revision {
             return None;
         }
         let changes = self.history.iter();
@@ -206,7 +208,7 @@
         let names = names.filter(|((_, name), _)| after.is_none_or(|a| name.as_str() > a));
         let mut items: Vec<Value> = names
             .take(PAGE_ITEMS + 1)
-            .map(|((_, name), o)| shown(name, o))
+            .map(|((_, name), o)| object_json(name, o))
             .collect();
         let has_more = items.len() > PAGE_ITEMS;
         items.truncate(PAGE_ITEMS);
@@ -214,7 +216,7 @@
     }
 }
 
-fn shown(name: &str, stored: &Stored) -> Value {
+fn object_json(name: &str, stored: &Stored) -> Value {
     json!({
         "metadata": {
             "name": name,
@@ -257,27 +259,27 @@
         }
     }
 
-    /// Returns where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr
     }
 
-    /// Changes how it misbehaves.
+    /// Changes the faults.
     pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.lock().faults);
     }
 
-    /// Forgets its history: watches that go on from before are answered 410.
+    /// Discards the history; watches that continue from an earlier revision get 410.
     pub fn forget_history(&self) {
         let mut state = self.lock();
         state.history.clear();
-        state.forgotten = state.revision + 1;
+        state.compacted_revision = state.revision + 1;
         state.revision += 1;
         drop(state);
         self.wake();
     }
 
-    /// Returns the calls taken so far.
+    /// Returns the number of calls so far.
     pub fn counts(&self) -> Counts {
         self.lock().counts
     }
@@ -300,31 +302,31 @@
         self.wake();
     }
 
-    /// Sets an object of any kind as an outsider would; returns its revision.
+    /// Sets an object of any kind without the HTTP interface; returns its revision.
     pub fn set(&self, kind: &str, name: &str, spec: Value) -> u64 {
         let revision = self.lock().set(kind, name, spec);
         self.wake();
         revision
     }
 
-    /// Removes an object of any kind as an outsider would.
+    /// Removes an object of any kind without the HTTP interface.
     pub fn remove(&self, kind: &str, name: &str) {
         self.lock().remove(kind, name);
         self.wake();
     }
 
-    /// Returns an object's content.
+    /// Returns an object's spec.
     pub fn spec(&self, kind: &str, name: &str) -> Option<Value> {
         self.lock().object(kind, name).map(|o| o["spec"].clone())
     }
 
-    /// Sets one of the product's objects, which is JSON, as an outsider would.
+    /// Sets one of ryevalve's objects from JSON, without the HTTP interface; returns its revision.
     pub fn put(&self, key: &str, value: impl Into<Bytes>) -> u64 {
         let value: Value = serde_json::from_slice(&value.into()).expect("a value in JSON");
         self.set(OWN_KIND, key, json!({"json": value}))
     }
 
-    /// Returns one of the product's objects, which is JSON, with its revision.
+    /// Returns the revision and JSON of one of ryevalve's objects.
     pub fn get(&self, key: &str) -> Option<(u64, Bytes)> {
         let state = self.lock();
         let object = state.object(OWN_KIND, key)?;
@@ -347,7 +349,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<Body>, std::io::Error> {
     let is_write = request.method() != Method::GET;
-    let (faults, allowed) = admit(&state, is_write);
+    let (faults, allowed) = count_call(&state, is_write);
     tokio::time::sleep(faults.delay).await;
     if faults.silent {
         std::future::pending::<()>().await;
@@ -374,15 +376,15 @@
     }
     if let Some(revision) = http::query_number(&request, "watch") {
         let wait_ms = http::query_number(&request, "waitMs").unwrap_or(0);
-        return Ok(wait_past(&state, &changed, kind, revision, wait_ms).await);
+        return Ok(wait_for_changes(&state, &changed, kind, revision, wait_ms).await);
     }
     let after = http::query_text(&request, "sinceRevision");
     let page = lock(&state).page(kind, after.as_deref());
-    Ok(shown_with(&faults, &page))
+    Ok(response_with_faults(&faults, &page))
 }
 
-/// Makes an answer of JSON, spoiled as the faults say.
-fn shown_with(faults: &Faults, value: &Value) -> Response<Body> {
+/// Returns a JSON response, corrupted if [`Faults::spoils`] is set.
+fn response_with_faults(faults: &Faults, value: &Value) -> Response<Body> {
     let Some(spoils) = &faults.spoils else {
         return http::json(value);
     };
@@ -400,16 +402,16 @@
     state.lock().expect("no holder panics")
 }
 
-fn admit(state: &Mutex<State>, is_write: bool) -> (Faults, bool) {
+fn count_call(state: &Mutex<State>, is_write: bool) -> (Faults, bool) {
     let mut state = lock(state);
     let allowed = if is_write {
         state.counts.writes += 1;
-        state.writes.take()
+        state.writes.try_acquire()
     } else {
         state.counts.reads += 1;
         let each = state.faults.refuses_each;
         let is_refused = each > 0 && state.counts.reads.is_multiple_of(each);
-        state.reads.take() && !is_refused
+        state.reads.try_acquire() && !is_refused
     };
     if !allowed {
         state.counts.limited += 1;
@@ -421,7 +423,7 @@
     http::answer(StatusCode::NOT_FOUND, "no such object")
 }
 
-async fn wait_past(
+async fn wait_for_changes(
     state: &Mutex<State>,
     changed: &watch::Sender<u64>,
     kind: &str,
@@ -449,7 +451,7 @@
         };
         if !woken {
             let faults = lock(state).faults.clone();
-            return shown_with(&faults, &json!({"events": events, "timestamp": reached}));
+            return response_with_faults(&faults, &json!({"events": events, "timestamp": reached}));
         }
     }
 }
@@ -501,22 +503,22 @@
         (lose, state.faults.lost_writes_late)
     };
     if lose && late.is_zero() {
-        carry_out(state, changed, kind, &method, written);
+        apply_write(state, changed, kind, &method, written);
         return Err(std::io::Error::other("answer lost"));
     }
     if lose {
         let (state, changed, kind) = (state.clone(), changed.clone(), kind.to_owned());
         tokio::spawn(async move {
             tokio::time::sleep(late).await;
-            carry_out(&state, &changed, &kind, &method, written);
+            apply_write(&state, &changed, &kind, &method, written);
         });
         return Err(std::io::Error::other("answer lost"));
     }
-    Ok(carry_out(state, changed, kind, &method, written))
+    Ok(apply_write(state, changed, kind, &method, written))
 }
 
-/// Carries a write out if its condition holds.
-fn carry_out(
+/// Applies a write if its precondition holds.
+fn apply_write(
     state: &Mutex<State>,
     changed: &watch::Sender<u64>,
     kind: &str,
@@ -527,9 +529,9 @@
     let Written { metadata, spec } = written;
     let name = metadata.name;
     let known = state.revision_of(kind, &name);
-    let makes = *method == Method::POST;
+    let is_create = *method == Method::POST;
     let conflicts = match known {
-        Some(revision) => makes || (metadata.revision != 0 && metadata.revision != revision),
+        Some(revision) => is_create || (metadata.revision != 0 && metadata.revision != revision),
         None => false,
     };
     if conflicts {
@@ -538,7 +540,7 @@
         *response.status_mut() = StatusCode::CONFLICT;
         return response;
     }
-    if known.is_none() && !makes {
+    if known.is_none() && !is_create {
         return missing();
     }
     let object = if *method == Method::DELETE {
--- a/standins/src/proxy.rs
+++ b/standins/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy for TCP that delays, slows, resets, silences or cuts one way what goes through it.
+//! TCP proxy on loopback that can delay, throttle, reset or hold back traffic, in both directions or in one.
 
 use std::{
     net::SocketAddr,
@@ -19,27 +19,27 @@
 
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// What a proxy does to the bytes.
+/// Effect of a proxy on its traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Passes them on.
+    /// Forwards traffic unchanged.
     #[default]
     Pass,
-    /// Passes them on this much later.
+    /// Delays each read by this time before forwarding it.
     Delay(Duration),
-    /// Passes answers on at this many bytes a second, of all connections together.
+    /// Limits responses to this many bytes per second over all connections.
     Slow(u32),
-    /// Holds them back, both ways, until the mode changes.
+    /// Holds back traffic in both directions until the mode changes.
     Silent,
-    /// Holds back only what comes from the target.
+    /// Holds back only the traffic from the target.
     NoAnswers,
-    /// Resets all connections, also new ones.
+    /// Resets all connections, including new ones.
     Reset,
 }
 
-/// A running proxy; it stops when this is dropped.
+/// A running proxy; it stops on drop.
 pub struct Proxy {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
     mode: watch::Sender<Mode>,
     task: JoinHandle<()>,
@@ -52,18 +52,18 @@
 }
 
 impl Proxy {
-    /// Starts a proxy before `target` on a free loopback port.
+    /// Starts a proxy in front of `target` on a free loopback port.
     ///
     /// # Panics
-    /// No port can be bound.
+    /// Panics if no port can be bound.
     pub async fn start(target: SocketAddr) -> Self {
         Self::start_at(([127, 0, 0, 1], 0).into(), target).await
     }
 
-    /// Starts a proxy before `target` on a given loopback address.
+    /// Starts a proxy in front of `target` on a given loopback address.
     ///
     /// # Panics
-    /// The address cannot be bound.
+    /// Panics if the address cannot be bound.
     pub async fn start_at(addr: SocketAddr, target: SocketAddr) -> Self {
         let listener = TcpListener::bind(addr).await.expect("bind the proxy");
         let addr = listener.local_addr().expect("a bound address");
@@ -71,107 +71,117 @@
         let link = Link::default();
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                tokio::spawn(pass(stream, target, modes.clone(), link.clone()));
+                tokio::spawn(proxy_connection(
+                    stream,
+                    target,
+                    modes.clone(),
+                    link.clone(),
+                ));
             }
         });
         Self { addr, mode, task }
     }
 
-    /// Sets what it does from now on.
+    /// Sets the mode, which applies to open connections, too.
     pub fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 }
 
-/// What all connections share: when the bytes passed on so far are through.
+/// Shared bandwidth limit: the time at which the link has sent all bytes so far.
 #[derive(Clone, Default)]
 struct Link {
     free_at: Arc<Mutex<Option<Instant>>>,
 }
 
 impl Link {
-    /// Returns when `bytes` more are through at this rate.
-    fn through_at(&self, bytes: usize, bytes_per_s: u32) -> Instant {
+    /// Adds `bytes` to the link and returns when they have been sent at this rate.
+    fn sent_at(&self, bytes: usize, bytes_per_s: u32) -> Instant {
         let now = Instant::now();
-        let takes = Duration::from_secs_f64(bytes as f64 / f64::from(bytes_per_s.max(1)));
+        let duration = Duration::from_secs_f64(bytes as f64 / f64::from(bytes_per_s.max(1)));
         let mut free_at = self.free_at.lock().expect("no holder panics");
-        let through_at = free_at.unwrap_or(now).max(now) + takes;
-        *free_at = Some(through_at);
-        through_at
+        let sent_at = free_at.unwrap_or(now).max(now) + duration;
+        *free_at = Some(sent_at);
+        sent_at
     }
 }
 
-async fn pass(source: TcpStream, target: SocketAddr, modes: watch::Receiver<Mode>, link: Link) {
+async fn proxy_connection(
+    source: TcpStream,
+    target: SocketAddr,
+    modes: watch::Receiver<Mode>,
+    link: Link,
+) {
     if *modes.borrow() == Mode::Reset {
         reset_on_drop(&source);
         return;
     }
-    let Ok(onward) = TcpStream::connect(target).await else {
+    let Ok(upstream) = TcpStream::connect(target).await else {
         reset_on_drop(&source);
         return;
     };
-    for stream in [&source, &onward] {
+    for stream in [&source, &upstream] {
         let _ = stream.set_nodelay(true);
     }
     let (from_source, to_source) = source.into_split();
-    let (from_target, to_target) = onward.into_split();
-    // Set by the direction that is reset: the other ends with it.
-    let (broken, breaks) = watch::channel(false);
-    let ends = || (modes.clone(), breaks.clone());
-    let up = copy(from_source, to_target, ends(), &broken, None);
-    let down = copy(from_target, to_source, ends(), &broken, Some(&link));
+    let (from_target, to_target) = upstream.into_split();
+    // Set by the direction that is reset, so that the other one ends, too.
+    let (broken, broken_receiver) = watch::channel(false);
+    let receivers = || (modes.clone(), broken_receiver.clone());
+    let up = forward(from_source, to_target, receivers(), &broken, None);
+    let down = forward(from_target, to_source, receivers(), &broken, Some(&link));
     tokio::join!(up, down);
 }
 
-/// A connection that is dropped with a linger of zero is reset.
+/// Sets zero linger, so that the drop of the connection resets it.
 fn reset_on_drop(stream: &TcpStream) {
-    // It can fail only where the connection has ended.
+    // This fails only if the connection has already ended.
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Passes one direction on: an end as an end, a reset as a reset. Answers come with their link.
-async fn copy(
+/// Forwards one direction, with its end or reset. `link` is given for the direction of the responses.
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    (mut modes, mut breaks): (watch::Receiver<Mode>, watch::Receiver<bool>),
+    (mut modes, mut broken_receiver): (watch::Receiver<Mode>, watch::Receiver<bool>),
     broken: &watch::Sender<bool>,
     link: Option<&Link>,
 ) {
     let mut resets = modes.clone();
-    let passing = pass_on(&mut from, &mut to, &mut modes, link);
+    let forwarding = forward_bytes(&mut from, &mut to, &mut modes, link);
     let is_whole = tokio::select! {
-        is_whole = passing => is_whole,
+        is_whole = forwarding => is_whole,
         _ = resets.wait_for(|m| *m == Mode::Reset) => false,
-        _ = breaks.wait_for(|is_broken| *is_broken) => false,
+        _ = broken_receiver.wait_for(|is_broken| *is_broken) => false,
     };
     if !is_whole {
         broken.send_replace(true);
         reset_on_drop(from.as_ref());
         reset_on_drop(to.as_ref());
-        // Else it would end the direction in an orderly way first.
+        // Without this, the drop of the write half would first shut the direction down cleanly.
         to.forget();
     }
 }
 
-/// Passes bytes on until the end; false if it was a reset.
-async fn pass_on(
+/// Forwards bytes until the end of the stream; returns false if the stream was reset.
+async fn forward_bytes(
     from: &mut OwnedReadHalf,
     to: &mut OwnedWriteHalf,
     modes: &mut watch::Receiver<Mode>,
     link: Option<&Link>,
 ) -> bool {
-    let holds = |m: &Mode| *m == Mode::Silent || (link.is_some() && *m == Mode::NoAnswers);
+    let is_held = |m: &Mode| *m == Mode::Silent || (link.is_some() && *m == Mode::NoAnswers);
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let read = from.read(&mut buffer).await;
-        if modes.wait_for(|m| !holds(m)).await.is_err() {
+        if modes.wait_for(|m| !is_held(m)).await.is_err() {
             return false;
         }
         let mode = *modes.borrow();
         match (mode, link, &read) {
             (Mode::Delay(delay), _, _) => time::sleep(delay).await,
             (Mode::Slow(bytes_per_s), Some(link), Ok(len)) => {
-                time::sleep_until(link.through_at(*len, bytes_per_s)).await;
+                time::sleep_until(link.sent_at(*len, bytes_per_s)).await;
             }
             _ => {}
         }
--- a/standins/src/runner.rs
+++ b/standins/src/runner.rs
@@ -1,7 +1,8 @@
-//! An endpoint of the users' platform on a plain socket, so that it can misbehave byte by byte.
+//! Stand-in for an endpoint, on a raw socket so that it can send malformed or partial responses.
 //!
-//! It answers `POST` and `GET` on any path: whole answers, or events where the path ends in
-//! `/stream`. Every answer repeats `Request-Id` and carries `Instance-Signature`.
+//! It responds to `POST` and `GET` on any path: with server-sent events if the path ends in `/stream`, else with a
+//! fixed body. Every response echoes `Request-Id` and has `Instance-Signature`, except under [`Fault::Unsigned`] and in
+//! refusals.
 
 use std::{
     collections::HashMap,
@@ -17,56 +18,56 @@
 };
 use tokio_util::sync::CancellationToken;
 
-/// Events of a whole stream.
+/// Number of events in a complete stream.
 pub const EVENTS: u64 = 8;
 
-/// How long a stream says nothing under [`Fault::Pause`].
+/// Length of the gap in a stream under [`Fault::Pause`].
 pub const PAUSE: Duration = Duration::from_millis(1_300);
 
-/// How an endpoint misbehaves.
+/// Fault of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// Not at all.
+    /// No fault.
     #[default]
     None,
-    /// Turns requests away unrun.
+    /// Refuses requests without running them.
     Full,
-    /// Runs requests and resets the connection.
+    /// Runs requests, then resets the connection.
     ResetAfterRun,
-    /// Runs requests and says nothing.
+    /// Runs requests and never responds.
     Mute,
     /// Cuts streams in the middle of their fourth event.
     CutStream,
-    /// Cuts streams there that begin with their first event; those taken up later come to their end.
+    /// As `CutStream`, but only for streams that start at the first event; resumed streams complete.
     CutNewStream,
-    /// Says nothing for [`PAUSE`] before the fourth event of a stream.
+    /// Pauses for [`PAUSE`] before the fourth event of a stream.
     Pause,
-    /// Sends a second whole answer after each.
+    /// Sends each non-stream response twice.
     Surplus,
-    /// Sends whole answers without a length, and resets the connection inside them.
+    /// Sends non-stream responses without a length and resets the connection before their end.
     Unframed,
-    /// Answers with another endpoint's proof missing.
+    /// Leaves `Instance-Signature` out of responses.
     Unsigned,
-    /// Runs requests and answers with an error of its own.
+    /// Runs requests and responds with status 500.
     Error,
 }
 
-/// One request as it reached the endpoint.
+/// A request received by the endpoint.
 #[derive(Clone, Debug)]
 pub struct Seen {
-    /// When it came.
+    /// Time of arrival.
     pub at: Instant,
-    /// Its first line.
+    /// Request line.
     pub line: String,
-    /// Its headers, with names in lower case.
+    /// Headers, with names in lower case.
     pub headers: HashMap<String, String>,
-    /// Its body.
+    /// Body.
     pub body: Vec<u8>,
-    /// Whether it was turned away with a word that asks for rest.
+    /// Whether it was refused with `Retry-After`.
     pub was_asked_to_rest: bool,
     /// Whether it was run.
     pub has_run: bool,
-    /// Whether the caller's connection was still there at its end.
+    /// Whether the connection was still open at the end of the response.
     pub finished: bool,
 }
 
@@ -74,24 +75,24 @@
 struct State {
     id: String,
     fault: Fault,
-    /// Time between two events, and of a whole answer.
+    /// Time before each event, or before a non-stream response.
     pace: Duration,
     seen: Vec<Seen>,
-    /// A request with these bytes in its body ends the endpoint.
+    /// A request whose body contains these bytes crashes the endpoint.
     ended_by: Option<Vec<u8>>,
-    /// What its answers name as the requests a second that it takes.
+    /// Value of `Server-Limit` in its responses.
     limit: Option<String>,
-    /// What its answers say of its leaving.
+    /// Value of `Server-Leaving` in its responses.
     leaving: Option<String>,
-    /// It turns requests away unrun, and asks for so much rest.
-    rest: Option<String>,
-    /// The present start; cancelled when the endpoint ends.
-    life: CancellationToken,
+    /// If set, it refuses all requests with this value of `Retry-After`.
+    retry_after: Option<String>,
+    /// Lifetime of the current start; cancelled when the endpoint ends.
+    lifetime: CancellationToken,
 }
 
-/// A running endpoint; it stops when this is dropped.
+/// A running endpoint; it stops on drop.
 pub struct Runner {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
     state: Arc<Mutex<State>>,
 }
@@ -106,7 +107,7 @@
     /// Starts an endpoint with an id on a free loopback port.
     ///
     /// # Panics
-    /// No port can be bound.
+    /// Panics if no port can be bound.
     pub async fn start(id: &str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
         let addr = listener.local_addr().expect("a bound address");
@@ -120,26 +121,26 @@
         runner
     }
 
-    /// Sets bytes that end the endpoint as a crash does when a request has them in its body and begins to run:
-    /// its port is closed and all its connections are reset.
+    /// Sets bytes that crash the endpoint when it starts to run a request whose body contains them: its port is closed and
+    /// all its connections are reset.
     pub fn ended_by(&self, bytes: &[u8]) {
         self.lock().ended_by = Some(bytes.to_vec());
     }
 
-    /// Ends the endpoint as a crash does.
+    /// Ends the endpoint like a crash: closes its port and resets its connections.
     pub fn end(&self) {
-        self.lock().life.cancel();
+        self.lock().lifetime.cancel();
     }
 
     /// Returns whether the endpoint has ended.
     pub fn has_ended(&self) -> bool {
-        self.lock().life.is_cancelled()
+        self.lock().lifetime.is_cancelled()
     }
 
-    /// Starts it again at the same address under another id.
+    /// Restarts the endpoint at the same address under another id.
     ///
     /// # Panics
-    /// The port is taken.
+    /// Panics if the port is in use.
     pub async fn start_again(&self, id: &str) {
         let listener = TcpListener::bind(self.addr)
             .await
@@ -147,61 +148,61 @@
         {
             let mut state = self.lock();
             state.id = id.to_owned();
-            state.life = CancellationToken::new();
+            state.lifetime = CancellationToken::new();
             state.leaving = None;
-            state.rest = None;
+            state.retry_after = None;
         }
         self.accept(listener);
     }
 
     fn accept(&self, listener: TcpListener) {
         let shared = self.state.clone();
-        let life = self.lock().life.clone();
-        let accepting = async move {
+        let lifetime = self.lock().lifetime.clone();
+        let accept_loop = async move {
             while let Ok((stream, _)) = listener.accept().await {
-                // The end of a connection is its caller's leaving.
+                // An error on a connection only means that the caller disconnected.
                 tokio::spawn(serve_until(stream, shared.clone()));
             }
         };
-        tokio::spawn(async move { life.run_until_cancelled(accepting).await });
+        tokio::spawn(async move { lifetime.run_until_cancelled(accept_loop).await });
     }
 
-    /// Sets how it misbehaves.
+    /// Sets the fault.
     pub fn fault(&self, fault: Fault) {
         self.lock().fault = fault;
     }
 
-    /// Sets the time between two events, and of a whole answer.
+    /// Sets the time before each event, or before a non-stream response.
     pub fn pace(&self, pace: Duration) {
         self.lock().pace = pace;
     }
 
-    /// Sets what its answers name as the requests a second that it takes from all together; none ends that.
+    /// Sets `Server-Limit` in responses: the total rate that it accepts, in requests per second. `None` removes it.
     pub fn name_limit(&self, limit: Option<&str>) {
         self.lock().limit = limit.map(str::to_owned);
     }
 
-    /// Sets what its answers say of its leaving: `1` that it leaves; none takes the word out of them.
-    pub fn say_leaving(&self, word: Option<&str>) {
-        self.lock().leaving = word.map(str::to_owned);
+    /// Sets `Server-Leaving` in responses; `1` means that the endpoint is leaving. `None` removes it.
+    pub fn say_leaving(&self, value: Option<&str>) {
+        self.lock().leaving = value.map(str::to_owned);
     }
 
-    /// Turns requests away unrun and asks for rest in their refusals, in seconds or as a date; none ends that.
-    pub fn ask_for_rest(&self, rest: Option<&str>) {
-        self.lock().rest = rest.map(str::to_owned);
+    /// Refuses requests without running them, with this `Retry-After`, in seconds or as a date. `None` ends that.
+    pub fn ask_for_rest(&self, retry_after: Option<&str>) {
+        self.lock().retry_after = retry_after.map(str::to_owned);
     }
 
-    /// Goes on under another id, as a new start at the same address does.
+    /// Changes the id in place, as seen after a restart at the same address.
     pub fn replace(&self, id: &str) {
         self.lock().id = id.to_owned();
     }
 
-    /// Returns the requests that reached it.
+    /// Returns the requests received so far.
     pub fn seen(&self) -> Vec<Seen> {
         self.lock().seen.clone()
     }
 
-    /// Returns how often it ran a request.
+    /// Returns how many times it ran the request with this id.
     pub fn runs(&self, request_id: &str) -> usize {
         let seen = self.lock();
         let runs = seen.seen.iter().filter(|s| s.has_run);
@@ -218,12 +219,12 @@
     }
 }
 
-/// Returns the body of a whole answer to a request.
+/// Returns the body of a non-stream response.
 pub fn whole_body(request_id: &str) -> String {
     format!("the answer to {request_id}")
 }
 
-/// Returns an event of a request's stream.
+/// Returns an event of a request's stream, as sent.
 pub fn event(request_id: &str, number: u64) -> String {
     format!("id: {number}\ndata: {request_id} {number}\n\n")
 }
@@ -234,10 +235,12 @@
     Reset,
 }
 
-/// Serves a connection until it ends, or the endpoint does.
+/// Serves a connection until it or the endpoint ends.
 async fn serve_until(mut stream: TcpStream, state: Arc<Mutex<State>>) -> std::io::Result<()> {
-    let life = state.lock().expect("no holder panics").life.clone();
-    let served = life.run_until_cancelled(serve(&mut stream, state)).await;
+    let lifetime = state.lock().expect("no holder panics").lifetime.clone();
+    let served = lifetime
+        .run_until_cancelled(serve(&mut stream, state))
+        .await;
     match served.unwrap_or(Ok(End::Reset))? {
         End::Closed => Ok(()),
         End::Reset => reset(stream),
@@ -257,9 +260,9 @@
                 state.seen.len() - 1,
             )
         };
-        // As it is when an answer begins.
-        let words = || word_lines(&state.lock().expect("no holder panics"));
-        let mark = |change: fn(&mut Seen)| {
+        // Reads the state when a response starts.
+        let announcements = || announcement_lines(&state.lock().expect("no holder panics"));
+        let update_seen = |change: fn(&mut Seen)| {
             change(&mut state.lock().expect("no holder panics").seen[index]);
         };
         let expected = seen.headers.get("expect-instance");
@@ -268,15 +271,15 @@
                 stream,
                 "421 Misdirected Request",
                 &request_id,
-                &(words() + FULL_LOAD),
+                &(announcements() + FULL_LOAD),
             )
             .await?;
             continue;
         }
-        let rest = state.lock().expect("no holder panics").rest.clone();
-        if let Some(rest) = rest {
-            mark(|s| s.was_asked_to_rest = true);
-            let lines = format!("{}Retry-After: {rest}\r\n", words());
+        let retry_after = state.lock().expect("no holder panics").retry_after.clone();
+        if let Some(retry_after) = retry_after {
+            update_seen(|s| s.was_asked_to_rest = true);
+            let lines = format!("{}Retry-After: {retry_after}\r\n", announcements());
             refuse(stream, "503 Service Unavailable", &request_id, &lines).await?;
             continue;
         }
@@ -285,16 +288,16 @@
                 stream,
                 "503 Service Unavailable",
                 &request_id,
-                &(words() + FULL_LOAD),
+                &(announcements() + FULL_LOAD),
             )
             .await?;
             continue;
         }
-        mark(|s| s.has_run = true);
-        let life = life_ended_by(&state, &seen.body);
-        if let Some(life) = life {
+        update_seen(|s| s.has_run = true);
+        let lifetime = crash_token(&state, &seen.body);
+        if let Some(lifetime) = lifetime {
             time::sleep(pace).await;
-            life.cancel();
+            lifetime.cancel();
             return Ok(End::Reset);
         }
         match fault {
@@ -310,60 +313,60 @@
         {
             let from = seen.headers.get("last-event-id");
             let from: u64 = from.and_then(|f| f.parse().ok()).unwrap_or(0);
-            let answer = Answer {
+            let response = ResponseParams {
                 request_id: &request_id,
                 fault,
-                words: &words(),
+                announcements: &announcements(),
             };
-            if !events(stream, answer, from, pace).await? {
+            if !send_events(stream, response, from, pace).await? {
                 return Ok(End::Closed);
             }
         } else {
             time::sleep(pace).await;
-            let answer = Answer {
+            let response = ResponseParams {
                 request_id: &request_id,
                 fault,
-                words: &words(),
+                announcements: &announcements(),
             };
-            if !whole(stream, answer).await? {
+            if !send_response(stream, response).await? {
                 return Ok(End::Reset);
             }
         }
-        mark(|s| s.finished = true);
+        update_seen(|s| s.finished = true);
     }
     Ok(End::Closed)
 }
 
-/// Returns the endpoint's present start if a request with this body ends it.
-fn life_ended_by(state: &Mutex<State>, body: &[u8]) -> Option<CancellationToken> {
+/// Returns the lifetime token to cancel if a request with this body crashes the endpoint.
+fn crash_token(state: &Mutex<State>, body: &[u8]) -> Option<CancellationToken> {
     let state = state.lock().expect("no holder panics");
     let bytes = state.ended_by.as_deref()?;
     let is_ended = body.windows(bytes.len()).any(|w| w == bytes);
-    is_ended.then(|| state.life.clone())
+    is_ended.then(|| state.lifetime.clone())
 }
 
 fn reset(stream: TcpStream) -> std::io::Result<()> {
     let stream = stream.into_std()?;
-    // Dropping it with a linger of zero sends a reset.
+    // A drop with zero linger sends a reset.
     socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO))
 }
 
-/// The load that an endpoint names that has no room.
+/// Load header of an endpoint without free capacity.
 const FULL_LOAD: &str = "Instance-Load: 4,9,4\r\n";
 
-/// What an answer is like.
+/// Parameters of a response.
 #[derive(Clone, Copy)]
-struct Answer<'a> {
+struct ResponseParams<'a> {
     request_id: &'a str,
     fault: Fault,
-    /// The lines of its head by which the endpoint speaks of itself.
-    words: &'a str,
+    /// Header lines with the announcements of the endpoint.
+    announcements: &'a str,
 }
 
-fn word_lines(state: &State) -> String {
-    let line = |name: &str, word: &Option<String>| {
-        let word = word.as_ref();
-        word.map_or_else(String::new, |word| format!("{name}: {word}\r\n"))
+fn announcement_lines(state: &State) -> String {
+    let line = |name: &str, value: &Option<String>| {
+        let value = value.as_ref();
+        value.map_or_else(String::new, |value| format!("{name}: {value}\r\n"))
     };
     line("Server-Limit", &state.limit) + &line("Server-Leaving", &state.leaving)
 }
@@ -372,22 +375,22 @@
     stream: &mut TcpStream,
     status: &str,
     request_id: &str,
-    words: &str,
+    announcements: &str,
 ) -> std::io::Result<()> {
     let head = format!(
-        "HTTP/1.1 {status}\r\nRequest-Id: {request_id}\r\nNot-Executed: 1\r\n{words}\
+        "HTTP/1.1 {status}\r\nRequest-Id: {request_id}\r\nNot-Executed: 1\r\n{announcements}\
          Content-Length: 0\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).await
 }
 
-fn head(answer: Answer<'_>, rest: &str) -> String {
-    let Answer {
+fn head(response: ResponseParams<'_>, framing: &str) -> String {
+    let ResponseParams {
         request_id,
         fault,
-        words,
-    } = answer;
-    let proof = if fault == Fault::Unsigned {
+        announcements,
+    } = response;
+    let signature = if fault == Fault::Unsigned {
         ""
     } else {
         "Instance-Signature: 3e1b.07\r\n"
@@ -397,22 +400,25 @@
         _ => "200 OK",
     };
     format!(
-        "HTTP/1.1 {status}\r\nRequest-Id: {request_id}\r\n{proof}{words}Instance-Load: 1,0,4\r\n{rest}\r\n\r\n"
+        "HTTP/1.1 {status}\r\nRequest-Id: {request_id}\r\n{signature}{announcements}Instance-Load: 1,0,4\r\n{framing}\r\n\r\n"
     )
 }
 
-async fn whole(stream: &mut TcpStream, answer: Answer<'_>) -> std::io::Result<bool> {
-    let fault = answer.fault;
-    let body = whole_body(answer.request_id);
+async fn send_response(
+    stream: &mut TcpStream,
+    response: ResponseParams<'_>,
+) -> std::io::Result<bool> {
+    let fault = response.fault;
+    let body = whole_body(response.request_id);
     if fault == Fault::Unframed {
-        let text = head(answer, "Connection: close") + &body[..body.len() / 2];
+        let text = head(response, "Connection: close") + &body[..body.len() / 2];
         stream.write_all(text.as_bytes()).await?;
         stream.flush().await?;
         time::sleep(Duration::from_millis(20)).await;
         return Ok(false);
     }
     let length = format!("Content-Length: {}", body.len());
-    let mut text = head(answer, &length) + &body;
+    let mut text = head(response, &length) + &body;
     if fault == Fault::Surplus {
         text = text.repeat(2);
     }
@@ -420,25 +426,25 @@
     Ok(true)
 }
 
-async fn events(
+async fn send_events(
     stream: &mut TcpStream,
-    answer: Answer<'_>,
+    response: ResponseParams<'_>,
     from: u64,
     pace: Duration,
 ) -> std::io::Result<bool> {
-    let Answer {
+    let ResponseParams {
         request_id, fault, ..
-    } = answer;
+    } = response;
     let kind = "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked";
-    stream.write_all(head(answer, kind).as_bytes()).await?;
+    stream.write_all(head(response, kind).as_bytes()).await?;
     for number in from + 1..=EVENTS {
         time::sleep(pace).await;
         if fault == Fault::Pause && number == 4 {
             time::sleep(PAUSE).await;
         }
         let event = event(request_id, number);
-        let cuts = fault == Fault::CutStream || (fault == Fault::CutNewStream && from == 0);
-        if cuts && number == 4 {
+        let is_cut = fault == Fault::CutStream || (fault == Fault::CutNewStream && from == 0);
+        if is_cut && number == 4 {
             let half = &event[..event.len() / 2];
             let chunk = format!("{:x}\r\n{half}\r\n", half.len());
             stream.write_all(chunk.as_bytes()).await?;
@@ -451,7 +457,7 @@
     Ok(true)
 }
 
-/// Reads a request with a length or without a body; none at the connection's end.
+/// Reads a request, whose body, if any, must have a `Content-Length`; returns `None` at the end of the connection.
 async fn read(stream: &mut TcpStream) -> std::io::Result<Option<Seen>> {
     let mut bytes = Vec::new();
     let end = loop {
