--- a/standins/src/engine.rs
+++ b/standins/src/engine.rs
@@ -1,14 +1,14 @@
-//! A model engine: continuous batching, a prefix cache, priorities, streams that can be resumed and
-//! cancelled, lagging load reports and cache events with gaps.
+//! Stand-in for a model engine: continuous batching, a prefix cache, priorities, streams that can be resumed and
+//! cancelled, stale load reports and cache events with gaps.
 //!
-//! | call | answer |
+//! | call | response |
 //! | --- | --- |
 //! | `POST /v1/completions`, `/v1/chat/completions` | server-sent events, each with an `id`, ended by `[DONE]` |
-//! | `GET /v1/streams/ID` with `last-event-id` | the same stream from there on |
+//! | `GET /v1/streams/ID` with `last-event-id` | the same stream from that event on |
 //! | `DELETE /v1/streams/ID` | cancels it |
 //! | `GET /load` | `{running, waiting, age_ms}` |
 //! | `GET /cache/events?after=N` | a list of `{seq, stored, evicted}` |
-//! | `POST /orders` with `x-fence` | carries out an order, or 409 for an outdated fence |
+//! | `POST /orders` with `x-fence` | executes an order, or 409 for an outdated fence |
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -28,25 +28,25 @@
 
 use crate::http::{self, Body, Server};
 
-/// Bytes of prompt in one cached block; four bytes are taken as one token.
+/// Prompt bytes per cached block; four bytes count as one token.
 pub const BLOCK_BYTES: usize = 1_024;
 const BYTES_PER_TOKEN: usize = 4;
 const PREFILL_CHUNK_TOKENS: u32 = 256;
 const IDLE_POLL: Duration = Duration::from_millis(20);
-const KEEP_ENDED: usize = 4_096;
+const MAX_ENDED_STREAMS: usize = 4_096;
 
-/// How fast and large an engine is.
+/// Speed and capacity of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Speed {
-    /// Requests in its batch.
+    /// Maximum number of requests in the batch.
     pub slots: usize,
-    /// Prompt speed.
+    /// Prefill speed, in tokens per second.
     pub prefill_tokens_per_s: f64,
-    /// One decode step.
+    /// Duration of a decode step.
     pub step: Duration,
-    /// Blocks in its prefix cache.
+    /// Capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// How old its load reports are.
+    /// Staleness of the load reports.
     pub load_lag: Duration,
 }
 
@@ -62,18 +62,18 @@
     }
 }
 
-/// How the engine misbehaves.
+/// Faults of the engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
-    /// Multiplies all its times.
+    /// Factor on the duration of steps.
     pub slow: f64,
     /// Cuts the connection of every n-th stream once, after some tokens; 0 cuts none.
     pub cut_every: u64,
-    /// Forgets cut streams, so that they cannot be resumed.
+    /// Refuses to resume streams, as if it had lost them.
     pub forget_cut: bool,
     /// Skips every n-th cache event; 0 skips none.
     pub gap_every: u64,
-    /// Accepts and answers nothing.
+    /// Accepts requests and never responds.
     pub hang: bool,
 }
 
@@ -89,18 +89,18 @@
     }
 }
 
-/// What the engine has done so far.
+/// Counts of the work done so far.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
-    /// How often each request id was started.
+    /// Number of starts of each request id.
     pub starts: HashMap<String, u32>,
-    /// Streams cancelled.
+    /// Number of cancelled streams.
     pub cancelled: u64,
-    /// Streams resumed.
+    /// Number of resumed streams.
     pub resumed: u64,
-    /// Prompt tokens computed.
+    /// Number of computed prompt tokens.
     pub prefill_tokens: u64,
-    /// Orders carried out.
+    /// Executed orders.
     pub orders: Vec<String>,
 }
 
@@ -109,11 +109,11 @@
     priority: u8,
     prefill_left: u32,
     blocks: Vec<u64>,
-    made: u32,
-    wanted: u32,
+    generated: u32,
+    tokens_to_generate: u32,
     prompt_tokens: u32,
     cached_tokens: u32,
-    mark: String,
+    prompt_hash: String,
     chat: bool,
 }
 
@@ -199,46 +199,46 @@
         }
     }
 
-    /// Returns where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr
     }
 
-    /// Changes how it misbehaves.
+    /// Changes the faults.
     pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.shared.lock().faults);
     }
 
-    /// Returns what it has done so far.
+    /// Returns the counts so far.
     pub fn counts(&self) -> Counts {
         self.shared.lock().counts.clone()
     }
 
-    /// Returns how many requests are in its batch and queue.
+    /// Returns the number of requests in the batch and the queue.
     pub fn busy(&self) -> usize {
         let state = self.shared.lock();
         state.batch.len() + state.queue.len()
     }
 }
 
-/// Returns the text that an engine answers to a prompt with `tokens` tokens.
+/// Returns the first `tokens` tokens of the text that an engine generates for a prompt.
 pub fn expected_text(prompt: &str, tokens: u32) -> String {
-    let mark = mark(prompt);
-    (0..tokens).map(|n| token(&mark, n)).collect()
+    let prompt_hash = prompt_hash(prompt);
+    (0..tokens).map(|n| token(&prompt_hash, n)).collect()
 }
 
-fn token(mark: &str, number: u32) -> String {
-    format!("{mark}.{number} ")
+fn token(prompt_hash: &str, number: u32) -> String {
+    format!("{prompt_hash}.{number} ")
 }
 
-fn mark(prompt: &str) -> String {
+fn prompt_hash(prompt: &str) -> String {
     let mut hasher = DefaultHasher::new();
     prompt.hash(&mut hasher);
     format!("{:08x}", hasher.finish() as u32)
 }
 
 /// Returns the hash chain over the prompt's whole blocks, as the engine publishes it: FNV-1a over
-/// each block, starting from the hash of the one before.
+/// each block, starting from the hash of the previous block.
 pub fn block_hashes(prompt: &[u8]) -> Vec<u64> {
     let mut hash = 0xcbf2_9ce4_8422_2325_u64;
     prompt
@@ -254,10 +254,10 @@
 
 async fn run_steps(shared: Arc<Shared>) {
     loop {
-        let took = step(&shared);
+        let duration = step(&shared);
         shared.changed.notify_waiters();
-        match took {
-            Some(took) => tokio::time::sleep(took).await,
+        match duration {
+            Some(duration) => tokio::time::sleep(duration).await,
             None => {
                 let _ = tokio::time::timeout(IDLE_POLL, shared.work.notified()).await;
             }
@@ -265,35 +265,35 @@
     }
 }
 
-/// Runs one step of the batch; returns how long it takes, or none if there is nothing to do.
+/// Runs one step of the batch; returns how long it takes, or `None` if the batch is empty.
 fn step(shared: &Shared) -> Option<Duration> {
     let mut state = shared.lock();
     let state = &mut *state;
     admit(state, shared.speed);
-    note_load(state, shared.speed.load_lag);
+    record_load(state, shared.speed.load_lag);
     if state.batch.is_empty() {
         return None;
     }
     let mut prefill_budget = PREFILL_CHUNK_TOKENS;
-    // Prompts of higher priority first; within one, in the order of their coming.
+    // Prefills prompts by priority (lowest number first), then in order of arrival.
     state.batch.sort_by_key(|job| job.priority);
     for job in &mut state.batch {
         let chunk = job.prefill_left.min(prefill_budget);
         prefill_budget -= chunk;
         job.prefill_left -= chunk;
         state.counts.prefill_tokens += u64::from(chunk);
-        if job.prefill_left == 0 && job.made < job.wanted {
+        if job.prefill_left == 0 && job.generated < job.tokens_to_generate {
             let event = token_event(job);
-            job.made += 1;
+            job.generated += 1;
             if let Some(buffer) = state.streams.get_mut(&job.id) {
                 buffer.events.push(event);
             }
         }
     }
-    let (ended, going): (Vec<Job>, Vec<Job>) = std::mem::take(&mut state.batch)
+    let (ended, unfinished): (Vec<Job>, Vec<Job>) = std::mem::take(&mut state.batch)
         .into_iter()
-        .partition(|j| j.prefill_left == 0 && j.made == j.wanted);
-    state.batch = going;
+        .partition(|j| j.prefill_left == 0 && j.generated == j.tokens_to_generate);
+    state.batch = unfinished;
     for job in ended {
         finish(state, &job, shared.speed.cache_blocks);
     }
@@ -324,7 +324,7 @@
     }
 }
 
-fn note_load(state: &mut State, lag: Duration) {
+fn record_load(state: &mut State, lag: Duration) {
     let now = Instant::now();
     let (running, waiting) = (state.batch.len() as u32, state.queue.len() as u32);
     state.loads.push_back((now, running, waiting));
@@ -340,7 +340,7 @@
         buffer.done = true;
     }
     state.ended.push_back(job.id.clone());
-    if state.ended.len() > KEEP_ENDED
+    if state.ended.len() > MAX_ENDED_STREAMS
         && let Some(id) = state.ended.pop_front()
     {
         state.streams.remove(&id);
@@ -383,13 +383,16 @@
 }
 
 fn token_event(job: &Job) -> String {
-    let text = token(&job.mark, job.made);
+    let text = token(&job.prompt_hash, job.generated);
     let choice = if job.chat {
         json!({"index": 0, "delta": {"content": text}, "finish_reason": null})
     } else {
         json!({"index": 0, "text": text, "finish_reason": null})
     };
-    event(job.made + 1, &json!({"id": job.id, "choices": [choice]}))
+    event(
+        job.generated + 1,
+        &json!({"id": job.id, "choices": [choice]}),
+    )
 }
 
 fn last_event(job: &Job) -> String {
@@ -400,11 +403,11 @@
     };
     let usage = json!({
         "prompt_tokens": job.prompt_tokens,
-        "completion_tokens": job.made,
+        "completion_tokens": job.generated,
         "cached_tokens": job.cached_tokens,
     });
     event(
-        job.made + 1,
+        job.generated + 1,
         &json!({"id": job.id, "choices": [choice], "usage": usage}),
     )
 }
@@ -463,13 +466,13 @@
         return Ok(http::answer(StatusCode::BAD_REQUEST, "not JSON"));
     };
     let prompt = prompt_text(&body, chat);
-    let wanted = body["max_tokens"].as_u64().unwrap_or(16).clamp(1, 100_000) as u32;
+    let tokens_to_generate = body["max_tokens"].as_u64().unwrap_or(16).clamp(1, 100_000) as u32;
     {
         let mut state = shared.lock();
         state.started += 1;
         let every = state.faults.cut_every;
         let cut = every > 0 && state.started.is_multiple_of(every);
-        let cut_at = cut.then_some((wanted / 2) as usize);
+        let cut_at = cut.then_some((tokens_to_generate / 2) as usize);
         *state.counts.starts.entry(id.clone()).or_default() += 1;
         let buffer = Buffer {
             cut_at,
@@ -481,11 +484,11 @@
             priority,
             prefill_left: 0,
             blocks: block_hashes(prompt.as_bytes()),
-            made: 0,
-            wanted,
+            generated: 0,
+            tokens_to_generate,
             prompt_tokens: prompt.len().div_ceil(BYTES_PER_TOKEN).max(1) as u32,
             cached_tokens: 0,
-            mark: mark(&prompt),
+            prompt_hash: prompt_hash(&prompt),
             chat,
         });
     }
@@ -493,7 +496,7 @@
     Ok(relay(shared, id, 0))
 }
 
-/// Returns what the engine takes as the prompt of a request.
+/// Returns the prompt text of a request body.
 pub fn prompt_text(body: &Value, chat: bool) -> String {
     if !chat {
         return body["prompt"].as_str().unwrap_or_default().to_owned();
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share of serving HTTP.
+//! HTTP server helpers shared by the stand-ins.
 
 use std::{convert::Infallible, future::Future, net::SocketAddr};
 
@@ -10,12 +10,12 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpListener, task::JoinHandle};
 
-/// A body whose failure cuts the connection.
+/// Response body; an error in it closes the connection.
 pub type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// A running server; it stops when this is dropped.
+/// A running server; it stops on drop.
 pub struct Server {
-    /// Where it listens.
+    /// Listening address.
     pub addr: SocketAddr,
     task: JoinHandle<()>,
 }
@@ -29,7 +29,7 @@
 /// Serves on `addr`; port 0 picks a free one.
 ///
 /// # Panics
-/// The address cannot be bound.
+/// Panics if the address cannot be bound.
 pub async fn serve<F, R>(addr: SocketAddr, handler: F) -> Server
 where
     F: Fn(Request<Incoming>) -> R + Clone + Send + 'static,
@@ -54,7 +54,7 @@
     Server { addr, task }
 }
 
-/// Makes a whole answer.
+/// Returns a response with a complete body.
 pub fn answer(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
     let body = Full::new(body.into()).map_err(|e: Infallible| match e {});
     let mut response = Response::new(body.boxed_unsync());
@@ -62,24 +62,24 @@
     response
 }
 
-/// Makes a whole answer of JSON.
+/// Returns a JSON response with status 200.
 pub fn json<T: serde::Serialize>(value: &T) -> Response<Body> {
     let text = serde_json::to_vec(value).unwrap_or_default();
     let mut response = answer(StatusCode::OK, text);
-    let kind = hyper::header::HeaderValue::from_static("application/json");
+    let content_type = hyper::header::HeaderValue::from_static("application/json");
     response
         .headers_mut()
-        .insert(hyper::header::CONTENT_TYPE, kind);
+        .insert(hyper::header::CONTENT_TYPE, content_type);
     response
 }
 
-/// Reads a request's body whole.
+/// Reads the complete body of a request.
 pub async fn body(request: Request<Incoming>) -> Result<Bytes, std::io::Error> {
     let collected = request.into_body().collect().await;
     Ok(collected.map_err(std::io::Error::other)?.to_bytes())
 }
 
-/// Returns a text from the query, as in `?after=name`.
+/// Returns a query parameter as text, as in `?after=name`.
 pub fn query_text(request: &Request<Incoming>, name: &str) -> Option<String> {
     let query = request.uri().query()?;
     query.split('&').find_map(|pair| {
@@ -88,7 +88,7 @@
     })
 }
 
-/// Returns a number from the query, as in `?after=7`.
+/// Returns a query parameter as a number, as in `?after=7`.
 pub fn query_number(request: &Request<Incoming>, name: &str) -> Option<u64> {
     query_text(request, name)?.parse().ok()
 }
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,6 +1,6 @@
 //! Small stand-ins for the systems around ryevalve: the platform, a model engine, a plain service.
 //!
-//! They speak the published protocols of what they stand for and can be told to fail.
+//! They implement the published protocols of those systems and can inject faults.
 
 pub mod engine;
 pub mod http;
--- a/standins/src/plain.rs
+++ b/standins/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often each request was carried out.
+//! Stand-in for a plain HTTP service that counts how often each request was executed.
 
 use std::{
     collections::HashMap,
@@ -18,14 +18,14 @@
 
 use crate::http::{self, Body, Server};
 
-/// How the service misbehaves.
+/// Faults of the service.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Works this long on each request.
+    /// Processing time of each request.
     pub delay: Duration,
-    /// Carries out this many more requests and closes without an answer.
+    /// Executes this many more requests but closes the connection without a response.
     pub lose_answers: u32,
-    /// Promises more bytes than it sends in this many more answers.
+    /// Closes the connection in the middle of the body of this many more responses.
     pub cut_answers: u32,
 }
 
@@ -56,17 +56,17 @@
         Self { server, state }
     }
 
-    /// Returns where it listens.
+    /// Returns the listening address.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr
     }
 
-    /// Changes how it misbehaves.
+    /// Changes the faults.
     pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut self.state.lock().expect("no holder panics").faults);
     }
 
-    /// Returns how often each body was carried out.
+    /// Returns how often each request body was executed.
     pub fn executions(&self) -> HashMap<String, u64> {
         let state = self.state.lock().expect("no holder panics");
         state.executions.clone()
@@ -91,20 +91,20 @@
         return Err(std::io::Error::other("answer lost"));
     }
     if faults.cut_answers > 0 {
-        return Ok(cut_answer());
+        return Ok(truncated_response());
     }
     Ok(http::json(
         &json!({"path": path, "echo": text, "number": total}),
     ))
 }
 
-/// An answer whose connection is closed in the middle of its body.
-fn cut_answer() -> Response<Body> {
+/// Returns a response whose connection is closed in the middle of its body.
+fn truncated_response() -> Response<Body> {
     let parts = stream::unfold(0, |part| async move {
         if part == 0 {
             return Some((Ok(Frame::data(Bytes::from_static(b"{\"echo\":"))), 1));
         }
-        // What came before is written meanwhile.
+        // Leaves time for the first part to be written.
         tokio::time::sleep(Duration::from_millis(50)).await;
         Some((Err(std::io::Error::other("cut")), 1))
     });
