--- a/standins/src/bin/soak.rs
+++ b/standins/src/bin/soak.rs
@@ -1,6 +1,6 @@
 //! Runs soaks: `soak [--seed N] [--runs N] [--seconds S] [--instances N] [--endpoints N] [--callers N]`.
 //!
-//! Exit code 0 if everything held, 1 if not (the seed is printed), 2 for bad arguments.
+//! Exit code 0 if no check failed, 1 if one did (the seed is printed), 2 for bad arguments.
 
 use std::{path::PathBuf, process::ExitCode, time::Duration};
 
@@ -16,7 +16,7 @@
     };
     let (plan, runs) = plan;
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    let mut is_sound = true;
+    let mut passed = true;
     for seed in plan.seed..plan.seed + runs {
         let plan = Plan {
             seed,
@@ -33,15 +33,15 @@
         for breach in &report.breaches {
             println!("  {breach}");
         }
-        is_sound &= report.breaches.is_empty();
+        passed &= report.breaches.is_empty();
     }
-    ExitCode::from(u8::from(!is_sound))
+    ExitCode::from(u8::from(!passed))
 }
 
 fn arguments() -> Result<(Plan, u64), String> {
-    let beside = std::env::current_exe().map_err(|e| e.to_string())?;
+    let current_exe = std::env::current_exe().map_err(|e| e.to_string())?;
     let mut plan = Plan {
-        binary: beside.with_file_name("ryevalve"),
+        binary: current_exe.with_file_name("ryevalve"),
         seed: 1,
         faults_for: Duration::from_secs(12),
         instances: 5,
@@ -49,15 +49,15 @@
         callers: 24,
     };
     let mut runs = 1;
-    let mut words = std::env::args().skip(1);
-    while let Some(word) = words.next() {
-        let value = words.next().ok_or(format!("{word} needs a value"))?;
+    let mut args = std::env::args().skip(1);
+    while let Some(flag) = args.next() {
+        let value = args.next().ok_or(format!("{flag} needs a value"))?;
         let number = || {
             value
                 .parse::<u64>()
-                .map_err(|_| format!("{word} {value}: not a number"))
+                .map_err(|_| format!("{flag} {value}: not a number"))
         };
-        match word.as_str() {
+        match flag.as_str() {
             "--seed" => plan.seed = number()?,
             "--runs" => runs = number()?,
             "--seconds" => plan.faults_for = Duration::from_secs(number()?),
@@ -65,13 +65,13 @@
             "--endpoints" => plan.endpoints = number()?.clamp(1, 500) as usize,
             "--callers" => plan.callers = number()?.clamp(1, 5_000) as usize,
             "--binary" => plan.binary = PathBuf::from(&value),
-            _ => return Err(format!("{word} is not known")),
+            _ => return Err(format!("{flag} is not known")),
         }
     }
     if !plan.binary.exists() {
-        let shown = plan.binary.display();
+        let path = plan.binary.display();
         return Err(format!(
-            "{shown} is missing; build it: cargo build --release"
+            "{path} is missing; build it: cargo build --release"
         ));
     }
     Ok((plan, runs))
--- a/standins/src/soak/callers.rs
+++ b/standins/src/soak/callers.rs
@@ -174,8 +174,8 @@
 }
 
 async fn connect(addr: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-    let connect = TcpStream::connect(addr);
-    let stream = time::timeout(Duration::from_secs(1), connect)
+    let connecting = TcpStream::connect(addr);
+    let stream = time::timeout(Duration::from_secs(1), connecting)
         .await
         .ok()?
         .ok()?;
--- a/standins/src/soak/checks.rs
+++ b/standins/src/soak/checks.rs
@@ -125,7 +125,7 @@
     *is_whole
 }
 
-/// Checks that nearly all requests of the calm phase are served and that a planned stop interrupts no_runs.
+/// Checks that nearly all requests of the calm phase are served and that a planned stop interrupts none.
 fn check_calm(sent: &HashMap<String, Sent>, run_state: &RunState, report: &mut Report) {
     let Some(from) = run_state.calm_since else {
         return;
--- a/standins/src/soak/organisations.rs
+++ b/standins/src/soak/organisations.rs
@@ -35,7 +35,7 @@
 const LIMIT_FACTORS: [f64; 4] = [0.3, 0.5, 0.8, 1.0];
 /// Time between two changes of limits, in milliseconds.
 const INTERVAL_MS: std::ops::Range<u64> = 400..3_000;
-/// Window and permitted overage of the quota; must match the settings of the instances.
+/// Window and permitted overage of the quota, as in the settings of the instances.
 const WINDOW: Duration = Duration::from_secs(8);
 const OVERAGE: f64 = 0.1;
 
@@ -100,10 +100,10 @@
 ) {
     let allowed = (RATE_PER_S * WINDOW.as_secs_f64() + BURST) * (1.0 + OVERAGE);
     for name in ABOVE_LIMIT.into_iter().chain([BELOW_LIMIT]) {
-        let max = max_in_window(&arrivals(world, name)) as f64 * UNITS;
-        if max > allowed {
+        let peak = peak_in_window(&arrivals(world, name)) as f64 * UNITS;
+        if peak > allowed {
             report.breaches.push(format!(
-                "organisation {name} had {max} units run in 8 s, its limit allows {allowed}"
+                "organisation {name} had {peak} units run in 8 s, its limit allows {allowed}"
             ));
         }
     }
@@ -122,7 +122,7 @@
     }
 }
 
-/// Returns the arrival factor of an organisation's executed requests at endpoints, in ascending order.
+/// Returns the arrival times of an organisation's executed requests at endpoints, in ascending order.
 fn arrivals(world: &World, name: &str) -> Vec<Instant> {
     let mut at = Vec::new();
     for runner in &world.runners {
@@ -134,14 +134,14 @@
     at
 }
 
-fn max_in_window(at: &[Instant]) -> usize {
+fn peak_in_window(at: &[Instant]) -> usize {
     let mut first = 0;
-    let mut max = 0;
+    let mut peak = 0;
     for (last, until) in at.iter().enumerate() {
         while until.duration_since(at[first]) >= WINDOW {
             first += 1;
         }
-        max = max.max(last - first + 1);
+        peak = peak.max(last - first + 1);
     }
-    max
+    peak
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,16 +1,16 @@
-//! Short soaks: real processes among faults, with seeds of which each is repeatable in its plan.
+//! Short soak runs of real processes under faults. A seed fixes the plan of faults and load, not their timing.
 
 use std::{path::PathBuf, time::Duration};
 
 use standins::soak::{self, Plan};
 
-/// Seeds that are always run.
+/// Seeds of every test run.
 const SEEDS: [u64; 2] = [1, 2];
-/// Seeds that failed once, each with its cause.
+/// Seeds that once failed, each with the cause of the failure.
 const REGRESSIONS: [(u64, &str); 0] = [];
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_is_promised_holds_among_faults() {
+async fn guarantees_hold_under_faults() {
     let seeds = SEEDS.into_iter().map(|seed| (seed, "always run"));
     for (seed, cause) in seeds.chain(REGRESSIONS) {
         let plan = Plan {
