--- a/standins/src/runner.rs
+++ b/standins/src/runner.rs
@@ -121,8 +121,8 @@
         runner
     }
 
-    /// Sets bytes that crash the endpoint when it starts to run a request whose body contains them: its port is closed and
-    /// all its connections are reset.
+    /// Sets bytes that crash the endpoint when it starts to run a request whose body contains them: its port is
+    /// closed and all its connections are reset.
     pub fn ended_by(&self, bytes: &[u8]) {
         self.lock().ended_by = Some(bytes.to_vec());
     }
--- a/standins/src/soak/announcements.rs
+++ b/standins/src/soak/announcements.rs
@@ -140,7 +140,8 @@
     }
 }
 
-/// Counts requests from an instance that arrived over [`LEAVING_BOUND`] after the endpoint announced its departure to it.
+/// Counts requests from an instance that arrived more than [`LEAVING_BOUND`] after the endpoint announced its departure
+/// to that instance.
 fn late_after_leaving(
     period: &Period,
     instance: usize,
--- a/standins/src/soak/limits.rs
+++ b/standins/src/soak/limits.rs
@@ -22,7 +22,8 @@
 const CALM_LIMIT_PER_S: f64 = 2.5;
 /// Time until instances must comply with an announced limit.
 const LIMIT_PROPAGATION: Duration = Duration::from_secs(3);
-/// In any window of this length an endpoint gets at most `OVERAGE_FACTOR` times its limit plus `OVERAGE_SLACK` requests.
+/// In any window of this length an endpoint gets at most `OVERAGE_FACTOR` times its limit plus `OVERAGE_SLACK`
+/// requests.
 const WINDOW: Duration = Duration::from_secs(4);
 const OVERAGE_FACTOR: f64 = 1.5;
 const OVERAGE_SLACK: f64 = 5.0;
--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -124,8 +124,8 @@
 }
 
 impl RunState {
-    /// Returns whether an instance may have ignored an endpoint's announcement between `from` and `until`, because it was
-    /// disturbed or its network path to the endpoint had a fault.
+    /// Returns whether an instance may have ignored an endpoint's announcement between `from` and `until`, because it
+    /// was disturbed or its network path to the endpoint had a fault.
     fn is_exempt(&self, instance: usize, endpoint: usize, from: Instant, until: Instant) -> bool {
         let overlaps = |start: Instant, end: Instant| start < until && end + RACE_MARGIN > from;
         let mut disturbed = self.disturbed.iter();
