--- a/tests/edge/control.rs
+++ b/tests/edge/control.rs
@@ -99,7 +99,7 @@
 #[tokio::test]
 async fn a_store_that_answers_watches_at_once_is_polled_at_a_bounded_rate() {
     let edge = Edge::start(1).await;
-    edge.platform.fault(|f| f.hurried = true);
+    edge.platform.fault(|f| f.watches_return_at_once = true);
     let before = edge.platform.counts().reads;
     time::sleep(Duration::from_millis(2_000)).await;
     let reads = edge.platform.counts().reads - before;
--- a/tests/edge/endpoint_limits.rs
+++ b/tests/edge/endpoint_limits.rs
@@ -95,7 +95,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_endpoint_gets_no_more_than_its_announced_limit() {
     let site = Arc::new(Site::start(40, 7, 4).await);
-    site.runners[0].name_limit(Some("1.9"));
+    site.runners[0].announce_limit(Some("1.9"));
     let announced = Instant::now();
     let ended = send_load(&site, PLAIN).await;
     for instance in &site.instances {
@@ -112,8 +112,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn where_all_endpoints_have_limits_each_is_enforced_and_excess_requests_are_refused() {
     let site = Arc::new(Site::start(41, 1, 2).await);
-    site.runners[0].name_limit(Some("4"));
-    site.runners[1].name_limit(Some("0.5"));
+    site.runners[0].announce_limit(Some("4"));
+    site.runners[1].announce_limit(Some("0.5"));
     let announced = Instant::now();
     let demand = Demand {
         every: Duration::from_millis(70),
@@ -138,8 +138,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn in_a_large_cluster_a_limit_covers_streams_and_plain_requests_together() {
     let site = Arc::new(Site::start(42, 18, 4).await);
-    site.runners[0].name_limit(Some("2.5"));
-    site.runners[1].name_limit(Some("0.4"));
+    site.runners[0].announce_limit(Some("2.5"));
+    site.runners[1].announce_limit(Some("0.4"));
     let announced = Instant::now();
     let streams = Demand {
         path: "/resume/w/stream",
@@ -166,7 +166,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn retries_and_resumed_streams_count_towards_the_limit() {
     let site = Arc::new(Site::start(43, 3, 3).await);
-    site.runners[0].name_limit(Some("2"));
+    site.runners[0].announce_limit(Some("2"));
     site.runners[1].fault(standins::runner::Fault::CutNewStream);
     site.runners[2].fault(standins::runner::Fault::CutNewStream);
     let announced = Instant::now();
@@ -187,31 +187,31 @@
         lasts: Duration::from_secs(seconds),
         ..PLAIN
     };
-    site.runners[0].name_limit(Some("8"));
+    site.runners[0].announce_limit(Some("8"));
     let announced = Instant::now();
     send_load(&site, for_s(5)).await;
     check_enforced(&site, 0, 8.0, announced + PROPAGATION);
-    site.runners[0].name_limit(Some("1"));
+    site.runners[0].announce_limit(Some("1"));
     let lowered = Instant::now();
     send_load(&site, for_s(6)).await;
     check_enforced(&site, 0, 1.0, lowered + PROPAGATION);
-    site.runners[0].name_limit(Some("5.5"));
+    site.runners[0].announce_limit(Some("5.5"));
     let raised = Instant::now();
     send_load(&site, for_s(5)).await;
     check_enforced(&site, 0, 5.5, raised);
     check_used(&site, 0, 5.5, raised + PROPAGATION);
-    site.runners[0].name_limit(None);
+    site.runners[0].announce_limit(None);
     let removed = Instant::now();
     send_load(&site, for_s(4)).await;
     // The demand is fifty requests a second, spread evenly over two endpoints.
     let got = arrivals(&site, 0, removed + PROPAGATION).len();
     assert!(got >= 35, "{got} in 2.5 s after the limit was removed");
     for malformed in ["1,5", "-3", "NaN", "1e9", "", "9.9.9"] {
-        site.runners[0].name_limit(Some(malformed));
+        site.runners[0].announce_limit(Some(malformed));
         send_load(&site, for_s(1)).await;
         assert_eq!(limited(&site, 0), 0, "{malformed} is not a limit");
     }
-    site.runners[0].name_limit(Some("1.5"));
+    site.runners[0].announce_limit(Some("1.5"));
     let restored = Instant::now();
     send_load(&site, for_s(6)).await;
     check_enforced(&site, 0, 1.5, restored + PROPAGATION);
@@ -223,7 +223,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_limit_outlasts_the_loss_of_its_permit_issuer() {
     let mut site = Site::start(45, 4, 2).await;
-    site.runners[0].name_limit(Some("3"));
+    site.runners[0].announce_limit(Some("3"));
     let announced = Instant::now();
     let site_before = Arc::new(site);
     send_load(&site_before, PLAIN).await;
@@ -373,11 +373,11 @@
 #[tokio::test]
 async fn the_log_leads_from_a_refusal_to_the_announced_limit() {
     let edge = Edge::start(1).await;
-    edge.runners[0].name_limit(Some("many"));
+    edge.runners[0].announce_limit(Some("many"));
     for number in 0..3 {
         edge.call("/again/w", &format!("malformed-{number}")).await;
     }
-    edge.runners[0].name_limit(Some("0.25"));
+    edge.runners[0].announce_limit(Some("0.25"));
     // The requests that follow exceed the limit.
     time::sleep(Duration::from_secs(2)).await;
     let mut refused = None;
--- a/tests/edge/leaving_endpoints.rs
+++ b/tests/edge/leaving_endpoints.rs
@@ -50,7 +50,7 @@
     let site = Arc::new(Site::start(50, 7, 3).await);
     send_load(&site, KEYLESS).await;
     site.platform.fault(|f| f.down = true);
-    site.runners[0].say_leaving(Some("1"));
+    site.runners[0].announce_leaving(Some("1"));
     let announced = Instant::now();
     let ended = send_load(&site, KEYLESS).await;
     let late = arrivals(&site, 0, announced + PROPAGATION);
@@ -92,7 +92,7 @@
     for (number, (fault, path)) in cases.into_iter().enumerate() {
         let site = Arc::new(Site::start(51 + number as u8, 1, 2).await);
         site.runners[0].fault(fault);
-        site.runners[0].say_leaving(Some("1"));
+        site.runners[0].announce_leaving(Some("1"));
         let demand = Demand {
             path,
             every: Duration::from_millis(60),
@@ -114,7 +114,7 @@
 async fn other_header_values_are_ignored() {
     let site = Arc::new(Site::start(58, 1, 1).await);
     for value in ["0", "", "soon", "-1"] {
-        site.runners[0].say_leaving(Some(value));
+        site.runners[0].announce_leaving(Some(value));
         let got = site.call(0, PLAIN.path, "r-0-0", "work").await;
         assert_eq!(got.status, 200, "{value}");
     }
@@ -135,7 +135,7 @@
 async fn a_large_cluster_and_a_late_instance_avoid_a_leaving_endpoint_until_it_restarts() {
     let mut site = Site::start(59, 18, 3).await;
     site.platform.fault(|f| f.down = true);
-    site.runners[0].say_leaving(Some("1"));
+    site.runners[0].announce_leaving(Some("1"));
     let announced = Instant::now();
     let streams = Demand {
         path: "/resume/w/stream",
@@ -165,7 +165,7 @@
 async fn where_all_endpoints_leave_requests_are_refused_at_once() {
     let site = Arc::new(Site::start(65, 1, 2).await);
     for runner in site.runners.iter() {
-        runner.say_leaving(Some("1"));
+        runner.announce_leaving(Some("1"));
     }
     send_load(
         &site,
--- a/tests/edge/other_writers.rs
+++ b/tests/edge/other_writers.rs
@@ -89,7 +89,8 @@
 #[tokio::test]
 async fn invalid_entries_do_not_affect_valid_ones() {
     let edge = Edge::start(1).await;
-    edge.platform.fault(|f| f.spoils = Some("not-text".into()));
+    edge.platform
+        .fault(|f| f.corrupts = Some("not-text".into()));
     let mut unknown_state = valid();
     unknown_state["state"] = json!("warming");
     for (name, spec) in [
--- a/tests/edge/poison_requests.rs
+++ b/tests/edge/poison_requests.rs
@@ -43,7 +43,7 @@
 async fn start(net: u8, instances: usize) -> Site {
     let site = Site::start(net, instances, ENDPOINTS).await;
     for runner in site.runners.iter() {
-        runner.ended_by(POISON.as_bytes());
+        runner.crash_on(POISON.as_bytes());
     }
     site
 }
@@ -268,7 +268,7 @@
 async fn log_lines_link_a_refusal_to_the_crashed_endpoints() {
     let edge = Edge::start(4).await;
     for runner in &edge.runners {
-        runner.ended_by(POISON.as_bytes());
+        runner.crash_on(POISON.as_bytes());
     }
     for number in 0..4 {
         let mut request = request("/once/w", &format!("r-{number}"), &[]);
--- a/tests/edge/resting_endpoints.rs
+++ b/tests/edge/resting_endpoints.rs
@@ -60,7 +60,7 @@
     demand: Demand,
 ) -> Outcomes {
     for runner in &site.runners[..rejecting] {
-        runner.ask_for_rest(Some(seconds));
+        runner.set_retry_after(Some(seconds));
     }
     let ended = send_load(site, demand).await;
     let back_off = Duration::from_secs_f64(seconds.parse().expect("seconds"));
@@ -167,7 +167,7 @@
     };
     check_back_off(&site, 1, "1.5", short).await;
     let recovered = Instant::now();
-    site.runners[0].ask_for_rest(None);
+    site.runners[0].set_retry_after(None);
     let lasts = Duration::from_secs(4);
     let ended = send_load(&site, Demand { lasts, ..short }).await;
     let seen = site.runners[0].seen();
@@ -191,12 +191,12 @@
 async fn an_unusable_retry_after_costs_one_try() {
     let site = Arc::new(Site::start(66, 1, 2).await);
     for value in ["-1", "1e9", "", "soon", "0"] {
-        site.runners[0].ask_for_rest(Some(value));
+        site.runners[0].set_retry_after(Some(value));
         call_until_reached(&site, value).await;
         let back_offs = site.instances[0].gateway.balancer().back_offs().len();
         assert_eq!(back_offs, 0, "{value}");
     }
-    site.runners[0].ask_for_rest(None);
+    site.runners[0].set_retry_after(None);
     call_until_reached(&site, "served").await;
     let seen = site.runners[0].seen();
     assert!(seen.last().is_some_and(|s| s.has_run), "it serves again");
@@ -250,11 +250,11 @@
 #[tokio::test]
 async fn the_log_leads_from_a_refusal_to_the_endpoints_in_back_off() {
     let edge = Edge::start(1).await;
-    edge.runners[0].ask_for_rest(Some("soon"));
+    edge.runners[0].set_retry_after(Some("soon"));
     for number in 0..3 {
         edge.call("/again/w", &format!("malformed-{number}")).await;
     }
-    edge.runners[0].ask_for_rest(Some("20"));
+    edge.runners[0].set_retry_after(Some("20"));
     edge.call("/again/w", "rejected").await;
     let got = edge.call("/again/w", "refused").await;
     assert_eq!(got.status, StatusCode::SERVICE_UNAVAILABLE);
--- a/tests/edge/site.rs
+++ b/tests/edge/site.rs
@@ -55,7 +55,7 @@
         platform.remove("servers", &format!("e{index}-{}", starts[index]));
         starts[index] += 1;
         let id = format!("e{index}-{}", starts[index]);
-        runners[index].start_again(&id).await;
+        runners[index].restart(&id).await;
         platform.set("servers", &id, entry(runners[index].addr));
     }
 }
--- a/tests/edge/store_lists.rs
+++ b/tests/edge/store_lists.rs
@@ -52,7 +52,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_list_continues_after_a_refused_page() {
     let platform = start_store().await;
-    platform.fault(|f| f.refuses_each = 4);
+    platform.fault(|f| f.refuse_every_nth = 4);
     let mut instance = start_instance(60).await;
     instance.follow(platform.addr());
     until("all endpoints to be known", || {
