--- a/src/replay/baseline.rs
+++ b/src/replay/baseline.rs
@@ -1,4 +1,4 @@
-//! Simple policies to compare with. All but FIFO get the tier order and the deadline check.
+//! Simple policies to compare the scheduler with. All but FIFO serve tiers in order and check deadlines.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -14,41 +14,41 @@
     prelude::{Micros, Registration, RequestId, RequestMeta},
 };
 
-/// Which simple policy.
+/// A kind of baseline policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Each endpoint in turn.
+    /// Each available endpoint in turn.
     RoundRobin,
-    /// The less loaded, by own count, of two at random.
+    /// Of two endpoints drawn at random, the one with fewer requests by the policy's own count.
     RandomTwo,
-    /// The least loaded by the last report.
+    /// The endpoint with the least load in its last report.
     LeastLoad,
-    /// In order of arrival, without tiers or deadline check, to the least loaded by report.
+    /// In order of arrival, without tiers or deadline check, to the endpoint with the least reported load.
     Fifo,
 }
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct QueuedRequest {
     registration: Registration,
     meta: RequestMeta,
     deadline_us: Micros,
 }
 
-/// A simple policy for one pool.
+/// A baseline policy for one pool.
 pub struct Baseline {
     kind: Kind,
-    queues: Vec<VecDeque<Waiting>>,
+    queues: Vec<VecDeque<QueuedRequest>>,
     endpoints: Vec<EndpointModel>,
     reports: Vec<LoadReport>,
-    suspect_until_us: Vec<Micros>,
+    quarantined_until_us: Vec<Micros>,
     running: HashMap<RequestId, (usize, RequestMeta)>,
     lengths: LengthModel,
-    next: usize,
+    next_endpoint: usize,
     rng: ChaCha8Rng,
 }
 
 impl Baseline {
-    /// Creates one for a pool.
+    /// Creates a policy for a pool; `prior_output_tokens` is the answer length assumed at first.
     pub fn new(kind: Kind, spec: &PoolSpec, prior_output_tokens: u32) -> Self {
         let endpoints = spec.endpoints.iter().cloned().map(EndpointModel::new);
         let endpoints: Vec<EndpointModel> = endpoints.collect();
@@ -56,22 +56,22 @@
             kind,
             queues: vec![VecDeque::new(); spec.tiers],
             reports: vec![LoadReport::default(); endpoints.len()],
-            suspect_until_us: vec![0; endpoints.len()],
+            quarantined_until_us: vec![0; endpoints.len()],
             endpoints,
             running: HashMap::new(),
             lengths: LengthModel::new(prior_output_tokens),
-            next: 0,
+            next_endpoint: 0,
             rng: ChaCha8Rng::seed_from_u64(7),
         }
     }
 
-    /// Takes an input.
+    /// Applies an input; inputs that a baseline has no use for are ignored.
     pub fn handle(&mut self, now_us: Micros, input: Input) {
         match input {
             Input::Add(registration, meta) => self.add(now_us, registration, meta),
             Input::Adopt(_, meta, endpoint) => {
                 if let Some(index) = self.index(&endpoint) {
-                    self.endpoints[index].adopt(now_us, granted(now_us, &meta));
+                    self.endpoints[index].adopt(now_us, grant_details(now_us, &meta));
                     self.running.insert(meta.id, (index, meta));
                 }
             }
@@ -79,9 +79,9 @@
                 self.queues
                     .iter_mut()
                     .for_each(|q| q.retain(|w| w.meta.id != id));
-                self.end(now_us, id, None);
+                self.finish(now_us, id, None);
             }
-            Input::Finished(id, tokens) => self.end(now_us, id, tokens),
+            Input::Finished(id, tokens) => self.finish(now_us, id, tokens),
             Input::Load(endpoint, report) => {
                 if let Some(index) = self.index(&endpoint) {
                     self.reports[index] = report;
@@ -89,58 +89,58 @@
             }
             Input::Quarantine(endpoint, until_us) => {
                 if let Some(index) = self.index(&endpoint) {
-                    self.suspect_until_us[index] = until_us;
+                    self.quarantined_until_us[index] = until_us;
                 }
             }
             _ => {}
         }
     }
 
-    /// A grant was given back; the request waits again, at the head of its queue.
+    /// Puts a request whose grant was returned back at the head of its queue.
     pub fn returned(&mut self, now_us: Micros, registration: Registration, meta: RequestMeta) {
-        self.end(now_us, meta.id, None);
+        self.finish(now_us, meta.id, None);
         let deadline_us = now_us + meta.remaining_us;
-        let waiting = Waiting {
+        let queued = QueuedRequest {
             registration,
             meta,
             deadline_us,
         };
-        let queue = self.queue_of(&waiting.meta);
-        self.queues[queue].push_front(waiting);
+        let queue = self.queue_index(&queued.meta);
+        self.queues[queue].push_front(queued);
     }
 
-    /// Appends all that can be decided now.
+    /// Appends a grant for each request that can be placed now.
     pub fn decide(&mut self, now_us: Micros, out: &mut Vec<Action>) {
         for queue in 0..self.queues.len() {
             let mut at = 0;
             while at < self.queues[queue].len() {
-                let waiting = &self.queues[queue][at];
-                if !self.can_be_in_time(now_us, waiting) {
+                let queued = &self.queues[queue][at];
+                if !self.can_meet_deadline(now_us, queued) {
                     at += 1;
                     continue;
                 }
-                let Some(endpoint) = self.pick(now_us) else {
+                let Some(endpoint) = self.select_endpoint(now_us) else {
                     return;
                 };
-                let Some(waiting) = self.queues[queue].remove(at) else {
+                let Some(queued) = self.queues[queue].remove(at) else {
                     return;
                 };
-                self.grant(now_us, waiting, endpoint, out);
+                self.grant(now_us, queued, endpoint, out);
             }
         }
     }
 
     fn add(&mut self, now_us: Micros, registration: Registration, meta: RequestMeta) {
-        let waiting = Waiting {
+        let queued = QueuedRequest {
             registration,
             deadline_us: now_us + meta.remaining_us,
             meta,
         };
-        let queue = self.queue_of(&waiting.meta);
-        self.queues[queue].push_back(waiting);
+        let queue = self.queue_index(&queued.meta);
+        self.queues[queue].push_back(queued);
     }
 
-    fn queue_of(&self, meta: &RequestMeta) -> usize {
+    fn queue_index(&self, meta: &RequestMeta) -> usize {
         if self.kind == Kind::Fifo {
             0
         } else {
@@ -152,7 +152,7 @@
         self.endpoints.iter().position(|e| &*e.spec.name == name)
     }
 
-    fn end(&mut self, now_us: Micros, id: RequestId, tokens: Option<u32>) {
+    fn finish(&mut self, now_us: Micros, id: RequestId, tokens: Option<u32>) {
         let Some((index, meta)) = self.running.remove(&id) else {
             return;
         };
@@ -167,42 +167,44 @@
         }
     }
 
-    fn can_be_in_time(&self, now_us: Micros, waiting: &Waiting) -> bool {
+    fn can_meet_deadline(&self, now_us: Micros, queued: &QueuedRequest) -> bool {
         if self.kind == Kind::Fifo {
             return true;
         }
-        let meta = &waiting.meta;
+        let meta = &queued.meta;
         let tokens = self
             .lengths
             .predict(&meta.organisation, meta.rank, meta.prompt_tokens, 0.6);
-        let left_us = waiting.deadline_us.saturating_sub(now_us) as f64;
+        let time_left_us = queued.deadline_us.saturating_sub(now_us) as f64;
         let fastest = self
             .endpoints
             .iter()
             .map(|e| e.idle_finish_us(meta.prompt_tokens, tokens));
-        fastest.fold(f64::INFINITY, f64::min) <= left_us
+        fastest.fold(f64::INFINITY, f64::min) <= time_left_us
     }
 
-    fn has_room(&self, now_us: Micros, index: usize) -> bool {
+    fn is_available(&self, now_us: Micros, index: usize) -> bool {
         let endpoint = &self.endpoints[index];
-        now_us >= self.suspect_until_us[index] && endpoint.running() < endpoint.spec.slots
+        now_us >= self.quarantined_until_us[index] && endpoint.running() < endpoint.spec.slots
     }
 
-    fn pick(&mut self, now_us: Micros) -> Option<usize> {
+    fn select_endpoint(&mut self, now_us: Micros) -> Option<usize> {
         let count = self.endpoints.len();
-        let open: Vec<usize> = (0..count).filter(|i| self.has_room(now_us, *i)).collect();
+        let open: Vec<usize> = (0..count)
+            .filter(|i| self.is_available(now_us, *i))
+            .collect();
         if open.is_empty() {
             return None;
         }
         match self.kind {
             Kind::RoundRobin => {
-                let next = open
+                let next_endpoint = open
                     .iter()
-                    .find(|i| **i >= self.next)
+                    .find(|i| **i >= self.next_endpoint)
                     .or(open.first())
                     .copied()?;
-                self.next = (next + 1) % count;
-                Some(next)
+                self.next_endpoint = (next_endpoint + 1) % count;
+                Some(next_endpoint)
             }
             Kind::RandomTwo => {
                 let a = open[self.rng.random_range(0..open.len())];
@@ -217,11 +219,17 @@
         }
     }
 
-    fn grant(&mut self, now_us: Micros, waiting: Waiting, index: usize, out: &mut Vec<Action>) {
-        let Waiting {
+    fn grant(
+        &mut self,
+        now_us: Micros,
+        queued: QueuedRequest,
+        index: usize,
+        out: &mut Vec<Action>,
+    ) {
+        let QueuedRequest {
             registration, meta, ..
-        } = waiting;
-        self.endpoints[index].grant(now_us, granted(now_us, &meta));
+        } = queued;
+        self.endpoints[index].grant(now_us, grant_details(now_us, &meta));
         out.push(Action::Grant {
             registration,
             id: meta.id,
@@ -232,7 +240,7 @@
     }
 }
 
-fn granted(now_us: Micros, meta: &RequestMeta) -> GrantDetails {
+fn grant_details(now_us: Micros, meta: &RequestMeta) -> GrantDetails {
     GrantDetails {
         id: meta.id,
         rank: meta.rank,
--- a/src/replay/checker.rs
+++ b/src/replay/checker.rs
@@ -1,42 +1,43 @@
-//! Watches a replay for breaches of the properties; knows nothing of the policy.
+//! Checks invariants of a replay independently of the policy: each request gets exactly one final outcome, and
+//! no request is shed while the same pool keeps one of a lower tier.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::prelude::{Micros, Rank};
 
-/// What a request's story has come to.
+/// Progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Story {
+enum Stage {
     Kept,
     Sent,
     Ended,
 }
 
-/// The last word a request got.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LastWord {
+pub enum FinalOutcome {
     /// The whole answer.
     Answer,
-    /// Refused; it did not run.
+    /// Refused or expired without having run.
     NotRun,
-    /// Whether it ran is not known.
+    /// Cut off after it was sent; whether it ran is not known.
     OutcomeUnknown,
 }
 
-/// Counts breaches.
+/// Follows the requests of a replay and collects breaches of the invariants.
 #[derive(Clone, Debug, Default)]
 pub struct Checker {
-    stories: BTreeMap<usize, (Rank, String, Story)>,
-    /// Kept requests of each pool and tier.
+    requests: BTreeMap<usize, (Rank, String, Stage)>,
+    /// Requests of each pool and tier that have arrived and are neither sent nor ended.
     kept: BTreeMap<(String, Rank), BTreeSet<usize>>,
     breaches: Vec<String>,
 }
 
 impl Checker {
-    /// A request arrived; it is kept from now on.
+    /// Records an arrival; the request is kept until it is sent or ends.
     pub fn arrived(&mut self, request: usize, rank: Rank, pool: &str) {
-        let story = (rank, pool.to_owned(), Story::Kept);
-        if self.stories.insert(request, story).is_some() {
+        let stage = (rank, pool.to_owned(), Stage::Kept);
+        if self.requests.insert(request, stage).is_some() {
             self.breach(format!("request {request} arrived twice"));
         }
         self.kept
@@ -45,19 +46,19 @@
             .insert(request);
     }
 
-    /// A request's first byte went to an endpoint.
-    pub fn sent(&mut self, request: usize, endpoint_takes_work: bool) {
-        self.move_on(request, Story::Kept, Story::Sent, "sent");
-        if !endpoint_takes_work {
+    /// Records that a request's first byte went to an endpoint.
+    pub fn sent(&mut self, request: usize, endpoint_accepts_work: bool) {
+        self.transition(request, Stage::Kept, Stage::Sent, "sent");
+        if !endpoint_accepts_work {
             self.breach(format!(
                 "request {request} went to an endpoint that takes no work"
             ));
         }
     }
 
-    /// A request was shed: refused early, on account of load.
+    /// Records that a request was shed: refused early because of load.
     pub fn shed(&mut self, now_us: Micros, request: usize) {
-        let Some((rank, pool, _)) = self.stories.get(&request).cloned() else {
+        let Some((rank, pool, _)) = self.requests.get(&request).cloned() else {
             return self.breach(format!("request {request} was shed but never came"));
         };
         let below = self
@@ -71,42 +72,42 @@
                  were kept"
             ));
         }
-        self.last_word(request, LastWord::NotRun);
+        self.finish_request(request, FinalOutcome::NotRun);
     }
 
-    /// A request got its final answer.
-    pub fn last_word(&mut self, request: usize, word: LastWord) {
-        let from = match word {
-            LastWord::NotRun => Story::Kept,
-            LastWord::Answer | LastWord::OutcomeUnknown => Story::Sent,
+    /// Records the final outcome of a request.
+    pub fn finish_request(&mut self, request: usize, outcome: FinalOutcome) {
+        let from = match outcome {
+            FinalOutcome::NotRun => Stage::Kept,
+            FinalOutcome::Answer | FinalOutcome::OutcomeUnknown => Stage::Sent,
         };
-        self.move_on(request, from, Story::Ended, "answered");
+        self.transition(request, from, Stage::Ended, "answered");
     }
 
-    /// The replay is over; returns the breaches.
+    /// Ends the check; returns the breaches, including each request without a final outcome.
     pub fn finish(mut self) -> Vec<String> {
-        let open: Vec<usize> = self
-            .stories
+        let unfinished: Vec<usize> = self
+            .requests
             .iter()
-            .filter(|(_, (.., story))| *story != Story::Ended)
+            .filter(|(_, (.., stage))| *stage != Stage::Ended)
             .map(|(request, _)| *request)
             .collect();
-        for request in open {
+        for request in unfinished {
             self.breach(format!("request {request} got no final answer"));
         }
         self.breaches
     }
 
-    fn move_on(&mut self, request: usize, from: Story, to: Story, what: &str) {
-        let Some((rank, pool, story)) = self.stories.get_mut(&request) else {
+    fn transition(&mut self, request: usize, from: Stage, to: Stage, what: &str) {
+        let Some((rank, pool, stage)) = self.requests.get_mut(&request) else {
             return self.breach(format!("request {request} was {what} but never came"));
         };
-        if *story != from {
-            let message = format!("request {request} was {what} when {story:?}");
+        if *stage != from {
+            let message = format!("request {request} was {what} when {stage:?}");
             return self.breach(message);
         }
-        *story = to;
-        if from == Story::Kept
+        *stage = to;
+        if from == Stage::Kept
             && let Some(kept) = self.kept.get_mut(&(pool.clone(), *rank))
         {
             kept.remove(&request);
--- a/src/replay/engine.rs
+++ b/src/replay/engine.rs
@@ -1,5 +1,5 @@
-//! A small model of one engine in virtual time: continuous batching by steps, prompt work in chunks,
-//! a bounded prefix cache.
+//! Simulation of an inference engine in virtual time: continuous batching in steps, chunked prefill and a
+//! bounded prefix cache.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
@@ -9,33 +9,38 @@
     replay::trace::TraceEndpoint,
 };
 
-/// Prompt tokens that one step takes in.
-const CHUNK_TOKENS: u32 = 256;
-const KEPT_EVENTS: usize = 4_096;
+/// Prompt tokens that one step can process, over its whole batch.
+const STEP_PREFILL_TOKENS: u32 = 256;
+/// Cache events kept for readers; the oldest are dropped.
+const MAX_CACHE_EVENTS: usize = 4_096;
 
 /// A request at an engine.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Its place in the trace.
+    /// Index of the request in the trace.
     pub request: usize,
-    /// Its tier's order.
+    /// Rank of its tier; 0 is the highest.
     pub rank: Rank,
-    /// Hash chain of its prompt.
+    /// Hash chain over the prompt's leading blocks.
     pub prefix: Vec<u64>,
-    /// Length of its prompt.
+    /// Prompt length, in tokens.
     pub prompt_tokens: u32,
-    /// Length of its answer.
+    /// Answer length, in tokens.
     pub output_tokens: u32,
-    begun: bool,
+    /// Whether the cached part of the prompt has been looked up.
+    prefill_started: bool,
+    /// Prompt tokens still to compute.
     prefill_left: u32,
+    /// Prompt tokens computed.
     computed: u32,
-    made: u32,
-    /// Its place in the order of admission.
-    admitted: u64,
+    /// Output tokens generated.
+    generated: u32,
+    /// Position in the order of admission to the batch.
+    admission_seq: u64,
 }
 
 impl Job {
-    /// Makes a job that has not begun.
+    /// Creates a job on which no work has been done.
     pub fn new(
         request: usize,
         rank: Rank,
@@ -49,39 +54,39 @@
             prefix,
             prompt_tokens,
             output_tokens,
-            begun: false,
+            prefill_started: false,
             prefill_left: 0,
             computed: 0,
-            made: 0,
-            admitted: 0,
+            generated: 0,
+            admission_seq: 0,
         }
     }
 }
 
-/// What a step brought.
+/// A result of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepEvent {
     /// A request's first token.
     FirstToken(usize),
-    /// One more token.
+    /// A further token of a request.
     Token(usize),
-    /// A request's last token, with the prompt tokens that were computed for it.
+    /// A request's last token, with the number of prompt tokens that were computed for it.
     Done(usize, u32),
 }
 
-/// One engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// Its numbers.
+    /// Capacity and speed.
     pub spec: TraceEndpoint,
-    /// Multiplies its times.
-    pub slow: f64,
-    /// Takes nothing and answers nothing.
-    pub dead: bool,
+    /// Factor by which steps take longer; 1 is full speed.
+    pub slowdown: f64,
+    /// Whether the engine has crashed: it then accepts and answers nothing.
+    pub down: bool,
     block_tokens: u32,
     queue: VecDeque<Job>,
     batch: Vec<Job>,
-    chunks: Vec<u32>,
+    prefill_chunks: Vec<u32>,
     stepping: bool,
     cache: Cache,
     events: VecDeque<CacheEvent>,
@@ -95,12 +100,12 @@
         let cache = Cache::new((spec.cache_tokens / block_tokens) as usize);
         Self {
             spec,
-            slow: 1.0,
-            dead: false,
+            slowdown: 1.0,
+            down: false,
             block_tokens,
             queue: VecDeque::new(),
             batch: Vec::new(),
-            chunks: Vec::new(),
+            prefill_chunks: Vec::new(),
             stepping: false,
             cache,
             events: VecDeque::new(),
@@ -109,22 +114,22 @@
         }
     }
 
-    /// Returns how many requests run and wait here.
+    /// Returns the numbers of running and of waiting requests.
     pub fn load(&self) -> (u32, u32) {
         (self.batch.len() as u32, self.queue.len() as u32)
     }
 
-    /// Takes a request; it waits here by its tier.
+    /// Queues a request, ordered by tier and then by arrival.
     pub fn submit(&mut self, job: Job) {
         let at = self.queue.partition_point(|j| j.rank <= job.rank);
         self.queue.insert(at, job);
     }
 
-    /// Ends at once; returns what was held, with the prompt tokens computed for each.
-    pub fn die(&mut self) -> Vec<(usize, u32)> {
-        self.dead = true;
+    /// Crashes the engine; returns the requests it held, with the prompt tokens computed for each.
+    pub fn crash(&mut self) -> Vec<(usize, u32)> {
+        self.down = true;
         self.stepping = false;
-        self.chunks.clear();
+        self.prefill_chunks.clear();
         self.cache = Cache::new(self.cache.capacity);
         let batch = std::mem::take(&mut self.batch);
         let queue = std::mem::take(&mut self.queue);
@@ -132,72 +137,72 @@
         held.map(|j| (j.request, j.computed)).collect()
     }
 
-    /// Begins a step if there is work and none is under way; returns when it ends.
+    /// Starts a step if there is work and no step is in progress; returns when the step ends.
     pub fn begin_step(&mut self, now_us: Micros) -> Option<Micros> {
-        if self.stepping || self.dead {
+        if self.stepping || self.down {
             return None;
         }
         self.admit();
         if self.batch.is_empty() {
             return None;
         }
-        let budget = self.share_chunk();
+        let budget = self.assign_prefill();
         self.stepping = true;
         let occupancy = self.batch.len() as f64 / f64::from(self.spec.slots);
         let decode_us = self.spec.decode_step_us * (1.0 + self.spec.batch_slope * occupancy);
-        let prefilled = f64::from(CHUNK_TOKENS - budget);
+        let prefilled = f64::from(STEP_PREFILL_TOKENS - budget);
         let prefill_us = prefilled * 1e6 / self.spec.prefill_tokens_per_s;
-        Some(now_us + ((decode_us + prefill_us) * self.slow) as Micros)
+        Some(now_us + ((decode_us + prefill_us) * self.slowdown) as Micros)
     }
 
-    /// Gives the step's prompt work to the highest tiers first; returns what is left of it.
-    fn share_chunk(&mut self) -> u32 {
-        let mut budget = CHUNK_TOKENS;
-        self.chunks.clear();
-        self.chunks.resize(self.batch.len(), 0);
+    /// Divides the step's prefill budget, the highest tiers first; returns the unused budget in tokens.
+    fn assign_prefill(&mut self) -> u32 {
+        let mut budget = STEP_PREFILL_TOKENS;
+        self.prefill_chunks.clear();
+        self.prefill_chunks.resize(self.batch.len(), 0);
         let mut order: Vec<usize> = (0..self.batch.len()).collect();
-        order.sort_by_key(|index| (self.batch[*index].rank, self.batch[*index].admitted));
+        order.sort_by_key(|index| (self.batch[*index].rank, self.batch[*index].admission_seq));
         for index in order {
             if budget == 0 {
                 break;
             }
             let job = &mut self.batch[index];
-            if !job.begun {
-                // Looked up when its own turn comes, after the prompts ahead of it.
-                job.begun = true;
-                let cached = self.cache.leading(&job.prefix) as u32 * self.block_tokens;
+            if !job.prefill_started {
+                // The cache is looked up only when prefill starts, so that it holds the prompts ahead of this one.
+                job.prefill_started = true;
+                let cached = self.cache.lookup_prefix(&job.prefix) as u32 * self.block_tokens;
                 job.prefill_left = job.prompt_tokens.saturating_sub(cached).max(1);
             }
             let chunk = job.prefill_left.min(budget);
             budget -= chunk;
-            self.chunks[index] = chunk;
+            self.prefill_chunks[index] = chunk;
         }
         budget
     }
 
-    /// Ends the step that is under way.
+    /// Completes the step in progress.
     pub fn end_step(&mut self, computed: &mut Computed, out: &mut Vec<StepEvent>) {
         if !self.stepping {
             return;
         }
         self.stepping = false;
-        let mut ended = Vec::new();
-        for (index, chunk) in self.chunks.iter().enumerate() {
+        let mut finished = Vec::new();
+        for (index, chunk) in self.prefill_chunks.iter().enumerate() {
             let job = &mut self.batch[index];
             job.prefill_left -= chunk;
             job.computed += chunk;
             computed.total += u64::from(*chunk);
-            if !job.begun || job.prefill_left > 0 {
+            if !job.prefill_started || job.prefill_left > 0 {
                 continue;
             }
-            job.made += 1;
-            out.push(match job.made {
+            job.generated += 1;
+            out.push(match job.generated {
                 1 => StepEvent::FirstToken(job.request),
                 _ => StepEvent::Token(job.request),
             });
-            if job.made == 1 {
+            if job.generated == 1 {
                 let (stored, evicted) = self.cache.store(&job.prefix);
-                computed.note_blocks(&stored, self.block_tokens);
+                computed.record_blocks(&stored, self.block_tokens);
                 self.event_seq += 1;
                 self.events.push_back(CacheEvent {
                     seq: self.event_seq,
@@ -205,20 +210,20 @@
                     evicted,
                 });
             }
-            if job.made >= job.output_tokens {
+            if job.generated >= job.output_tokens {
                 out.push(StepEvent::Done(job.request, job.computed));
-                ended.push(index);
+                finished.push(index);
             }
         }
-        for index in ended.into_iter().rev() {
+        for index in finished.into_iter().rev() {
             self.batch.swap_remove(index);
         }
-        while self.events.len() > KEPT_EVENTS {
+        while self.events.len() > MAX_CACHE_EVENTS {
             self.events.pop_front();
         }
     }
 
-    /// Returns the cache events after a number.
+    /// Returns the kept cache events with a sequence number above `seq`.
     pub fn events_after(&self, seq: u64) -> impl Iterator<Item = &CacheEvent> {
         self.events.iter().filter(move |e| e.seq > seq)
     }
@@ -229,53 +234,54 @@
                 return;
             };
             self.admissions += 1;
-            job.admitted = self.admissions;
+            job.admission_seq = self.admissions;
             self.batch.push(job);
         }
     }
 }
 
-/// The prompt work of all engines together.
+/// Prompt work of all engines together.
 #[derive(Clone, Debug, Default)]
 pub struct Computed {
     /// Prompt tokens computed.
     pub total: u64,
-    /// Of them, tokens of blocks that had been computed before, anywhere.
-    pub again: u64,
+    /// Of these, tokens of blocks that had already been computed, on any engine.
+    pub recomputed: u64,
     blocks: HashSet<u64>,
 }
 
 impl Computed {
-    fn note_blocks(&mut self, blocks: &[u64], block_tokens: u32) {
+    fn record_blocks(&mut self, blocks: &[u64], block_tokens: u32) {
         for block in blocks {
             if !self.blocks.insert(*block) {
-                self.again += u64::from(block_tokens);
+                self.recomputed += u64::from(block_tokens);
             }
         }
     }
 }
 
-/// A prefix cache that drops what was used least recently.
+/// A prefix cache with least-recently-used eviction.
 #[derive(Clone, Debug)]
 struct Cache {
     capacity: usize,
-    stamp: u64,
+    last_stamp: u64,
+    /// Stamp of the last use of each block.
     blocks: HashMap<u64, u64>,
-    by_stamp: BTreeMap<u64, u64>,
+    block_by_stamp: BTreeMap<u64, u64>,
 }
 
 impl Cache {
     fn new(capacity: usize) -> Self {
         Self {
             capacity,
-            stamp: 0,
+            last_stamp: 0,
             blocks: HashMap::new(),
-            by_stamp: BTreeMap::new(),
+            block_by_stamp: BTreeMap::new(),
         }
     }
 
-    /// Returns how many leading blocks are held, and marks them as used.
-    fn leading(&mut self, chain: &[u64]) -> usize {
+    /// Returns how many leading blocks of the chain are cached, and marks them as used.
+    fn lookup_prefix(&mut self, chain: &[u64]) -> usize {
         let held = chain
             .iter()
             .take_while(|b| self.blocks.contains_key(b))
@@ -286,7 +292,7 @@
         held
     }
 
-    /// Takes a chain in; returns what is new and what was dropped.
+    /// Stores a chain; returns the blocks that were added and the blocks that were evicted.
     fn store(&mut self, chain: &[u64]) -> (Vec<u64>, Vec<u64>) {
         let mut stored = Vec::new();
         for block in chain.iter().rev() {
@@ -296,7 +302,7 @@
         }
         let mut evicted = Vec::new();
         while self.blocks.len() > self.capacity {
-            let Some((_, block)) = self.by_stamp.pop_first() else {
+            let Some((_, block)) = self.block_by_stamp.pop_first() else {
                 break;
             };
             self.blocks.remove(&block);
@@ -308,12 +314,12 @@
 
     /// Marks a block as used; returns whether it is new.
     fn touch(&mut self, block: u64) -> bool {
-        self.stamp += 1;
-        let before = self.blocks.insert(block, self.stamp);
-        if let Some(before) = before {
-            self.by_stamp.remove(&before);
+        self.last_stamp += 1;
+        let previous = self.blocks.insert(block, self.last_stamp);
+        if let Some(previous) = previous {
+            self.block_by_stamp.remove(&previous);
         }
-        self.by_stamp.insert(self.stamp, block);
-        before.is_none()
+        self.block_by_stamp.insert(self.last_stamp, block);
+        previous.is_none()
     }
 }
--- a/src/replay/run.rs
+++ b/src/replay/run.rs
@@ -22,7 +22,7 @@
     replay::{
         baseline::{Baseline, Kind},
         bound,
-        checker::{Checker, LastWord},
+        checker::{Checker, FinalOutcome},
         engine::{Computed, Engine, Job, StepEvent},
         outcome::{PolicyOutcome, ReplayOutcome, TierOutcome},
         trace::{Line, Trace, TraceFault},
@@ -31,31 +31,34 @@
 
 const ENTRY: Incarnation = Incarnation(1);
 const LEADER: Incarnation = Incarnation(1);
-const TICK_US: Micros = 20_000;
-const REPORT_US: Micros = 1_000_000;
+const TICK_INTERVAL_US: Micros = 20_000;
+const REPORT_INTERVAL_US: Micros = 1_000_000;
+/// Age of a load report on arrival, unless reports are stale.
 const REPORT_LAG_US: Micros = 500_000;
-const PROGRESS_US: Micros = 200_000;
-/// From a grant to the first byte at the endpoint.
-const SEND_US: Micros = 1_000;
-/// More for the claim of a key.
-const CLAIM_US: Micros = 20_000;
-const SUSPECT_US: Micros = 1_000_000;
-/// Every n-th cache event is missed under stale reports.
-const MISSED_EVENT: u64 = 5;
+const PROGRESS_INTERVAL_US: Micros = 200_000;
+/// Delay from a grant to the first byte at the endpoint.
+const SEND_DELAY_US: Micros = 1_000;
+/// Extra delay to claim the idempotency key of a request that is not repeatable.
+const CLAIM_DELAY_US: Micros = 20_000;
+const QUARANTINE_US: Micros = 1_000_000;
+/// While reports are stale, cache events whose number is a multiple of this are lost.
+const MISSED_EVENT_INTERVAL: u64 = 5;
 const BREACHES_SHOWN: usize = 5;
-const KEEP_ROOM_US: Micros = 5_000_000;
-const KEEP_SHARE: f64 = 0.3;
+/// How long before a declared event its share of slots is reserved.
+const RESERVE_LEAD_US: Micros = 5_000_000;
+/// Share of slots reserved for the tiers of a declared event.
+const RESERVED_SHARE: f64 = 0.3;
 
 /// A policy that can be replayed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Policy {
-    /// The scheduler that serves, with its settings.
+    /// The production scheduler, with its settings.
     Scheduler(String, Box<PolicySettings>),
-    /// A simple one.
+    /// A simple policy to compare with.
     Baseline(Kind),
 }
 
-/// Names of policies, as they are written.
+/// Names of the policies on the command line and in the output.
 pub const POLICIES: [&str; 5] = [
     "ryevalve",
     "round-robin",
@@ -91,7 +94,7 @@
     }
 }
 
-/// Replays a trace through some policies.
+/// Replays a trace through each of the policies and computes the upper bound.
 pub fn replay(trace: &Trace, policies: &[Policy]) -> ReplayOutcome {
     ReplayOutcome {
         policies: policies.iter().map(|p| replay_one(trace, p)).collect(),
@@ -104,13 +107,13 @@
     Replay::new(trace, policy).run()
 }
 
-/// One pool's decider.
-enum Decider {
+/// The policy instance that decides for one pool.
+enum PoolPolicy {
     Scheduler(Box<Scheduler>),
     Baseline(Box<Baseline>),
 }
 
-impl Decider {
+impl PoolPolicy {
     fn new(policy: &Policy, trace: &Trace, spec: PoolSpec, prior_tokens: u32) -> Self {
         match policy {
             Policy::Scheduler(_, settings) => {
@@ -162,17 +165,22 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
+    /// A request arrives.
     Arrival(usize),
+    /// A step ends at an engine of this generation.
     Step(usize, u32),
+    /// A granted request reaches an engine.
     Send(usize, usize),
+    /// The deadline of a request passes.
     Deadline(usize),
+    /// A fault starts (`true`) or ends.
     Fault(usize, bool),
     Report,
     Tick,
 }
 
-/// One request at the entry.
-struct Entry {
+/// State of an unfinished request at the instance that received it.
+struct RequestState {
     lifecycle: Lifecycle,
     rank: u8,
     pool: usize,
@@ -186,31 +194,39 @@
     trace: &'t Trace,
     policy: &'t Policy,
     pools: Vec<Name>,
-    deciders: Vec<Decider>,
+    pool_policies: Vec<PoolPolicy>,
     specs: Vec<PoolSpec>,
-    priors: Vec<u32>,
+    /// Answer length assumed at first in each pool, in tokens.
+    prior_answer_tokens: Vec<u32>,
     engines: Vec<Engine>,
+    /// Count of crashes of each engine; a step that was scheduled before a crash is ignored.
     generations: Vec<u32>,
-    by_name: HashMap<Name, usize>,
+    engine_by_name: HashMap<Name, usize>,
+    /// Time, running and waiting requests of the load samples of each engine, the oldest first.
     loads: Vec<VecDeque<(Micros, u32, u32)>>,
-    events_seen: Vec<u64>,
+    /// Number of the last cache event read from each engine.
+    last_cache_seq: Vec<u64>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     next_event: u64,
-    entries: BTreeMap<usize, Entry>,
+    request_states: BTreeMap<usize, RequestState>,
     registration: Registration,
     levels: Vec<HeldLevel>,
     leaderless: bool,
     store_down: bool,
     checker: Checker,
     computed: Computed,
-    thrown_away: u64,
+    /// Prompt tokens computed for answers that were late or cut off.
+    discarded_tokens: u64,
     tiers: Vec<TierOutcome>,
-    answered: Vec<usize>,
-    decisions: Histogram<u64>,
+    /// Requests answered in time.
+    answered_in_time: Vec<usize>,
+    /// Wall-clock time per action of a decision, in nanoseconds.
+    decision_ns: Histogram<u64>,
     actions: Vec<Action>,
-    open: usize,
-    /// Lengths that the entry remembers, for the next leader.
-    seen: VecDeque<(usize, AnswerLength)>,
+    /// Requests of the trace without a final outcome.
+    unfinished: usize,
+    /// Pool and length of recent answers, which the receiving instance passes to the next leader.
+    observed_lengths: VecDeque<(usize, AnswerLength)>,
 }
 
 impl<'t> Replay<'t> {
@@ -220,9 +236,10 @@
         pools.sort_unstable();
         pools.dedup();
         let specs: Vec<PoolSpec> = pools.iter().map(|p| pool_spec(trace, p)).collect();
-        let priors: Vec<u32> = pools.iter().map(|p| prior_tokens(trace, p)).collect();
-        let deciders = specs.iter().zip(&priors);
-        let deciders = deciders.map(|(s, prior)| Decider::new(policy, trace, s.clone(), *prior));
+        let prior_answer_tokens: Vec<u32> = pools.iter().map(|p| prior_tokens(trace, p)).collect();
+        let pool_policies = specs.iter().zip(&prior_answer_tokens);
+        let pool_policies =
+            pool_policies.map(|(s, prior)| PoolPolicy::new(policy, trace, s.clone(), *prior));
         let engines = header.endpoints.iter();
         let engines: Vec<Engine> = engines
             .map(|e| Engine::new(e.clone(), header.block_tokens))
@@ -233,19 +250,19 @@
         Self {
             trace,
             policy,
-            deciders: deciders.collect(),
+            pool_policies: pool_policies.collect(),
             levels: vec![HeldLevel::default(); pools.len()],
             pools,
             specs,
-            priors,
+            prior_answer_tokens,
             generations: vec![0; engines.len()],
             loads: vec![VecDeque::new(); engines.len()],
-            events_seen: vec![0; engines.len()],
+            last_cache_seq: vec![0; engines.len()],
             engines,
-            by_name: names.map(|(index, e)| (e.name.clone(), index)).collect(),
+            engine_by_name: names.map(|(index, e)| (e.name.clone(), index)).collect(),
             events: BinaryHeap::new(),
             next_event: 0,
-            entries: BTreeMap::new(),
+            request_states: BTreeMap::new(),
             registration: Registration {
                 entry: ENTRY,
                 epoch: 1,
@@ -254,7 +271,7 @@
             store_down: false,
             checker: Checker::default(),
             computed: Computed::default(),
-            thrown_away: 0,
+            discarded_tokens: 0,
             tiers: tiers
                 .into_iter()
                 .map(|t| TierOutcome {
@@ -262,37 +279,37 @@
                     ..TierOutcome::default()
                 })
                 .collect(),
-            answered: Vec::new(),
-            decisions: Histogram::new_with_bounds(1, 10_000_000_000, 2)
+            answered_in_time: Vec::new(),
+            decision_ns: Histogram::new_with_bounds(1, 10_000_000_000, 2)
                 .unwrap_or_else(|_| unreachable!("the bounds are valid")),
             actions: Vec::new(),
-            open: trace.requests.len(),
-            seen: VecDeque::new(),
+            unfinished: trace.requests.len(),
+            observed_lengths: VecDeque::new(),
         }
     }
 
     fn run(mut self) -> PolicyOutcome {
         for pool in 0..self.pools.len() {
             let attach = Input::Attach(self.registration);
-            self.deciders[pool].handle(0, attach);
+            self.pool_policies[pool].handle(0, attach);
         }
         for (index, line) in self.trace.requests.iter().enumerate() {
-            self.at(line.at_ms * 1_000, Event::Arrival(index));
+            self.schedule(line.at_ms * 1_000, Event::Arrival(index));
         }
         for (index, fault) in self.trace.header.faults.iter().enumerate() {
-            if let Some((from_ms, until_ms)) = fault_span(fault) {
-                self.at(from_ms * 1_000, Event::Fault(index, true));
-                self.at(until_ms * 1_000, Event::Fault(index, false));
+            if let Some((from_ms, until_ms)) = fault_period(fault) {
+                self.schedule(from_ms * 1_000, Event::Fault(index, true));
+                self.schedule(until_ms * 1_000, Event::Fault(index, false));
             }
         }
-        self.at(0, Event::Tick);
-        self.at(REPORT_US, Event::Report);
-        while self.open > 0 {
+        self.schedule(0, Event::Tick);
+        self.schedule(REPORT_INTERVAL_US, Event::Report);
+        while self.unfinished > 0 {
             let Some(Reverse((now_us, _, event))) = self.events.pop() else {
                 break;
             };
-            self.take(now_us, event);
-            // Everything of one instant is known before anything is decided.
+            self.handle_event(now_us, event);
+            // All events of one instant are applied before the policies decide.
             let next_us = self.events.peek().map(|Reverse((at_us, ..))| *at_us);
             if next_us != Some(now_us) {
                 self.decide(now_us);
@@ -301,22 +318,22 @@
         self.finish()
     }
 
-    fn at(&mut self, at_us: Micros, event: Event) {
+    fn schedule(&mut self, at_us: Micros, event: Event) {
         self.next_event += 1;
         self.events.push(Reverse((at_us, self.next_event, event)));
     }
 
-    fn take(&mut self, now_us: Micros, event: Event) {
+    fn handle_event(&mut self, now_us: Micros, event: Event) {
         match event {
             Event::Arrival(request) => self.arrive(now_us, request),
             Event::Step(engine, generation) => self.step(now_us, engine, generation),
             Event::Send(request, engine) => self.send(now_us, request, engine),
             Event::Deadline(request) => self.expire(now_us, request),
-            Event::Fault(index, begins) => self.fault(now_us, index, begins),
+            Event::Fault(index, active) => self.fault(now_us, index, active),
             Event::Report => self.report(now_us),
             Event::Tick => {
-                self.deciders.iter_mut().for_each(|d| d.tick(now_us));
-                self.at(now_us + TICK_US, Event::Tick);
+                self.pool_policies.iter_mut().for_each(|p| p.tick(now_us));
+                self.schedule(now_us + TICK_INTERVAL_US, Event::Tick);
             }
         }
     }
@@ -330,9 +347,9 @@
         let arrived_us = line.at_ms * 1_000;
         let deadline_us = arrived_us + line.deadline_ms * 1_000;
         RequestMeta {
-            id: id_of(request),
+            id: request_id(request),
             organisation: line.organisation.clone(),
-            rank: self.entries[&request].rank,
+            rank: self.request_states[&request].rank,
             service: line.service.clone(),
             prompt_tokens: line.prompt_tokens,
             prefix: line.prefix.clone(),
@@ -352,7 +369,7 @@
         self.tiers[usize::from(rank)].offered += 1;
         let pool_name = self.pools[pool].clone();
         self.checker.arrived(request, rank, &pool_name);
-        let entry = Entry {
+        let state = RequestState {
             lifecycle: Lifecycle::new(self.registration),
             rank,
             pool,
@@ -361,14 +378,14 @@
             reported_us: 0,
             tokens: 0,
         };
-        self.entries.insert(request, entry);
+        self.request_states.insert(request, state);
         if self.levels[pool].refuses(now_us, rank, self.tiers.len()) {
             return self.shed(now_us, request);
         }
-        self.at(now_us + line.deadline_ms * 1_000, Event::Deadline(request));
+        self.schedule(now_us + line.deadline_ms * 1_000, Event::Deadline(request));
         if !self.leaderless {
             let add = Input::Add(self.registration, self.meta(now_us, request));
-            self.deciders[pool].handle(now_us, add);
+            self.pool_policies[pool].handle(now_us, add);
         }
     }
 
@@ -376,94 +393,105 @@
         if self.leaderless {
             return;
         }
-        for pool in 0..self.deciders.len() {
+        for pool in 0..self.pool_policies.len() {
             let mut actions = std::mem::take(&mut self.actions);
-            let began = Instant::now();
-            self.deciders[pool].decide(now_us, &mut actions);
+            let started_at = Instant::now();
+            self.pool_policies[pool].decide(now_us, &mut actions);
             if !actions.is_empty() {
-                let each = began.elapsed().as_nanos() as u64 / actions.len() as u64;
-                self.decisions.saturating_record(each.max(1));
+                let ns_per_action = started_at.elapsed().as_nanos() as u64 / actions.len() as u64;
+                self.decision_ns.saturating_record(ns_per_action.max(1));
             }
             for action in actions.drain(..) {
-                self.act(now_us, pool, action);
+                self.apply_action(now_us, pool, action);
             }
             self.actions = actions;
         }
     }
 
-    fn act(&mut self, now_us: Micros, pool: usize, action: Action) {
+    fn apply_action(&mut self, now_us: Micros, pool: usize, action: Action) {
         match action {
             Action::Grant {
                 registration,
                 id,
                 endpoint,
                 ..
-            } => self.grant(now_us, request_of(id), registration, &endpoint),
+            } => self.grant(now_us, request_index(id), registration, &endpoint),
             Action::Shed { id, chain, .. } => {
-                let request = request_of(id);
-                let rank = self.entries[&request].rank;
+                let request = request_index(id);
+                let rank = self.request_states[&request].rank;
                 let tiers = self.tiers.len();
                 if self.levels[pool].may_shed(now_us, LEADER, chain, rank, tiers) {
                     self.shed(now_us, request);
                 }
             }
-            Action::RequestLevel(ask) => {
-                let held = self.hold_level(now_us, pool, ask);
-                self.deciders[pool].handle(now_us, Input::LevelReply(ENTRY, ask, held));
+            Action::RequestLevel(level_request) => {
+                let held = self.hold_level(now_us, pool, level_request);
+                self.pool_policies[pool]
+                    .handle(now_us, Input::LevelReply(ENTRY, level_request, held));
             }
         }
     }
 
-    fn hold_level(&mut self, now_us: Micros, pool: usize, ask: LevelRequest) -> bool {
+    fn hold_level(&mut self, now_us: Micros, pool: usize, level_request: LevelRequest) -> bool {
         let tiers = self.tiers.len();
-        let keeps = self.entries.values().any(|e| {
-            let cleared = level_needed(e.rank, tiers) < ask.level;
-            e.pool == pool && cleared && is_waiting(e.lifecycle.stage())
+        // Requests of the tiers that the level covers.
+        let has_waiting = self.request_states.values().any(|s| {
+            let cleared = level_needed(s.rank, tiers) < level_request.level;
+            s.pool == pool && cleared && is_waiting(s.lifecycle.stage())
         });
-        self.levels[pool].try_hold(now_us, ask, keeps)
+        self.levels[pool].try_hold(now_us, level_request, has_waiting)
     }
 
-    fn grant(&mut self, now_us: Micros, request: usize, under: Registration, endpoint: &Name) {
+    fn grant(
+        &mut self,
+        now_us: Micros,
+        request: usize,
+        granted_under: Registration,
+        endpoint: &Name,
+    ) {
         let repeatable = self.line(request).repeatable;
-        let Some(entry) = self.entries.get_mut(&request) else {
+        let Some(state) = self.request_states.get_mut(&request) else {
             return;
         };
-        if entry.lifecycle.grant(under).is_err() {
+        if state.lifecycle.grant(granted_under).is_err() {
             return;
         }
-        let engine = self.by_name[endpoint];
-        entry.endpoint = Some(engine);
+        let engine = self.engine_by_name[endpoint];
+        state.endpoint = Some(engine);
         if !repeatable && self.store_down {
-            // The key cannot be claimed: refused at once, and it did not run.
+            // The key cannot be claimed, so the request is refused at once without having run.
             return self.refuse(now_us, request);
         }
-        let claim_us = if repeatable { 0 } else { CLAIM_US };
-        self.at(now_us + SEND_US + claim_us, Event::Send(request, engine));
+        let claim_us = if repeatable { 0 } else { CLAIM_DELAY_US };
+        self.schedule(
+            now_us + SEND_DELAY_US + claim_us,
+            Event::Send(request, engine),
+        );
     }
 
     fn send(&mut self, now_us: Micros, request: usize, engine: usize) {
-        let Some(entry) = self.entries.get_mut(&request) else {
+        let Some(state) = self.request_states.get_mut(&request) else {
             return;
         };
-        if entry.lifecycle.stage() != Stage::Granted {
+        if state.lifecycle.stage() != Stage::Granted {
             return;
         }
-        if self.engines[engine].dead {
-            let returned = entry.lifecycle.return_grant().is_ok();
-            let pool = entry.pool;
+        if self.engines[engine].down {
+            let returned = state.lifecycle.return_grant().is_ok();
+            let pool = state.pool;
             let meta = self.meta(now_us, request);
             let name = self.engines[engine].spec.name.clone();
             if returned && !self.leaderless {
-                let suspect = Input::Quarantine(name, now_us + SUSPECT_US);
-                self.deciders[pool].handle(now_us, suspect);
-                self.deciders[pool].returned(now_us, self.registration, meta);
+                let quarantine = Input::Quarantine(name, now_us + QUARANTINE_US);
+                self.pool_policies[pool].handle(now_us, quarantine);
+                self.pool_policies[pool].returned(now_us, self.registration, meta);
             }
             return;
         }
-        if entry.lifecycle.send().is_err() {
+        if state.lifecycle.send().is_err() {
             return;
         }
-        let rank = entry.rank;
+        let rank = state.rank;
         self.checker.sent(request, true);
         let line = self.line(request);
         let job = Job::new(
@@ -480,7 +508,7 @@
     fn begin_step(&mut self, now_us: Micros, engine: usize) {
         if let Some(end_us) = self.engines[engine].begin_step(now_us) {
             let generation = self.generations[engine];
-            self.at(end_us, Event::Step(engine, generation));
+            self.schedule(end_us, Event::Step(engine, generation));
         }
     }
 
@@ -501,165 +529,179 @@
     }
 
     fn first_token(&mut self, now_us: Micros, request: usize) {
-        let Some(entry) = self.entries.get_mut(&request) else {
+        let Some(state) = self.request_states.get_mut(&request) else {
             return;
         };
-        entry.first_us = Some(now_us);
-        entry.reported_us = now_us;
-        let pool = entry.pool;
-        self.tell(now_us, pool, Input::FirstToken(id_of(request)));
+        state.first_us = Some(now_us);
+        state.reported_us = now_us;
+        let pool = state.pool;
+        self.notify_policy(now_us, pool, Input::FirstToken(request_id(request)));
     }
 
     fn token(&mut self, now_us: Micros, request: usize) {
-        let Some(entry) = self.entries.get_mut(&request) else {
+        let Some(state) = self.request_states.get_mut(&request) else {
             return;
         };
-        entry.tokens += 1;
-        let span_us = now_us - entry.reported_us;
-        if span_us < PROGRESS_US {
+        state.tokens += 1;
+        let span_us = now_us - state.reported_us;
+        if span_us < PROGRESS_INTERVAL_US {
             return;
         }
-        entry.reported_us = now_us;
-        let tokens = std::mem::take(&mut entry.tokens);
-        let pool = entry.pool;
-        self.tell(
+        state.reported_us = now_us;
+        let tokens = std::mem::take(&mut state.tokens);
+        let pool = state.pool;
+        self.notify_policy(
             now_us,
             pool,
-            Input::Progress(id_of(request), tokens, span_us),
+            Input::Progress(request_id(request), tokens, span_us),
         );
     }
 
     fn done(&mut self, now_us: Micros, request: usize, computed: u32) {
         let line = self.line(request);
-        let Some(entry) = self.entries.remove(&request) else {
+        let Some(state) = self.request_states.remove(&request) else {
             return;
         };
-        let rank = usize::from(entry.rank);
+        let rank = usize::from(state.rank);
         let in_time = now_us <= (line.at_ms + line.deadline_ms) * 1_000;
         if in_time {
             self.tiers[rank].in_time += 1;
-            self.answered.push(request);
+            self.answered_in_time.push(request);
         } else {
             self.tiers[rank].late += 1;
-            self.thrown_away += u64::from(computed);
+            self.discarded_tokens += u64::from(computed);
         }
-        self.checker.last_word(request, LastWord::Answer);
-        self.open -= 1;
-        self.seen
-            .push_back((entry.pool, seen_length(line, entry.rank)));
-        if self.seen.len() > KEPT_LENGTHS {
-            self.seen.pop_front();
+        self.checker.finish_request(request, FinalOutcome::Answer);
+        self.unfinished -= 1;
+        self.observed_lengths
+            .push_back((state.pool, observed_length(line, state.rank)));
+        if self.observed_lengths.len() > KEPT_LENGTHS {
+            self.observed_lengths.pop_front();
         }
         let tokens = Some(line.output_tokens);
-        self.tell(now_us, entry.pool, Input::Finished(id_of(request), tokens));
+        self.notify_policy(
+            now_us,
+            state.pool,
+            Input::Finished(request_id(request), tokens),
+        );
     }
 
-    fn tell(&mut self, now_us: Micros, pool: usize, input: Input) {
+    fn notify_policy(&mut self, now_us: Micros, pool: usize, input: Input) {
         if !self.leaderless {
-            self.deciders[pool].handle(now_us, input);
+            self.pool_policies[pool].handle(now_us, input);
         }
     }
 
     fn shed(&mut self, now_us: Micros, request: usize) {
-        let Some(mut entry) = self.entries.remove(&request) else {
+        let Some(mut state) = self.request_states.remove(&request) else {
             return;
         };
-        if entry.lifecycle.shed().is_err() {
-            self.entries.insert(request, entry);
+        if state.lifecycle.shed().is_err() {
+            self.request_states.insert(request, state);
             return;
         }
-        self.tiers[usize::from(entry.rank)].shed += 1;
+        self.tiers[usize::from(state.rank)].shed += 1;
         self.checker.shed(now_us, request);
-        self.open -= 1;
-        self.tell(now_us, entry.pool, Input::Withdraw(id_of(request)));
+        self.unfinished -= 1;
+        self.notify_policy(now_us, state.pool, Input::Withdraw(request_id(request)));
     }
 
-    /// The claim failed: refused as not run, which is no shedding.
+    /// Refuses a request whose key could not be claimed: it did not run, and it does not count as shed.
     fn refuse(&mut self, now_us: Micros, request: usize) {
-        if let Some(entry) = self.entries.remove(&request) {
-            self.tiers[usize::from(entry.rank)].refused += 1;
-            self.checker.last_word(request, LastWord::NotRun);
-            self.open -= 1;
-            self.tell(now_us, entry.pool, Input::Withdraw(id_of(request)));
+        if let Some(state) = self.request_states.remove(&request) {
+            self.tiers[usize::from(state.rank)].refused += 1;
+            self.checker.finish_request(request, FinalOutcome::NotRun);
+            self.unfinished -= 1;
+            self.notify_policy(now_us, state.pool, Input::Withdraw(request_id(request)));
         }
     }
 
     fn expire(&mut self, now_us: Micros, request: usize) {
-        let unsent = |e: &&Entry| is_waiting(e.lifecycle.stage());
-        if self.entries.get(&request).filter(unsent).is_none() {
+        let unsent = |s: &&RequestState| is_waiting(s.lifecycle.stage());
+        if self.request_states.get(&request).filter(unsent).is_none() {
             return;
         }
-        if let Some(entry) = self.entries.remove(&request) {
-            self.tiers[usize::from(entry.rank)].expired += 1;
-            self.checker.last_word(request, LastWord::NotRun);
-            self.open -= 1;
-            self.tell(now_us, entry.pool, Input::Withdraw(id_of(request)));
+        if let Some(state) = self.request_states.remove(&request) {
+            self.tiers[usize::from(state.rank)].expired += 1;
+            self.checker.finish_request(request, FinalOutcome::NotRun);
+            self.unfinished -= 1;
+            self.notify_policy(now_us, state.pool, Input::Withdraw(request_id(request)));
         }
     }
 
-    fn fault(&mut self, now_us: Micros, index: usize, begins: bool) {
+    fn fault(&mut self, now_us: Micros, index: usize, active: bool) {
         match &self.trace.header.faults[index] {
             TraceFault::Slow {
                 endpoint, factor, ..
             } => {
-                let engine = self.by_name[endpoint];
-                self.engines[engine].slow = if begins { *factor } else { 1.0 };
+                let engine = self.engine_by_name[endpoint];
+                self.engines[engine].slowdown = if active { *factor } else { 1.0 };
             }
             TraceFault::Death { endpoint, .. } => {
-                let engine = self.by_name[endpoint];
-                if begins {
-                    self.kill(now_us, engine);
+                let engine = self.engine_by_name[endpoint];
+                if active {
+                    self.crash_engine(now_us, engine);
                 } else {
-                    self.engines[engine].dead = false;
+                    self.engines[engine].down = false;
                 }
             }
-            TraceFault::LeaderDeath { .. } if begins => self.leaderless = true,
-            TraceFault::LeaderDeath { .. } => self.next_leader(now_us),
-            TraceFault::StoreOutage { .. } => self.store_down = begins,
+            TraceFault::LeaderDeath { .. } if active => self.leaderless = true,
+            TraceFault::LeaderDeath { .. } => self.start_next_leader(now_us),
+            TraceFault::StoreOutage { .. } => self.store_down = active,
             TraceFault::StaleReports { .. } | TraceFault::Burst { .. } => {}
         }
     }
 
-    fn kill(&mut self, now_us: Micros, engine: usize) {
+    fn crash_engine(&mut self, now_us: Micros, engine: usize) {
         self.generations[engine] += 1;
         let name = self.engines[engine].spec.name.clone();
-        for (request, computed) in self.engines[engine].die() {
-            self.thrown_away += u64::from(computed);
-            if let Some(entry) = self.entries.remove(&request) {
-                self.tiers[usize::from(entry.rank)].unknown += 1;
-                self.checker.last_word(request, LastWord::OutcomeUnknown);
-                self.open -= 1;
-                let suspect = Input::Quarantine(name.clone(), now_us + SUSPECT_US);
-                self.tell(now_us, entry.pool, suspect);
-                self.tell(now_us, entry.pool, Input::Finished(id_of(request), None));
+        for (request, computed) in self.engines[engine].crash() {
+            self.discarded_tokens += u64::from(computed);
+            if let Some(state) = self.request_states.remove(&request) {
+                self.tiers[usize::from(state.rank)].unknown += 1;
+                self.checker
+                    .finish_request(request, FinalOutcome::OutcomeUnknown);
+                self.unfinished -= 1;
+                let quarantine = Input::Quarantine(name.clone(), now_us + QUARANTINE_US);
+                self.notify_policy(now_us, state.pool, quarantine);
+                self.notify_policy(
+                    now_us,
+                    state.pool,
+                    Input::Finished(request_id(request), None),
+                );
             }
         }
     }
 
-    /// The next leader knows only what the entry registers with it.
-    fn next_leader(&mut self, now_us: Micros) {
+    /// Starts the next leader, which knows only what the receiving instance registers with it.
+    fn start_next_leader(&mut self, now_us: Micros) {
         self.leaderless = false;
         self.registration.epoch += 1;
         for pool in 0..self.pools.len() {
             let spec = self.specs[pool].clone();
-            self.deciders[pool] = Decider::new(self.policy, self.trace, spec, self.priors[pool]);
+            self.pool_policies[pool] = PoolPolicy::new(
+                self.policy,
+                self.trace,
+                spec,
+                self.prior_answer_tokens[pool],
+            );
             let attach = Input::Attach(self.registration);
-            self.deciders[pool].handle(now_us, attach);
-            for (of, seen) in &self.seen {
-                if *of == pool {
-                    self.deciders[pool].handle(now_us, Input::ObservedLength(seen.clone()));
+            self.pool_policies[pool].handle(now_us, attach);
+            for (length_pool, length) in &self.observed_lengths {
+                if *length_pool == pool {
+                    self.pool_policies[pool].handle(now_us, Input::ObservedLength(length.clone()));
                 }
             }
         }
-        let held: Vec<usize> = self.entries.keys().copied().collect();
-        for request in held {
+        let to_register: Vec<usize> = self.request_states.keys().copied().collect();
+        for request in to_register {
             let meta = self.meta(now_us, request);
             let registration = self.registration;
-            let Some(entry) = self.entries.get_mut(&request) else {
+            let Some(state) = self.request_states.get_mut(&request) else {
                 continue;
             };
-            entry.lifecycle.reregister(registration);
-            let input = match (entry.lifecycle.stage(), entry.endpoint) {
+            state.lifecycle.reregister(registration);
+            let input = match (state.lifecycle.stage(), state.endpoint) {
                 (Stage::Waiting, _) => Input::Add(registration, meta),
                 (_, Some(engine)) => {
                     let name = self.engines[engine].spec.name.clone();
@@ -667,12 +709,12 @@
                 }
                 _ => continue,
             };
-            self.deciders[entry.pool].handle(now_us, input);
+            self.pool_policies[state.pool].handle(now_us, input);
         }
     }
 
     fn report(&mut self, now_us: Micros) {
-        self.at(now_us + REPORT_US, Event::Report);
+        self.schedule(now_us + REPORT_INTERVAL_US, Event::Report);
         let stale = self.trace.header.faults.iter().find_map(|f| match f {
             TraceFault::StaleReports { lag_ms } => Some(lag_ms * 1_000),
             _ => None,
@@ -694,7 +736,7 @@
         let Some(&(at_us, running, waiting)) = loads.front() else {
             return;
         };
-        if self.engines[engine].dead {
+        if self.engines[engine].down {
             return;
         }
         let report = LoadReport {
@@ -704,20 +746,23 @@
         };
         let name = self.engines[engine].spec.name.clone();
         let pool = self.pool_of(engine);
-        self.tell(now_us, pool, Input::Load(name, report));
+        self.notify_policy(now_us, pool, Input::Load(name, report));
     }
 
-    fn report_cache(&mut self, now_us: Micros, engine: usize, gaps: bool) {
-        let seen = self.events_seen[engine];
-        let events: Vec<_> = self.engines[engine].events_after(seen).cloned().collect();
+    fn report_cache(&mut self, now_us: Micros, engine: usize, lossy: bool) {
+        let after_seq = self.last_cache_seq[engine];
+        let events: Vec<_> = self.engines[engine]
+            .events_after(after_seq)
+            .cloned()
+            .collect();
         let name = self.engines[engine].spec.name.clone();
         let pool = self.pool_of(engine);
         for event in events {
-            self.events_seen[engine] = event.seq;
-            if gaps && event.seq.is_multiple_of(MISSED_EVENT) {
+            self.last_cache_seq[engine] = event.seq;
+            if lossy && event.seq.is_multiple_of(MISSED_EVENT_INTERVAL) {
                 continue;
             }
-            self.tell(now_us, pool, Input::Cache(name.clone(), event));
+            self.notify_policy(now_us, pool, Input::Cache(name.clone(), event));
         }
     }
 
@@ -731,25 +776,31 @@
             tier.goodput = tier.in_time as f64 / tier.offered.max(1) as f64;
         }
         let breaches = self.checker.finish();
-        let answered = self.answered.iter().map(|r| &self.trace.requests[*r]);
+        let answered_in_time = self
+            .answered_in_time
+            .iter()
+            .map(|r| &self.trace.requests[*r]);
         let us = |nanos: u64| nanos as f64 / 1e3;
         PolicyOutcome {
             policy: self.policy.name().to_owned(),
             tiers: self.tiers,
-            wasted_prefill_tokens: self.thrown_away + self.computed.again,
-            thrown_away_tokens: self.thrown_away,
-            computed_again_tokens: self.computed.again,
+            wasted_prefill_tokens: self.discarded_tokens + self.computed.recomputed,
+            thrown_away_tokens: self.discarded_tokens,
+            computed_again_tokens: self.computed.recomputed,
             prefill_tokens: self.computed.total,
-            prefill_tokens_min_of_answered: bound::least_prefill(&self.trace.header, answered),
+            prefill_tokens_min_of_answered: bound::min_prefill_tokens(
+                &self.trace.header,
+                answered_in_time,
+            ),
             violations: breaches.len() as u64,
             breaches: breaches.into_iter().take(BREACHES_SHOWN).collect(),
-            decision_us_p50: us(self.decisions.value_at_quantile(0.5)),
-            decision_us_p99: us(self.decisions.value_at_quantile(0.99)),
+            decision_us_p50: us(self.decision_ns.value_at_quantile(0.5)),
+            decision_us_p99: us(self.decision_ns.value_at_quantile(0.99)),
         }
     }
 }
 
-fn seen_length(line: &Line, rank: u8) -> AnswerLength {
+fn observed_length(line: &Line, rank: u8) -> AnswerLength {
     AnswerLength {
         organisation: line.organisation.clone(),
         rank,
@@ -758,18 +809,18 @@
     }
 }
 
-fn id_of(request: usize) -> RequestId {
+fn request_id(request: usize) -> RequestId {
     RequestId {
         entry: ENTRY,
         seq: request as u64,
     }
 }
 
-fn request_of(id: RequestId) -> usize {
+fn request_index(id: RequestId) -> usize {
     id.seq as usize
 }
 
-fn fault_span(fault: &TraceFault) -> Option<(u64, u64)> {
+fn fault_period(fault: &TraceFault) -> Option<(u64, u64)> {
     match fault {
         TraceFault::Slow {
             at_ms, until_ms, ..
@@ -783,7 +834,7 @@
     }
 }
 
-/// Returns the length assumed before any answer was seen: plain services answer one token.
+/// Returns the answer length, in tokens, assumed before any answer was observed. Plain services answer one token.
 fn prior_tokens(trace: &Trace, pool: &Name) -> u32 {
     let plain = trace
         .header
@@ -827,8 +878,8 @@
                 starts_us: e.at_ms * 1_000,
                 ends_us: (e.at_ms + e.duration_ms) * 1_000,
                 rank: header.rank(&e.tier).unwrap_or(0),
-                keep_from_us: (e.at_ms * 1_000).saturating_sub(KEEP_ROOM_US),
-                keep_share: KEEP_SHARE,
+                keep_from_us: (e.at_ms * 1_000).saturating_sub(RESERVE_LEAD_US),
+                keep_share: RESERVED_SHARE,
             })
             .collect(),
     }
