--- a/src/replay/expect.rs
+++ b/src/replay/expect.rs
@@ -1,10 +1,10 @@
-//! Outcomes stated beforehand, and whether a replay meets them.
+//! Expected results of a replay, and the check that a replay meets them.
 
 use serde::{Deserialize, Serialize};
 
 use crate::replay::outcome::{PolicyOutcome, ReplayOutcome};
 
-/// The outcomes that a file states, in TOML.
+/// The contents of a TOML file of expectations.
 ///
 /// ```
 /// use ryevalve::replay::expect::Expectations;
@@ -15,44 +15,44 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Expectations {
-    /// The outcomes.
+    /// The expectations.
     #[serde(default)]
     pub expect: Vec<Expectation>,
 }
 
-/// What one policy, or one tier of it, must come to.
+/// Limits that the results of a policy, or of one of its tiers, must meet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Expectation {
     /// The policy.
     pub policy: String,
-    /// The tier; none means all together.
+    /// The tier; `None` stands for all tiers together.
     pub tier: Option<String>,
-    /// At least this many in time.
+    /// Least number of answers in time.
     pub min_in_time: Option<u64>,
-    /// At least this share of the bound in time.
+    /// Least number of answers in time, as a fraction of the upper bound.
     pub min_share_of_bound: Option<f64>,
-    /// At least as many in time as every other policy of the replay.
+    /// Whether at least as many answers must be in time as under every other policy of the replay.
     pub not_behind_others: bool,
-    /// At most this many shed.
+    /// Most requests shed.
     pub max_shed: Option<u64>,
-    /// At most this much wasted prompt work, in tokens.
+    /// Most wasted prompt work of the policy, in tokens.
     pub max_wasted_prefill_tokens: Option<u64>,
-    /// At most this share of the prompt work wasted.
+    /// Most wasted prompt work of the policy, as a fraction of its total prompt work.
     pub max_wasted_share: Option<f64>,
-    /// At most this many breaches of the properties.
+    /// Most breaches of the invariants.
     pub max_violations: Option<u64>,
 }
 
-/// Returns what does not hold, a sentence each.
+/// Returns a description of each expectation that is not met.
 pub fn unmet(expectations: &Expectations, outcome: &ReplayOutcome) -> Vec<String> {
     let mut unmet = Vec::new();
     for expectation in &expectations.expect {
-        let found = outcome
+        let policy_outcome = outcome
             .policies
             .iter()
             .find(|p| p.policy == expectation.policy);
-        match found {
+        match policy_outcome {
             Some(policy) => check(expectation, policy, outcome, &mut unmet),
             None => unmet.push(format!("policy `{}` was not replayed", expectation.policy)),
         }
@@ -67,61 +67,64 @@
     unmet: &mut Vec<String>,
 ) {
     let tier = expectation.tier.as_deref();
-    let what = format!("{} {}", policy.policy, tier.unwrap_or("all tiers"));
+    let subject = format!("{} {}", policy.policy, tier.unwrap_or("all tiers"));
     if let Some(tier) = tier
         && !policy.tiers.iter().any(|t| &*t.tier == tier)
     {
-        unmet.push(format!("{what}: there is no such tier"));
+        unmet.push(format!("{subject}: there is no such tier"));
         return;
     }
     let in_time = in_time(policy, tier);
-    let mut need = |holds: bool, text: String| {
+    let mut require = |holds: bool, text: String| {
         if !holds {
-            unmet.push(format!("{what}: {text}"));
+            unmet.push(format!("{subject}: {text}"));
         }
     };
-    if let Some(least) = expectation.min_in_time {
-        need(
-            in_time >= least,
-            format!("{in_time} in time, stated at least {least}"),
+    if let Some(min) = expectation.min_in_time {
+        require(
+            in_time >= min,
+            format!("{in_time} in time, stated at least {min}"),
         );
     }
     if let Some(share) = expectation.min_share_of_bound {
         let bound = bound_of(outcome, tier);
-        let reached = in_time as f64 / bound.max(1) as f64;
-        let text = format!("{reached:.4} of the bound, stated at least {share}");
-        need(reached >= share, text);
+        let share_reached = in_time as f64 / bound.max(1) as f64;
+        let text = format!("{share_reached:.4} of the bound, stated at least {share}");
+        require(share_reached >= share, text);
     }
     if expectation.not_behind_others {
         for other in &outcome.policies {
-            let theirs = self::in_time(other, tier);
-            let text = format!("{in_time} in time, {} has {theirs}", other.policy);
-            need(in_time >= theirs, text);
+            let other_in_time = self::in_time(other, tier);
+            let text = format!("{in_time} in time, {} has {other_in_time}", other.policy);
+            require(in_time >= other_in_time, text);
         }
     }
-    if let Some(most) = expectation.max_shed {
+    if let Some(limit) = expectation.max_shed {
         let shed: u64 = selected(policy, tier).map(|t| t.shed).sum();
-        need(shed <= most, format!("{shed} shed, stated at most {most}"));
+        require(
+            shed <= limit,
+            format!("{shed} shed, stated at most {limit}"),
+        );
     }
     let wasted = policy.wasted_prefill_tokens;
-    if let Some(most) = expectation.max_wasted_prefill_tokens {
-        need(
-            wasted <= most,
-            format!("{wasted} tokens wasted, stated at most {most}"),
+    if let Some(limit) = expectation.max_wasted_prefill_tokens {
+        require(
+            wasted <= limit,
+            format!("{wasted} tokens wasted, stated at most {limit}"),
         );
     }
-    if let Some(most) = expectation.max_wasted_share {
+    if let Some(limit) = expectation.max_wasted_share {
         let share = wasted as f64 / policy.prefill_tokens.max(1) as f64;
-        need(
-            share <= most,
-            format!("{share:.4} of the prompt work wasted, stated at most {most}"),
+        require(
+            share <= limit,
+            format!("{share:.4} of the prompt work wasted, stated at most {limit}"),
         );
     }
-    if let Some(most) = expectation.max_violations {
+    if let Some(limit) = expectation.max_violations {
         let count = policy.violations;
-        need(
-            count <= most,
-            format!("{count} breaches, stated at most {most}"),
+        require(
+            count <= limit,
+            format!("{count} breaches, stated at most {limit}"),
         );
     }
 }
@@ -149,8 +152,8 @@
     match tier {
         None => outcome.bound.in_time_sum,
         Some(name) => {
-            let found = outcome.bound.tiers.iter().find(|t| &*t.tier == name);
-            found.map_or(0, |t| t.in_time)
+            let tier_bound = outcome.bound.tiers.iter().find(|t| &*t.tier == name);
+            tier_bound.map_or(0, |t| t.in_time)
         }
     }
 }
--- a/src/replay/generate.rs
+++ b/src/replay/generate.rs
@@ -1,4 +1,4 @@
-//! Makes traces in the shape of the users' workloads: a quiet base, and surges at fixed starts.
+//! Generates traces modelled on the users' workloads: a low base load and surges that start at fixed times.
 
 use std::str::FromStr;
 
@@ -14,42 +14,42 @@
 
 /// Size of a prefix block in generated traces, in tokens.
 pub const BLOCK_TOKENS: u32 = 256;
-/// Requests of a trace if no number is given.
+/// Number of requests of a trace if none is given.
 pub const DEFAULT_REQUESTS: usize = 4_000;
 
-/// Whose traffic.
+/// The workload that a trace is modelled on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Workload {
-    /// Check-in: departure banks.
+    /// Airport check-in, with surges at departure banks.
     Broye,
-    /// Inverter diagnostics: sunrise and grid disturbances.
+    /// Inverter diagnostics, with surges at sunrise and at grid disturbances.
     Steppe,
 }
 
-/// What goes wrong.
+/// The fault injected into a trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
     /// Some engines slow down in the middle of an event.
     SlowEngine,
-    /// Some engines are gone for a while.
+    /// Some engines crash and come back after a while.
     EndpointDeath,
-    /// Load reports are old and cache events missed.
+    /// Load reports are older than usual, and some cache events are lost.
     StaleReports,
-    /// A burst that nobody declared.
+    /// A burst of requests without a declared event.
     Burst,
     /// The pool's leader dies in the middle of an event.
     LeaderDeath,
-    /// The platform takes no writes for a while.
+    /// The platform accepts no writes for a while.
     StoreOutage,
 }
 
-/// Names of workloads, as they are written.
+/// Names of the workloads on the command line and in traces.
 pub const WORKLOADS: [(&str, Workload); 2] =
     [("broye", Workload::Broye), ("steppe", Workload::Steppe)];
 
-/// Names of faults, as they are written.
+/// Names of the faults on the command line.
 pub const FAULTS: [(&str, Fault); 7] = [
     ("none", Fault::None),
     ("slow-engine", Fault::SlowEngine),
@@ -78,21 +78,21 @@
     }
 }
 
-/// The numbers that shape one tier's requests.
+/// Parameters of the requests of one tier.
 #[derive(Clone, Copy)]
 struct TierShape {
     name: &'static str,
     /// Share of the requests.
     share: f64,
-    /// Shortest and longest own part of the prompt, in tokens.
+    /// Shortest and longest part of the prompt that is not shared with other requests, in tokens.
     prompt: (f64, f64),
     /// Shortest and longest answer, in tokens.
     output: (f64, f64),
-    /// Shortest and longest time allowed, in milliseconds.
+    /// Shortest and longest deadline after arrival, in milliseconds.
     deadline_ms: (u64, u64),
 }
 
-/// The numbers that shape a workload.
+/// Parameters of a workload.
 struct Shape {
     name: &'static str,
     service: &'static str,
@@ -105,22 +105,24 @@
     plain_servers: usize,
     organisations: [(&'static str, f64); 5],
     tiers: [TierShape; 3],
-    /// Blocks of an organisation's common prompt, shortest and longest.
+    /// Fewest and most blocks of the prompt prefix that all requests of an organisation share.
     common_blocks: (u32, u32),
-    /// Subjects (flights, sites) that many requests share, and the blocks of each.
+    /// Number of subjects (flights, sites) that requests are about. Requests about the same subject share a prefix.
     subjects: u64,
+    /// Fewest and most blocks of the prefix of a subject.
     subject_blocks: (u32, u32),
-    /// Speeds of the slower generation; the newer is twice as fast.
+    /// Speeds of the older generation of engines; the newer one is twice as fast.
     prefill_tokens_per_s: f64,
     decode_step_us: f64,
     slots: u32,
     cache_tokens: u32,
     /// Length of the trace for the default number of requests.
     span_ms: u64,
-    /// Surges: start, and the time in which most of it arrives.
+    /// Start of each surge, and the time in which most of it arrives, both in milliseconds.
     surges: [(u64, u64); 2],
     /// Share of requests that come in surges.
     surge_share: f64,
+    /// Weights of goodput and of wasted prefill.
     weights: (f64, f64),
 }
 
@@ -237,39 +239,41 @@
     }
 }
 
-/// Makes a trace; the same arguments make the same trace.
+/// Generates a trace. The same arguments always give the same trace.
 pub fn generate(workload: Workload, seed: u64, requests: usize, fault: Fault) -> Trace {
     let shape = shape(workload);
-    let rounds = requests.div_ceil(DEFAULT_REQUESTS).max(1) as u64;
-    let mut maker = Maker {
+    let repetitions = requests.div_ceil(DEFAULT_REQUESTS).max(1) as u64;
+    let mut generator = Generator {
         shape,
         rng: ChaCha8Rng::seed_from_u64(seed ^ ((workload as u64) << 40)),
-        rounds,
+        repetitions,
     };
-    let endpoints = maker.endpoints();
-    let mut lines = maker.requests(requests);
-    let faults = maker.faults(fault, &endpoints);
+    let endpoints = generator.endpoints();
+    let mut lines = generator.requests(requests);
+    let faults = generator.faults(fault, &endpoints);
     if fault == Fault::Burst {
-        maker.add_burst(&mut lines, requests);
+        generator.add_burst(&mut lines, requests);
     }
     lines.sort_by_key(|l| l.at_ms);
     for (index, line) in lines.iter_mut().enumerate() {
         line.id = index as u64 + 1;
     }
-    let header = maker.header(seed, endpoints, faults, requests);
+    let header = generator.header(seed, endpoints, faults, requests);
     Trace {
         header,
         requests: lines,
     }
 }
 
-struct Maker {
+/// Generator of one trace.
+struct Generator {
     shape: &'static Shape,
     rng: ChaCha8Rng,
-    rounds: u64,
+    /// How often the time span of the workload and its surges are repeated.
+    repetitions: u64,
 }
 
-impl Maker {
+impl Generator {
     fn header(
         &self,
         seed: u64,
@@ -311,7 +315,7 @@
 
     fn events(&self, requests: usize) -> Vec<TraceEvent> {
         let shape = self.shape;
-        let each = requests as f64 * shape.surge_share / self.surges().len() as f64;
+        let requests_per_surge = requests as f64 * shape.surge_share / self.surges().len() as f64;
         let surges = self.surges().into_iter().enumerate();
         surges
             .map(|(index, (at_ms, span_ms))| TraceEvent {
@@ -320,17 +324,17 @@
                 at_ms,
                 duration_ms: span_ms * 3,
                 tier: shape.tiers[0].name.into(),
-                expected_requests: each as u32,
+                expected_requests: requests_per_surge as u32,
             })
             .collect()
     }
 
     fn surges(&self) -> Vec<(u64, u64)> {
-        let rounds = 0..self.rounds;
-        rounds
-            .flat_map(|round| {
-                let shift = round * self.shape.span_ms;
-                self.shape.surges.map(|(at, span)| (at + shift, span))
+        let repetitions = 0..self.repetitions;
+        repetitions
+            .flat_map(|repetition| {
+                let offset_ms = repetition * self.shape.span_ms;
+                self.shape.surges.map(|(at, span)| (at + offset_ms, span))
             })
             .collect()
     }
@@ -357,8 +361,8 @@
     fn engine(&mut self, index: usize) -> TraceEndpoint {
         let shape = self.shape;
         let newer = index.is_multiple_of(2);
-        let generation = if newer { 2.0 } else { 1.0 };
-        let speed = generation * self.rng.random_range(0.75..1.3);
+        let generation_factor = if newer { 2.0 } else { 1.0 };
+        let speed = generation_factor * self.rng.random_range(0.75..1.3);
         TraceEndpoint {
             name: format!("{}-{:02}", shape.pool, index + 1).into(),
             pool: shape.pool.into(),
@@ -390,13 +394,15 @@
 
     fn arrival(&mut self) -> u64 {
         if !self.rng.random_bool(self.shape.surge_share) {
-            return self.rng.random_range(0..self.shape.span_ms * self.rounds);
+            return self
+                .rng
+                .random_range(0..self.shape.span_ms * self.repetitions);
         }
         let surges = self.surges();
         let (start, span) = surges[self.rng.random_range(0..surges.len())];
-        // Most come at once, the rest trail off.
-        let late: f64 = self.rng.random_range(0.0..1.0_f64);
-        start + (-(1.0 - late).ln() * span as f64 / 2.5).min(span as f64 * 3.0) as u64
+        // Delays after the start of the surge are exponentially distributed.
+        let sample: f64 = self.rng.random_range(0.0..1.0_f64);
+        start + (-(1.0 - sample).ln() * span as f64 / 2.5).min(span as f64 * 3.0) as u64
     }
 
     fn request(&mut self, at_ms: u64) -> Line {
@@ -407,9 +413,14 @@
         }
         let tier = self.tier();
         let mut prefix = Vec::new();
-        let owner = organisation as u64;
-        self.extend_chain(&mut prefix, owner << 32, shape.common_blocks, owner);
-        let subject = self.subject(at_ms, owner);
+        let organisation_id = organisation as u64;
+        self.extend_chain(
+            &mut prefix,
+            organisation_id << 32,
+            shape.common_blocks,
+            organisation_id,
+        );
+        let subject = self.subject(at_ms, organisation_id);
         self.extend_chain(&mut prefix, subject, shape.subject_blocks, subject);
         let own = self.log_uniform(tier.prompt);
         Line {
@@ -449,30 +460,38 @@
 
     fn organisation(&mut self) -> usize {
         let shares = self.shape.organisations.map(|(_, share)| share);
-        pick(&mut self.rng, &shares)
+        pick_weighted(&mut self.rng, &shares)
     }
 
     fn tier(&mut self) -> TierShape {
         let shares = self.shape.tiers.map(|t| t.share);
-        self.shape.tiers[pick(&mut self.rng, &shares)]
+        self.shape.tiers[pick_weighted(&mut self.rng, &shares)]
     }
 
-    /// Picks a flight or site; a few are called for far more often than the rest.
-    fn subject(&mut self, at_ms: u64, owner: u64) -> u64 {
-        let skewed: f64 = self.rng.random_range(0.0..1.0_f64);
-        let index = (skewed * skewed * self.shape.subjects as f64) as u64;
-        // Subjects change from one surge to the next.
-        let era = at_ms / (self.shape.span_ms / 2);
-        (owner << 40) | (era << 20) | (index + 1)
+    /// Picks a flight or site; a few are requested far more often than the others.
+    fn subject(&mut self, at_ms: u64, organisation_id: u64) -> u64 {
+        let uniform: f64 = self.rng.random_range(0.0..1.0_f64);
+        let index = (uniform * uniform * self.shape.subjects as f64) as u64;
+        // Each half of the time span, with one surge each, has its own subjects.
+        let period = at_ms / (self.shape.span_ms / 2);
+        (organisation_id << 40) | (period << 20) | (index + 1)
     }
 
-    /// Adds the blocks of something shared; its length follows from what it is.
-    fn extend_chain(&mut self, chain: &mut Vec<u64>, of: u64, blocks: (u32, u32), salt: u64) {
+    /// Appends the blocks of a shared part of a prompt. Their number, within `blocks`, depends on `length_seed` only.
+    fn extend_chain(
+        &mut self,
+        chain: &mut Vec<u64>,
+        content: u64,
+        blocks: (u32, u32),
+        length_seed: u64,
+    ) {
         let span = u64::from(blocks.1 - blocks.0 + 1);
-        let count = blocks.0 + (mix(salt ^ 0x5eed) % span) as u32;
+        let count = blocks.0 + (splitmix64(length_seed ^ 0x5eed) % span) as u32;
         for number in 0..count {
-            let before = chain.last().copied().unwrap_or(0);
-            chain.push(mix(before ^ mix(of ^ u64::from(number))));
+            let previous = chain.last().copied().unwrap_or(0);
+            chain.push(splitmix64(
+                previous ^ splitmix64(content ^ u64::from(number)),
+            ));
         }
     }
 
@@ -483,33 +502,33 @@
 
     fn faults(&mut self, fault: Fault, endpoints: &[TraceEndpoint]) -> Vec<TraceFault> {
         let (start, span) = self.shape.surges[1];
-        let mid = start + span / 2;
+        let mid_surge_ms = start + span / 2;
         match fault {
             Fault::None => Vec::new(),
             Fault::SlowEngine => self
-                .some_engines(endpoints, 6)
+                .pick_engines(endpoints, 6)
                 .into_iter()
                 .map(|endpoint| TraceFault::Slow {
                     endpoint,
-                    at_ms: mid,
-                    until_ms: mid + 15_000,
+                    at_ms: mid_surge_ms,
+                    until_ms: mid_surge_ms + 15_000,
                     factor: self.rng.random_range(3.0..8.0),
                 })
                 .collect(),
             Fault::EndpointDeath => self
-                .some_engines(endpoints, 4)
+                .pick_engines(endpoints, 4)
                 .into_iter()
                 .map(|endpoint| TraceFault::Death {
                     endpoint,
-                    at_ms: mid,
-                    until_ms: mid + 15_000,
+                    at_ms: mid_surge_ms,
+                    until_ms: mid_surge_ms + 15_000,
                 })
                 .collect(),
             Fault::StaleReports => vec![TraceFault::StaleReports { lag_ms: 5_000 }],
             Fault::Burst => vec![TraceFault::Burst { at_ms: start / 2 }],
             Fault::LeaderDeath => vec![TraceFault::LeaderDeath {
-                at_ms: mid,
-                until_ms: mid + 1_500,
+                at_ms: mid_surge_ms,
+                until_ms: mid_surge_ms + 1_500,
             }],
             Fault::StoreOutage => vec![TraceFault::StoreOutage {
                 at_ms: start,
@@ -518,7 +537,7 @@
         }
     }
 
-    fn some_engines(&mut self, endpoints: &[TraceEndpoint], count: usize) -> Vec<Name> {
+    fn pick_engines(&mut self, endpoints: &[TraceEndpoint], count: usize) -> Vec<Name> {
         let engines = self.shape.engines;
         let first = self.rng.random_range(0..engines);
         let step = 7;
@@ -530,25 +549,27 @@
     fn add_burst(&mut self, lines: &mut Vec<Line>, requests: usize) {
         let at_ms = self.shape.surges[1].0 / 2;
         for _ in 0..requests / 6 {
-            let shift = self.rng.random_range(0..2_000);
-            let line = self.request(at_ms + shift);
+            let offset_ms = self.rng.random_range(0..2_000);
+            let line = self.request(at_ms + offset_ms);
             lines.push(line);
         }
     }
 }
 
-fn pick(rng: &mut ChaCha8Rng, shares: &[f64]) -> usize {
-    let mut point: f64 = rng.random_range(0.0..shares.iter().sum());
+/// Returns a random index, weighted by `shares`.
+fn pick_weighted(rng: &mut ChaCha8Rng, shares: &[f64]) -> usize {
+    let mut remaining: f64 = rng.random_range(0.0..shares.iter().sum());
     for (index, share) in shares.iter().enumerate() {
-        if point < *share {
+        if remaining < *share {
             return index;
         }
-        point -= share;
+        remaining -= share;
     }
     shares.len() - 1
 }
 
-fn mix(value: u64) -> u64 {
+/// Hashes a value with the SplitMix64 step.
+fn splitmix64(value: u64) -> u64 {
     let mut hash = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/replay/mod.rs
+++ b/src/replay/mod.rs
@@ -1,4 +1,5 @@
-//! Traces, and their replay through the decision core in virtual time.
+//! Request traces: their format and generation, and their replay through the decision core in virtual time, against
+//! baseline policies and an upper bound.
 
 pub mod baseline;
 pub mod bound;
--- a/src/replay/outcome.rs
+++ b/src/replay/outcome.rs
@@ -1,84 +1,84 @@
-//! What a replay comes to.
+//! Results of a replay.
 
 use serde::{Deserialize, Serialize};
 
 use crate::prelude::Name;
 
-/// One tier's requests.
+/// Results of one tier, as numbers of requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TierOutcome {
     /// The tier.
     pub tier: Name,
-    /// Requests that came.
+    /// Requests that arrived.
     pub offered: u64,
-    /// Whole answers in time.
+    /// Answered completely by their deadline.
     pub in_time: u64,
-    /// Whole answers after their deadline.
+    /// Answered completely, but after their deadline.
     pub late: u64,
-    /// Refused early, on account of load.
+    /// Refused early because of load.
     pub shed: u64,
-    /// Deadlines that passed while the request waited.
+    /// Reached their deadline while they waited.
     pub expired: u64,
-    /// Refused for another reason, not run.
+    /// Refused for another reason, without having run.
     pub refused: u64,
-    /// Sent, and then cut off.
+    /// Cut off after they were sent.
     pub unknown: u64,
-    /// Share of those that came that were answered whole and in time.
+    /// Fraction of the arrived requests that were answered completely by their deadline.
     pub goodput: f64,
 }
 
-/// One policy's replay.
+/// Results of one policy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PolicyOutcome {
     /// The policy.
     pub policy: String,
-    /// Its tiers, the highest first.
+    /// Tiers, the highest first.
     pub tiers: Vec<TierOutcome>,
-    /// Prompt work thrown away or computed twice, in tokens.
+    /// Wasted prompt work, discarded or computed again, in tokens.
     pub wasted_prefill_tokens: u64,
-    /// Of it, computed for answers that were not whole and in time.
+    /// Of this, tokens computed for answers that were late or cut off.
     pub thrown_away_tokens: u64,
-    /// Of it, blocks computed more than once.
+    /// Of this, tokens of blocks that had already been computed.
     pub computed_again_tokens: u64,
-    /// Prompt work, in tokens.
+    /// Total prompt work, in tokens.
     pub prefill_tokens: u64,
-    /// The least prompt work for the requests that it answered in time, in tokens.
+    /// Minimum prompt work for the requests that the policy answered in time, in tokens.
     pub prefill_tokens_min_of_answered: u64,
-    /// Breaches of the properties.
+    /// Number of breaches of the invariants that the checker watches.
     pub violations: u64,
-    /// The first of them.
+    /// The first few breaches, as text.
     pub breaches: Vec<String>,
-    /// Median time of a decision, in microseconds of this machine.
+    /// Median wall-clock time of a decision, in microseconds.
     pub decision_us_p50: f64,
-    /// 99th percentile.
+    /// 99th percentile of the wall-clock time of a decision, in microseconds.
     pub decision_us_p99: f64,
 }
 
-/// The most that any policy could reach in one tier.
+/// Upper bound for one tier.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TierBound {
     /// The tier.
     pub tier: Name,
-    /// Whole answers in time, if the tier had everything to itself.
+    /// Most answers in time that any policy could reach if the tier had all endpoints to itself.
     pub in_time: u64,
 }
 
-/// What no policy can pass.
+/// Upper bounds that hold for every policy, and the minimum prompt work.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Bound {
-    /// Tier by tier.
+    /// Bound for each tier.
     pub tiers: Vec<TierBound>,
-    /// All tiers together.
+    /// Most answers in time over all tiers together.
     pub in_time_sum: u64,
-    /// The least prompt work for all requests that could be in time, in tokens.
+    /// Minimum prompt work for all requests of the trace, in tokens.
     pub prefill_tokens_min: u64,
 }
 
-/// Everything that a replay prints.
+/// The results of a replay, in the form in which they are printed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReplayOutcome {
-    /// The policies.
+    /// Results of each policy.
     pub policies: Vec<PolicyOutcome>,
-    /// The bound.
+    /// The upper bound.
     pub bound: Bound,
 }
--- a/src/replay/run.rs
+++ b/src/replay/run.rs
@@ -332,7 +332,9 @@
             Event::Fault(index, active) => self.fault(now_us, index, active),
             Event::Report => self.report(now_us),
             Event::Tick => {
-                self.pool_policies.iter_mut().for_each(|p| p.tick(now_us));
+                self.pool_policies
+                    .iter_mut()
+                    .for_each(|policy| policy.tick(now_us));
                 self.schedule(now_us + TICK_INTERVAL_US, Event::Tick);
             }
         }
--- a/src/replay/trace.rs
+++ b/src/replay/trace.rs
@@ -1,4 +1,4 @@
-//! The form of a trace: a header, then one request a line, all JSON.
+//! The trace format: a header line, then one line per request, each a JSON object.
 
 use std::collections::BTreeMap;
 
@@ -10,25 +10,25 @@
     prelude::Name,
 };
 
-/// An engine or server, as the trace gives it.
+/// An endpoint of a trace: an inference engine or a plain server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TraceEndpoint {
-    /// Its name.
+    /// Name.
     pub name: Name,
     /// The pool it belongs to.
     pub pool: Name,
-    /// The hall it stands in.
+    /// The hall it is in.
     pub hall: Name,
-    /// How many requests it runs at a time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Prompt speed, in tokens a second.
+    /// Prefill speed, in tokens per second.
     pub prefill_tokens_per_s: f64,
-    /// Time of one decode step with one request, in microseconds.
+    /// Time of a decode step for a single request, in microseconds.
     pub decode_step_us: f64,
-    /// How much a full batch slows a step; hidden from the policy.
+    /// Fraction by which a full batch lengthens a decode step; not known to the policy.
     #[serde(default = "default_slope")]
     pub batch_slope: f64,
-    /// Size of its prefix cache, in tokens.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_tokens: u32,
 }
 
@@ -36,105 +36,105 @@
     0.6
 }
 
-/// A tier, as the trace gives it.
+/// A tier of a trace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TraceTier {
-    /// Its name.
+    /// Name.
     pub name: Name,
-    /// Its order; 0 is the highest.
+    /// Rank; 0 is the highest tier.
     pub rank: u8,
 }
 
-/// An organisation, as the trace gives it.
+/// An organisation of a trace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TraceOrganisation {
-    /// Its name.
+    /// Name.
     pub name: Name,
-    /// Its share against the others.
+    /// Weight in the fair sharing among organisations.
     pub weight: f64,
 }
 
-/// An event that operators have declared.
+/// A load event declared by operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TraceEvent {
-    /// Its name.
+    /// Name.
     pub name: Name,
-    /// The pool that it loads.
+    /// The pool whose load rises.
     pub pool: Name,
-    /// Its start.
+    /// Start, in milliseconds from the start of the trace.
     pub at_ms: u64,
-    /// How long it lasts.
+    /// Duration, in milliseconds.
     pub duration_ms: u64,
-    /// The lowest tier that it is about.
+    /// The lowest tier for which capacity is reserved.
     pub tier: Name,
-    /// How many requests are expected.
+    /// Expected number of requests.
     pub expected_requests: u32,
 }
 
-/// Something that goes wrong during the trace.
+/// A fault injected during the replay. Times are in milliseconds from the start of the trace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum TraceFault {
-    /// An engine works slower for a while.
+    /// An engine is slower for a while.
     Slow {
         /// The engine.
         endpoint: Name,
-        /// From when.
+        /// Start.
         at_ms: u64,
-        /// Until when.
+        /// End.
         until_ms: u64,
-        /// How many times slower.
+        /// Factor by which its steps take longer.
         factor: f64,
     },
-    /// An engine is gone for a while, with all that it ran.
+    /// An engine is down for a while; the requests that it ran or had queued are lost.
     Death {
         /// The engine.
         endpoint: Name,
-        /// From when.
+        /// Start.
         at_ms: u64,
-        /// Until when.
+        /// End.
         until_ms: u64,
     },
-    /// Load reports are older than usual, and cache events are missed.
+    /// Load reports are older than usual, and some cache events are lost.
     StaleReports {
-        /// How old.
+        /// Age of the reports, in milliseconds.
         lag_ms: u64,
     },
-    /// The leader dies; the next one knows nothing and begins after a while.
+    /// The leader crashes; its successor starts after a while, without its state.
     LeaderDeath {
-        /// When.
+        /// Start.
         at_ms: u64,
-        /// When the next one grants.
+        /// When the successor starts to grant.
         until_ms: u64,
     },
-    /// The platform takes no writes, so no key can be claimed.
+    /// The platform accepts no writes, so no idempotency key can be claimed.
     StoreOutage {
-        /// From when.
+        /// Start.
         at_ms: u64,
-        /// Until when.
+        /// End.
         until_ms: u64,
     },
-    /// A burst that nobody declared; its requests are part of the trace.
+    /// A burst without a declared event; its requests are part of the trace.
     Burst {
-        /// When.
+        /// Start.
         at_ms: u64,
     },
 }
 
-/// The first line.
+/// The header, on the first line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
-    /// Which workload, or `recorded`.
+    /// The workload, or `recorded`.
     pub workload: String,
-    /// The seed that it was made from.
+    /// Seed of a generated trace; 0 for a recorded one.
     pub seed: u64,
     /// Size of a prefix block, in tokens.
     pub block_tokens: u32,
-    /// Weight of goodput by tier.
+    /// Weight of goodput in the policy.
     pub goodput_weight: f64,
-    /// Weight of wasted prefill.
+    /// Weight of wasted prefill in the policy.
     pub wasted_prefill_weight: f64,
-    /// Which pool serves a service.
+    /// The pool that serves each service.
     pub services: BTreeMap<Name, Name>,
     /// Endpoints.
     pub endpoints: Vec<TraceEndpoint>,
@@ -151,25 +151,25 @@
 /// One request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// Its arrival.
+    /// Arrival, in milliseconds from the start of the trace.
     pub at_ms: u64,
-    /// Its number.
+    /// Number of the request.
     pub id: u64,
-    /// Its organisation.
+    /// Organisation of the caller.
     pub organisation: Name,
-    /// Its tier.
+    /// Tier.
     pub tier: Name,
-    /// The service called.
+    /// The requested service.
     pub service: Name,
-    /// Length of the prompt.
+    /// Prompt length, in tokens.
     pub prompt_tokens: u32,
     /// Hash chain over the prompt's leading blocks.
     pub prefix: Vec<u64>,
-    /// Length of the answer; hidden from the policy.
+    /// Answer length, in tokens; not known to the policy.
     pub output_tokens: u32,
-    /// Time allowed, from its arrival.
+    /// Deadline, in milliseconds after the arrival.
     pub deadline_ms: u64,
-    /// Whether a second run would do no harm.
+    /// Whether the request can safely be run more than once.
     pub repeatable: bool,
 }
 
@@ -182,24 +182,24 @@
     pub requests: Vec<Line>,
 }
 
-/// A text that is no trace.
+/// Why a text is not a valid trace.
 #[derive(Debug, Snafu)]
 pub enum TraceError {
-    /// There is no first line.
+    /// The text is empty.
     #[snafu(display("the trace is empty; its first line is the header"))]
     Empty,
-    /// A line cannot be read.
+    /// A line is not valid JSON of the expected form.
     #[snafu(display("line {line}: {source}"))]
     Unreadable {
-        /// Its number, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What the reader said.
+        /// The parse error.
         source: serde_json::Error,
     },
-    /// A line names something that the header does not have.
+    /// A request refers to a tier or service that the header does not define.
     #[snafu(display("line {line}: the header has no {kind} `{name}`"))]
     Unknown {
-        /// Its number, from 1.
+        /// Line number, from 1.
         line: usize,
         /// `tier` or `service`.
         kind: &'static str,
@@ -209,21 +209,21 @@
     /// The requests are not in order of arrival.
     #[snafu(display("line {line}: the request arrives before the one above it"))]
     Order {
-        /// Its number, from 1.
+        /// Line number, from 1.
         line: usize,
     },
     /// A value is out of range.
     #[snafu(display("line {line}: {problem}"))]
     Range {
-        /// Its number, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What is wrong.
+        /// The problem found.
         problem: &'static str,
     },
 }
 
 impl Header {
-    /// Makes the header of recorded traffic.
+    /// Returns the header for traffic recorded under a configuration.
     pub fn of_config(config: &Config) -> Self {
         let now_s = crate::clock::unix_s();
         Self {
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Returns the order of a tier.
+    /// Returns the rank of a tier, or `None` if the trace has no such tier.
     pub fn rank(&self, tier: &str) -> Option<u8> {
         let found = self.tiers.iter().find(|t| &*t.name == tier);
         found.map(|t| t.rank)
@@ -297,10 +297,10 @@
 }
 
 impl Trace {
-    /// Reads a trace.
+    /// Parses a trace.
     ///
     /// # Errors
-    /// Says which line is wrong.
+    /// Returns the first invalid line and its problem.
     pub fn read(text: &str) -> Result<Self, TraceError> {
         let mut lines = text
             .lines()
@@ -315,17 +315,17 @@
             let line = index + 1;
             let request: Line = serde_json::from_str(text).context(UnreadableSnafu { line })?;
             check_line(&header, &request, line)?;
-            let before = requests.last().map_or(0, |r| r.at_ms);
-            snafu::ensure!(request.at_ms >= before, OrderSnafu { line });
+            let previous_ms = requests.last().map_or(0, |r| r.at_ms);
+            snafu::ensure!(request.at_ms >= previous_ms, OrderSnafu { line });
             requests.push(request);
         }
         Ok(Self { header, requests })
     }
 
-    /// Writes the trace, a line at a time.
+    /// Writes the trace line by line.
     ///
     /// # Errors
-    /// What the writer says.
+    /// Returns the error of the writer.
     pub fn write(&self, mut to: impl std::io::Write) -> std::io::Result<()> {
         serde_json::to_writer(&mut to, &self.header)?;
         writeln!(to)?;
