--- a/benches/relay.rs
+++ b/benches/relay.rs
@@ -1,4 +1,4 @@
-//! A small completion over loopback, direct to the engine and through an instance, in one run.
+//! Compares a small completion over loopback sent directly to the engine with one relayed by an instance.
 
 use std::{
     net::SocketAddr,
@@ -26,12 +26,12 @@
 
 const KEY: &str = "bench-caller-key";
 const BODY: &str = r#"{"model":"m","prompt":"hello","max_tokens":1,"stream":true}"#;
-const AT_ONCE: usize = 64;
+const CONCURRENT_CALLS: usize = 64;
 
-/// Sends one completion; returns the time to the first byte of its body.
-async fn call(to: SocketAddr) -> Duration {
-    let began = Instant::now();
-    let stream = TcpStream::connect(to).await.expect("connect");
+/// Sends one completion request; returns the time to the first byte of its body.
+async fn call(addr: SocketAddr) -> Duration {
+    let started_at = Instant::now();
+    let stream = TcpStream::connect(addr).await.expect("connect");
     let _ = stream.set_nodelay(true);
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
@@ -46,7 +46,7 @@
     assert!(response.status().is_success());
     let mut body = response.into_body();
     let first = body.frame().await.expect("a body").expect("a frame");
-    let first_byte = began.elapsed();
+    let first_byte = started_at.elapsed();
     let rest = body.collect().await.expect("a whole answer").to_bytes();
     let last = if rest.is_empty() {
         first.into_data().unwrap_or_default()
@@ -57,17 +57,17 @@
     first_byte
 }
 
-async fn many(to: SocketAddr) {
+async fn call_concurrently(addr: SocketAddr) {
     let mut calls = JoinSet::new();
-    (0..AT_ONCE).for_each(|_| {
-        calls.spawn(call(to));
+    (0..CONCURRENT_CALLS).for_each(|_| {
+        calls.spawn(call(addr));
     });
     while let Some(done) = calls.join_next().await {
         done.expect("a call");
     }
 }
 
-async fn start() -> (Platform, Engine, SocketAddr) {
+async fn start_servers() -> (Platform, Engine, SocketAddr) {
     let platform = Platform::start().await;
     let engine = Engine::start(Speed {
         slots: 256,
@@ -115,15 +115,16 @@
     while !running.instance.is_ready() {
         time::sleep(Duration::from_millis(10)).await;
     }
-    // It runs until the process ends.
+    // Keeps the instance running until the process exits.
     std::mem::forget(running);
     (platform, engine, addr(7_001))
 }
 
-/// Returns the processor time that this process has used, in seconds.
-fn processor_s() -> f64 {
+/// Returns the CPU time used by this process, in seconds.
+fn cpu_time_s() -> f64 {
     const TICKS_PER_S: f64 = 100.0;
-    let stat = std::fs::read_to_string("/proc/self/stat").expect("this process's times");
+    let stat =
+        std::fs::read_to_string("/proc/self/stat").expect("read the CPU time of this process");
     let fields = stat
         .rsplit(')')
         .next()
@@ -137,45 +138,46 @@
     ticks / TICKS_PER_S
 }
 
-/// Prints what a request costs beyond the direct way: the rest of the process does the same in both.
-fn print_cost(runtime: &Runtime, direct: SocketAddr, through: SocketAddr) {
+/// Prints the CPU time per request that the instance adds. The rest of the process does the same work with and without
+/// the instance, so the difference is the cost of the instance.
+fn print_added_cpu_time(runtime: &Runtime, direct: SocketAddr, through: SocketAddr) {
     const ROUNDS: usize = 12;
     const BATCHES: usize = 20;
-    let cost_us = |to| {
-        let before = processor_s();
-        (0..BATCHES).for_each(|_| runtime.block_on(many(to)));
-        (processor_s() - before) * 1e6 / (BATCHES * AT_ONCE) as f64
+    let cpu_us_per_request = |addr| {
+        let before = cpu_time_s();
+        (0..BATCHES).for_each(|_| runtime.block_on(call_concurrently(addr)));
+        (cpu_time_s() - before) * 1e6 / (BATCHES * CONCURRENT_CALLS) as f64
     };
     let mut added: Vec<f64> = (0..ROUNDS)
         .map(|_| {
-            let direct_us = cost_us(direct);
-            cost_us(through) - direct_us
+            let direct_us = cpu_us_per_request(direct);
+            cpu_us_per_request(through) - direct_us
         })
         .collect();
     added.sort_by(f64::total_cmp);
     let median = added[ROUNDS / 2];
-    let each_core = 1e6 / median;
+    let requests_per_core = 1e6 / median;
     println!(
-        "added by the instance: median {median:.0} us of processor a request, {each_core:.0} requests/s a core"
+        "added by the instance: median {median:.0} us of processor a request, {requests_per_core:.0} requests/s a core"
     );
 }
 
 fn relay(criterion: &mut Criterion) {
     let runtime = Runtime::new().expect("a runtime");
-    let (_platform, engine, through) = runtime.block_on(start());
+    let (_platform, engine, through) = runtime.block_on(start_servers());
     let direct = engine.addr();
-    print_cost(&runtime, direct, through);
+    print_added_cpu_time(&runtime, direct, through);
     let mut group = criterion.benchmark_group("relay");
     group.sample_size(20);
-    for (name, to) in [("direct", direct), ("through", through)] {
+    for (name, addr) in [("direct", direct), ("through", through)] {
         group.bench_function(format!("{name}, one at a time"), |b| {
-            b.iter(|| runtime.block_on(call(to)));
+            b.iter(|| runtime.block_on(call(addr)));
         });
         group.bench_function(format!("{name}, first byte"), |b| {
-            b.iter_custom(|count| (0..count).map(|_| runtime.block_on(call(to))).sum());
+            b.iter_custom(|count| (0..count).map(|_| runtime.block_on(call(addr))).sum());
         });
-        group.bench_function(format!("{name}, {AT_ONCE} at once"), |b| {
-            b.iter(|| runtime.block_on(many(to)));
+        group.bench_function(format!("{name}, {CONCURRENT_CALLS} at once"), |b| {
+            b.iter(|| runtime.block_on(call_concurrently(addr)));
         });
     }
     group.finish();
--- a/src/replay/generate.rs
+++ b/src/replay/generate.rs
@@ -422,14 +422,14 @@
         );
         let subject = self.subject(at_ms, organisation_id);
         self.extend_chain(&mut prefix, subject, shape.subject_blocks, subject);
-        let own = self.log_uniform(tier.prompt);
+        let unshared_tokens = self.log_uniform(tier.prompt);
         Line {
             at_ms,
             id: 0,
             organisation: shape.organisations[organisation].0.into(),
             tier: tier.name.into(),
             service: shape.service.into(),
-            prompt_tokens: prefix.len() as u32 * BLOCK_TOKENS + own,
+            prompt_tokens: prefix.len() as u32 * BLOCK_TOKENS + unshared_tokens,
             prefix,
             output_tokens: self.log_uniform(tier.output),
             deadline_ms: self
--- a/src/replay/run.rs
+++ b/src/replay/run.rs
@@ -163,6 +163,7 @@
     }
 }
 
+/// An event at a point in virtual time. Requests, engines and faults are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A request arrives.
@@ -175,7 +176,9 @@
     Deadline(usize),
     /// A fault starts (`true`) or ends.
     Fault(usize, bool),
+    /// The endpoints report their load and cache events.
     Report,
+    /// The policies handle their periodic work.
     Tick,
 }
 
@@ -185,11 +188,15 @@
     rank: u8,
     pool: usize,
     endpoint: Option<usize>,
+    /// Time of the first token.
     first_us: Option<Micros>,
+    /// Time of the last progress report to the policy.
     reported_us: Micros,
+    /// Tokens generated since that report.
     tokens: u32,
 }
 
+/// A replay in progress. Pools, engines and requests are referred to by index.
 struct Replay<'t> {
     trace: &'t Trace,
     policy: &'t Policy,
@@ -199,18 +206,21 @@
     /// Answer length assumed at first in each pool, in tokens.
     prior_answer_tokens: Vec<u32>,
     engines: Vec<Engine>,
-    /// Count of crashes of each engine; a step that was scheduled before a crash is ignored.
+    /// Number of crashes of each engine; a step scheduled before a crash is ignored.
     generations: Vec<u32>,
     engine_by_name: HashMap<Name, usize>,
     /// Time, running and waiting requests of the load samples of each engine, the oldest first.
     loads: Vec<VecDeque<(Micros, u32, u32)>>,
     /// Number of the last cache event read from each engine.
     last_cache_seq: Vec<u64>,
+    /// Scheduled events, ordered by time and then by the order in which they were scheduled.
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     next_event: u64,
     request_states: BTreeMap<usize, RequestState>,
     registration: Registration,
+    /// Shedding levels that the receiving instance holds, for each pool.
     levels: Vec<HeldLevel>,
+    /// Whether the leader has crashed and no successor has started.
     leaderless: bool,
     store_down: bool,
     checker: Checker,
@@ -325,16 +335,14 @@
 
     fn handle_event(&mut self, now_us: Micros, event: Event) {
         match event {
-            Event::Arrival(request) => self.arrive(now_us, request),
-            Event::Step(engine, generation) => self.step(now_us, engine, generation),
+            Event::Arrival(request) => self.handle_arrival(now_us, request),
+            Event::Step(engine, generation) => self.complete_step(now_us, engine, generation),
             Event::Send(request, engine) => self.send(now_us, request, engine),
-            Event::Deadline(request) => self.expire(now_us, request),
-            Event::Fault(index, active) => self.fault(now_us, index, active),
-            Event::Report => self.report(now_us),
+            Event::Deadline(request) => self.handle_deadline(now_us, request),
+            Event::Fault(index, active) => self.apply_fault(now_us, index, active),
+            Event::Report => self.report_endpoints(now_us),
             Event::Tick => {
-                self.pool_policies
-                    .iter_mut()
-                    .for_each(|policy| policy.tick(now_us));
+                self.pool_policies.iter_mut().for_each(|p| p.tick(now_us));
                 self.schedule(now_us + TICK_INTERVAL_US, Event::Tick);
             }
         }
@@ -362,7 +370,7 @@
         }
     }
 
-    fn arrive(&mut self, now_us: Micros, request: usize) {
+    fn handle_arrival(&mut self, now_us: Micros, request: usize) {
         let line = self.line(request);
         let rank = self.trace.header.rank(&line.tier).unwrap_or(0);
         let pool = self.trace.header.services.get(&line.service);
@@ -514,7 +522,7 @@
         }
     }
 
-    fn step(&mut self, now_us: Micros, engine: usize, generation: u32) {
+    fn complete_step(&mut self, now_us: Micros, engine: usize, generation: u32) {
         if generation != self.generations[engine] {
             return;
         }
@@ -522,15 +530,17 @@
         self.engines[engine].end_step(&mut self.computed, &mut events);
         for event in events {
             match event {
-                StepEvent::FirstToken(request) => self.first_token(now_us, request),
-                StepEvent::Token(request) => self.token(now_us, request),
-                StepEvent::Done(request, computed) => self.done(now_us, request, computed),
+                StepEvent::FirstToken(request) => self.handle_first_token(now_us, request),
+                StepEvent::Token(request) => self.handle_token(now_us, request),
+                StepEvent::Done(request, computed) => {
+                    self.handle_completion(now_us, request, computed)
+                }
             }
         }
         self.begin_step(now_us, engine);
     }
 
-    fn first_token(&mut self, now_us: Micros, request: usize) {
+    fn handle_first_token(&mut self, now_us: Micros, request: usize) {
         let Some(state) = self.request_states.get_mut(&request) else {
             return;
         };
@@ -540,7 +550,7 @@
         self.notify_policy(now_us, pool, Input::FirstToken(request_id(request)));
     }
 
-    fn token(&mut self, now_us: Micros, request: usize) {
+    fn handle_token(&mut self, now_us: Micros, request: usize) {
         let Some(state) = self.request_states.get_mut(&request) else {
             return;
         };
@@ -559,7 +569,7 @@
         );
     }
 
-    fn done(&mut self, now_us: Micros, request: usize, computed: u32) {
+    fn handle_completion(&mut self, now_us: Micros, request: usize, computed: u32) {
         let line = self.line(request);
         let Some(state) = self.request_states.remove(&request) else {
             return;
@@ -588,6 +598,7 @@
         );
     }
 
+    /// Passes an input to the policy of a pool; it is lost while there is no leader.
     fn notify_policy(&mut self, now_us: Micros, pool: usize, input: Input) {
         if !self.leaderless {
             self.pool_policies[pool].handle(now_us, input);
@@ -618,8 +629,8 @@
         }
     }
 
-    fn expire(&mut self, now_us: Micros, request: usize) {
-        let unsent = |s: &&RequestState| is_waiting(s.lifecycle.stage());
+    fn handle_deadline(&mut self, now_us: Micros, request: usize) {
+        let unsent = |state: &&RequestState| is_waiting(state.lifecycle.stage());
         if self.request_states.get(&request).filter(unsent).is_none() {
             return;
         }
@@ -631,7 +642,7 @@
         }
     }
 
-    fn fault(&mut self, now_us: Micros, index: usize, active: bool) {
+    fn apply_fault(&mut self, now_us: Micros, index: usize, active: bool) {
         match &self.trace.header.faults[index] {
             TraceFault::Slow {
                 endpoint, factor, ..
@@ -715,7 +726,7 @@
         }
     }
 
-    fn report(&mut self, now_us: Micros) {
+    fn report_endpoints(&mut self, now_us: Micros) {
         self.schedule(now_us + REPORT_INTERVAL_US, Event::Report);
         let stale = self.trace.header.faults.iter().find_map(|f| match f {
             TraceFault::StaleReports { lag_ms } => Some(lag_ms * 1_000),
--- a/tests/product/replay.rs
+++ b/tests/product/replay.rs
@@ -1,4 +1,4 @@
-//! Recorded traces against outcomes stated beforehand; the same input gives the same output.
+//! Replays of stored traces against expected results, and checks that a replay is deterministic.
 
 use ryevalve::replay::{
     expect::{Expectations, unmet},
@@ -8,45 +8,45 @@
     trace::Trace,
 };
 
-fn all_policies(trace: &Trace) -> ReplayOutcome {
+fn replay_all_policies(trace: &Trace) -> ReplayOutcome {
     let policies: Vec<_> = POLICIES.iter().map(|name| name.parse().unwrap()).collect();
     replay(trace, &policies)
 }
 
-fn check(trace: &str, outcomes: &str) {
+fn check_expectations(trace: &str, toml: &str) {
     let trace = Trace::read(trace).unwrap();
-    let expectations: Expectations = toml::from_str(outcomes).unwrap();
+    let expectations: Expectations = toml::from_str(toml).unwrap();
     assert!(!expectations.expect.is_empty());
-    let outcome = all_policies(&trace);
+    let outcome = replay_all_policies(&trace);
     assert_eq!(unmet(&expectations, &outcome), [] as [String; 0]);
 }
 
 #[test]
-fn a_departure_bank_with_slow_engines() {
-    check(
+fn departure_bank_with_slow_engines_meets_expectations() {
+    check_expectations(
         include_str!("../traces/broye-slow-engine.jsonl"),
         include_str!("../traces/broye-slow-engine.toml"),
     );
 }
 
 #[test]
-fn a_departure_bank_whose_leader_dies() {
-    check(
+fn departure_bank_with_leader_crash_meets_expectations() {
+    check_expectations(
         include_str!("../traces/broye-leader-death.jsonl"),
         include_str!("../traces/broye-leader-death.toml"),
     );
 }
 
 #[test]
-fn a_disturbance_with_dying_engines() {
-    check(
+fn grid_disturbance_with_engine_crashes_meets_expectations() {
+    check_expectations(
         include_str!("../traces/steppe-endpoint-death.jsonl"),
         include_str!("../traces/steppe-endpoint-death.toml"),
     );
 }
 
 #[test]
-fn every_fault_replays_without_a_breach_and_the_same_each_time() {
+fn replay_of_every_fault_is_deterministic_and_without_breaches() {
     for (_, workload) in WORKLOADS {
         for (_, fault) in FAULTS {
             let trace = generate(workload, 5, 120, fault);
@@ -57,14 +57,14 @@
                 Trace::read(std::str::from_utf8(&text).unwrap()).unwrap(),
                 trace
             );
-            let [first, again] = [(); 2].map(|()| {
-                let mut outcome = all_policies(&trace);
+            let [first, second] = [(); 2].map(|()| {
+                let mut outcome = replay_all_policies(&trace);
                 for policy in &mut outcome.policies {
                     (policy.decision_us_p50, policy.decision_us_p99) = (0.0, 0.0);
                 }
                 outcome
             });
-            assert_eq!(first, again);
+            assert_eq!(first, second);
             for policy in &first.policies {
                 assert_eq!(policy.violations, 0, "{:?}", policy.breaches);
                 for (tier, bound) in policy.tiers.iter().zip(&first.bound.tiers) {
@@ -80,9 +80,9 @@
 }
 
 #[test]
-fn a_stated_outcome_that_does_not_hold_is_said() {
+fn unmet_expectations_are_reported() {
     let trace = Trace::read(include_str!("../traces/broye-slow-engine.jsonl")).unwrap();
-    let outcome = all_policies(&trace);
+    let outcome = replay_all_policies(&trace);
     let text = "[[expect]]\npolicy = 'fifo'\ntier = 'gate'\nmin_share_of_bound = 0.99\n\
                 [[expect]]\npolicy = 'nobody'\n[[expect]]\npolicy = 'fifo'\nnot_behind_others = true";
     let expectations: Expectations = toml::from_str(text).unwrap();
