--- a/src/replay/generate.rs
+++ b/src/replay/generate.rs
@@ -107,7 +107,7 @@
     tiers: [TierShape; 3],
     /// Fewest and most blocks of the prompt prefix that all requests of an organisation share.
     common_blocks: (u32, u32),
-    /// Number of subjects (flights, sites) that requests are about. Requests about the same subject share a prefix.
+    /// Number of subjects (flights, sites) of each organisation; requests about the same subject share a prefix.
     subjects: u64,
     /// Fewest and most blocks of the prefix of a subject.
     subject_blocks: (u32, u32),
