--- a/tests/cluster/answers.rs
+++ b/tests/cluster/answers.rs
@@ -14,9 +14,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn ten_thousand_answers_are_whole_and_the_callers_own() {
-    let plan = Plan {
-        engines: vec![quick(), quick(), slow(4, 2), slow(16, 1)],
-        ..Plan::default()
+    let plan = ClusterOptions {
+        engines: vec![
+            fast_engine(),
+            fast_engine(),
+            slow_engine(4, 2),
+            slow_engine(16, 1),
+        ],
+        ..ClusterOptions::default()
     };
     let cluster = Cluster::start(plan).await;
     for (index, engine) in cluster.engines.iter().enumerate() {
@@ -36,11 +41,11 @@
         cluster.check_answers(&answers);
         for (_, got) in answers {
             let got = got.expect("an answer");
-            let is_whole = got.status == StatusCode::OK && got.whole;
+            let is_whole = got.status == StatusCode::OK && got.complete;
             whole += usize::from(is_whole);
             if !is_whole {
                 cut += 1;
-                let unknown = got.verdict() == "outcome_unknown"
+                let unknown = got.error_type() == "outcome_unknown"
                     || got
                         .text
                         .contains("event: error\ndata: {\"error\":{\"type\":\"outcome_unknown\"");
@@ -54,28 +59,28 @@
     assert!(resumed > 0, "no stream was resumed, so nothing was tested");
     assert!(cut > 0, "no stream was cut for good, so nothing was tested");
     for instance in &cluster.instances {
-        instance.wait_held(0, 0).await;
+        instance.wait_for_counts(0, 0).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_frees_the_engine() {
-    let plan = Plan {
-        engines: vec![slow(1, 20)],
+    let plan = ClusterOptions {
+        engines: vec![slow_engine(1, 20)],
         instances: 1,
-        ..Plan::default()
+        ..ClusterOptions::default()
     };
     let cluster = Cluster::start(plan).await;
     let to = cluster.instances[0].callers;
     let long =
         tokio::spawn(async move { Call::completion("gate", "long", 5_000, true).send(to).await });
-    cluster.instances[0].wait_held(0, 1).await;
+    cluster.instances[0].wait_for_counts(0, 1).await;
     long.abort();
-    until("the engine to be idle", async || {
+    wait_until("the engine to be idle", async || {
         cluster.engines[0].busy() == 0
     })
     .await;
-    cluster.instances[0].wait_held(0, 0).await;
+    cluster.instances[0].wait_for_counts(0, 0).await;
     assert_eq!(cluster.engines[0].counts().cancelled, 1);
     let next = Call::completion("gate", "next", 3, false)
         .send(to)
@@ -86,7 +91,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_input_gets_a_clear_answer_and_leaves_nothing() {
-    let plan = Plan {
+    let plan = ClusterOptions {
         instances: 1,
         flags: [
             "--max-body-bytes",
@@ -98,7 +103,7 @@
         ]
         .map(str::to_owned)
         .to_vec(),
-        ..Plan::default()
+        ..ClusterOptions::default()
     };
     let cluster = Cluster::start(plan).await;
     let to = cluster.instances[0].callers;
@@ -128,23 +133,39 @@
             404,
             "unknown_service",
         ),
-        (good().with("x-tier", "gatte"), 400, "unknown_tier"),
-        (good().with("x-deadline-ms", "0"), 400, "bad_deadline"),
-        (good().with("x-deadline-ms", "9999999"), 400, "bad_deadline"),
-        (good().with("x-deadline-ms", "soon"), 400, "bad_deadline"),
-        (good().with("authorization", "Basic abc"), 401, "no_key"),
+        (good().with_header("x-tier", "gatte"), 400, "unknown_tier"),
         (
-            good().with("authorization", "Bearer wrong"),
+            good().with_header("x-deadline-ms", "0"),
+            400,
+            "bad_deadline",
+        ),
+        (
+            good().with_header("x-deadline-ms", "9999999"),
+            400,
+            "bad_deadline",
+        ),
+        (
+            good().with_header("x-deadline-ms", "soon"),
+            400,
+            "bad_deadline",
+        ),
+        (
+            good().with_header("authorization", "Basic abc"),
+            401,
+            "no_key",
+        ),
+        (
+            good().with_header("authorization", "Bearer wrong"),
             401,
             "unknown_key",
         ),
         (
-            good().with("x-organisation", "other"),
+            good().with_header("x-organisation", "other"),
             403,
             "wrong_organisation",
         ),
         (
-            good().with("authorization", &format!("Bearer {OTHER_KEY}")),
+            good().with_header("authorization", &format!("Bearer {OTHER_KEY}")),
             403,
             "tier_not_allowed",
         ),
@@ -160,7 +181,7 @@
             400,
             "key_required",
         ),
-        (Call::tag(&"k".repeat(300), "t"), 400, "key_too_long"),
+        (Call::bag_tag(&"k".repeat(300), "t"), 400, "key_too_long"),
     ];
     for (call, status, reason) in table {
         let got = call.send(to).await.expect("an answer");
@@ -169,7 +190,7 @@
             (status, reason),
             "{got:?}"
         );
-        assert_eq!(got.verdict(), "bad_request");
+        assert_eq!(got.error_type(), "bad_request");
     }
     assert!(slow_body(to).await.starts_with("HTTP/1.1 408"));
     // An idle connection is closed.
@@ -185,7 +206,7 @@
         "y".repeat(200_000)
     );
     assert!(raw(to, huge.as_bytes()).await.contains("431"));
-    cluster.instances[0].wait_held(0, 0).await;
+    cluster.instances[0].wait_for_counts(0, 0).await;
     assert!(cluster.starts().is_empty());
     assert_eq!(good().send(to).await.unwrap().status, StatusCode::OK);
 }
@@ -206,7 +227,7 @@
     let mut answer = Vec::new();
     let mut part = [0; 1_024];
     loop {
-        let read = tokio::time::timeout(PATIENCE, stream.read(&mut part)).await;
+        let read = tokio::time::timeout(TEST_TIMEOUT, stream.read(&mut part)).await;
         match read.expect("the connection to be closed") {
             Ok(0) | Err(_) => return String::from_utf8_lossy(&answer).into_owned(),
             Ok(len) => answer.extend_from_slice(&part[..len]),
--- a/tests/cluster/configuration.rs
+++ b/tests/cluster/configuration.rs
@@ -7,10 +7,10 @@
 
 use crate::support::*;
 
-fn three() -> Plan {
-    Plan {
+fn three() -> ClusterOptions {
+    ClusterOptions {
         instances: 3,
-        ..Plan::default()
+        ..ClusterOptions::default()
     }
 }
 
@@ -114,9 +114,9 @@
         "{},{}",
         cluster.instances[0].peers, cluster.instances[2].peers
     );
-    cluster.instances[1].flags(&["--seeds", &seeds]);
+    cluster.instances[1].add_flags(&["--seeds", &seeds]);
     cluster.instances[1].spawn();
-    cluster.wait_met().await;
+    cluster.wait_for_membership().await;
     assert_eq!(versions(&cluster).await, [2; 3]);
     cluster.platform.fault(|f| f.down = false);
     tokio::time::sleep(std::time::Duration::from_millis(2_500)).await;
@@ -125,7 +125,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_faulty_change_is_refused_with_every_fault() {
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let text = "set endpoint { name = \"agent-1\", pool = \"agnet\", hall = \"nrod\" }";
     let reply = cluster.instances[0].command(text).await;
     assert_eq!(reply.status, Status::BadInput);
--- a/tests/cluster/failures.rs
+++ b/tests/cluster/failures.rs
@@ -7,11 +7,11 @@
 use crate::support::*;
 
 /// Long enough that a leader can be killed while requests wait and run.
-fn busy_plan(instances: usize) -> Plan {
-    Plan {
+fn busy_plan(instances: usize) -> ClusterOptions {
+    ClusterOptions {
         instances,
-        engines: vec![slow(2, 10), slow(2, 10)],
-        ..Plan::default()
+        engines: vec![slow_engine(2, 10), slow_engine(2, 10)],
+        ..ClusterOptions::default()
     }
 }
 
@@ -36,7 +36,7 @@
         .collect();
     let sent = tokio::spawn(async move { send_all(calls(60, 10), &to).await });
     for n in &others {
-        until("requests to wait", async || {
+        wait_until("requests to wait", async || {
             cluster.instances[*n].dump().await["waiting"].as_u64() > Some(10)
         })
         .await;
@@ -47,7 +47,7 @@
     for (_, got) in &answers {
         let got = got.as_ref().expect("an answer");
         assert!(
-            got.status == StatusCode::OK && got.whole,
+            got.status == StatusCode::OK && got.complete,
             "lost with the leader: {got:?}"
         );
     }
@@ -63,7 +63,7 @@
     others_lose_nothing(async |cluster, leader| {
         cluster.instances[leader].signal("STOP");
         let other = (leader + 1) % 3;
-        until("another leader", async || {
+        wait_until("another leader", async || {
             let state = cluster.instances[other].dump().await;
             let members = state["peers"]["members"]
                 .as_array()
@@ -73,7 +73,7 @@
         })
         .await;
         cluster.instances[leader].signal("CONT");
-        cluster.wait_met().await;
+        cluster.wait_for_membership().await;
     })
     .await;
 }
@@ -92,7 +92,7 @@
     let to_dying = vec![all[leader], all[entry]];
     let dying = tokio::spawn(async move { send_all(calls(30, 10), &to_dying).await });
     let living = tokio::spawn(async move { send_all(calls(30, 10), &to_rest).await });
-    until("requests to wait", async || {
+    wait_until("requests to wait", async || {
         cluster.instances[rest[0]].dump().await["waiting"].as_u64() > Some(4)
     })
     .await;
@@ -106,14 +106,14 @@
     for (_, got) in &living {
         assert!(
             got.as_ref()
-                .is_some_and(|g| g.status == StatusCode::OK && g.whole),
+                .is_some_and(|g| g.status == StatusCode::OK && g.complete),
             "{got:?}"
         );
     }
     // A fresh start under the same name takes its place.
     cluster.instances[leader].spawn();
     cluster.instances[entry].spawn();
-    cluster.wait_met().await;
+    cluster.wait_for_membership().await;
     let got = Call::completion("gate", "again", 2, false)
         .send(all[leader])
         .await
@@ -126,10 +126,10 @@
     let mut cluster = Cluster::start(busy_plan(2)).await;
     let to = cluster.instances[0].callers;
     let sent = tokio::spawn(async move { send_all(calls(20, 20), &[to]).await });
-    cluster.instances[0].wait_held(16, 4).await;
+    cluster.instances[0].wait_for_counts(16, 4).await;
     cluster.instances[0].signal("TERM");
     let operators = cluster.instances[0].operators;
-    until("not ready to be seen", async || {
+    wait_until("not ready to be seen", async || {
         let raw = Call::new("/readyz", "");
         raw.send(operators)
             .await
@@ -141,13 +141,13 @@
     for (_, got) in &answers {
         let got = got.as_ref().expect("an answer");
         assert!(
-            got.status == StatusCode::OK && got.whole,
+            got.status == StatusCode::OK && got.complete,
             "cut off by the stop: {got:?}"
         );
     }
     assert_eq!(cluster.instances[0].wait_exit().await, Some(0));
     let left = &cluster.instances[1];
-    until("the one that left to be known as gone", async || {
+    wait_until("the one that left to be known as gone", async || {
         let state = left.dump().await;
         state["peers"]["members"]
             .as_array()
@@ -160,9 +160,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drain_holds_everywhere_with_the_platform_down() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterOptions {
         instances: 3,
-        ..Plan::default()
+        ..ClusterOptions::default()
     })
     .await;
     cluster.platform.fault(|f| f.down = true);
@@ -196,9 +196,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn serving_goes_on_while_the_platform_is_away_and_instances_come_and_go() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterOptions {
         instances: 3,
-        ..Plan::default()
+        ..ClusterOptions::default()
     })
     .await;
     cluster.platform.fault(|f| f.down = true);
@@ -215,9 +215,9 @@
         "{},{}",
         cluster.instances[1].peers, cluster.instances[2].peers
     );
-    cluster.instances[0].flags(&["--seeds", &seeds]);
+    cluster.instances[0].add_flags(&["--seeds", &seeds]);
     cluster.instances[0].spawn();
-    cluster.wait_met().await;
+    cluster.wait_for_membership().await;
     let version = &cluster.instances[0].dump().await["config_version"];
     assert_eq!(*version, 1);
     let got = Call::completion("gate", "x", 2, false)
@@ -231,7 +231,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_endpoint_that_is_gone_gets_what_was_not_sent_elsewhere() {
-    let mut cluster = Cluster::start(Plan::default()).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     // Its listener closes: connects fail, so nothing was sent, and the requests go elsewhere.
     drop(cluster.engines.remove(0));
     let to: Vec<_> = cluster.instances.iter().map(|i| i.callers).collect();
@@ -240,7 +240,7 @@
     for (_, got) in &answers {
         assert!(
             got.as_ref()
-                .is_some_and(|g| g.status == StatusCode::OK && g.whole),
+                .is_some_and(|g| g.status == StatusCode::OK && g.complete),
             "{got:?}"
         );
     }
@@ -248,16 +248,16 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_expired_request_did_not_run() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterOptions {
         instances: 1,
-        engines: vec![slow(1, 20)],
-        ..Plan::default()
+        engines: vec![slow_engine(1, 20)],
+        ..ClusterOptions::default()
     })
     .await;
     let to = cluster.instances[0].callers;
     let long =
         tokio::spawn(async move { Call::completion("gate", "long", 300, false).send(to).await });
-    cluster.instances[0].wait_held(0, 1).await;
+    cluster.instances[0].wait_for_counts(0, 1).await;
     let short = Call::completion("gate", "short", 1, false).deadline_ms(200);
     let got = short.send(to).await.unwrap();
     assert_eq!(
--- a/tests/cluster/not_repeatable.rs
+++ b/tests/cluster/not_repeatable.rs
@@ -4,10 +4,10 @@
 
 use crate::support::*;
 
-fn three() -> Plan {
-    Plan {
+fn three() -> ClusterOptions {
+    ClusterOptions {
         instances: 3,
-        ..Plan::default()
+        ..ClusterOptions::default()
     }
 }
 
@@ -15,7 +15,8 @@
 async fn the_same_key_through_every_instance_at_once_runs_once() {
     let cluster = Cluster::start(three()).await;
     let to: Vec<_> = cluster.instances.iter().map(|i| i.callers).collect();
-    let calls = (0..60).map(|n| Call::tag(&format!("key-{}", n / 6), &format!("tag {}", n / 6)));
+    let calls =
+        (0..60).map(|n| Call::bag_tag(&format!("key-{}", n / 6), &format!("tag {}", n / 6)));
     let answers = send_all(calls.collect(), &to).await;
     cluster.check_answers(&answers);
     assert_eq!(cluster.plain.executions().len(), 10);
@@ -36,9 +37,12 @@
 async fn keys_of_two_organisations_do_not_meet() {
     let cluster = Cluster::start(three()).await;
     let to = cluster.instances[0].callers;
-    let first = Call::tag("same", "of the airline").send(to).await.unwrap();
-    let other =
-        Call::tag("same", "of the other").with("authorization", &format!("Bearer {OTHER_KEY}"));
+    let first = Call::bag_tag("same", "of the airline")
+        .send(to)
+        .await
+        .unwrap();
+    let other = Call::bag_tag("same", "of the other")
+        .with_header("authorization", &format!("Bearer {OTHER_KEY}"));
     let second = other.send(to).await.unwrap();
     assert_eq!(
         (first.status, second.status),
@@ -52,7 +56,7 @@
     for n in 0..6 {
         cluster.platform.fault(|f| f.lose_write_answers = 1);
         let to = cluster.instances[n % 3].callers;
-        let call = Call::tag(&format!("k{n}"), &format!("t{n}"));
+        let call = Call::bag_tag(&format!("k{n}"), &format!("t{n}"));
         let got = call.send(to).await.unwrap();
         assert_eq!(
             got.status,
@@ -73,9 +77,9 @@
     let mut cluster = Cluster::start(three()).await;
     cluster.platform.fault(|f| f.down = true);
     let to = cluster.instances[0].callers;
-    let refused = Call::tag("key", "with a key").send(to).await.unwrap();
+    let refused = Call::bag_tag("key", "with a key").send(to).await.unwrap();
     assert_eq!(
-        (refused.verdict().as_str(), refused.reason().as_str()),
+        (refused.error_type().as_str(), refused.reason().as_str()),
         ("not_run", "claim_unavailable")
     );
     assert!(refused.retry_after.is_some());
@@ -87,7 +91,7 @@
         cluster.instances[2].callers,
         to,
     ];
-    let calls = vec![Call::tag(&ticket, "with a ticket"); 9];
+    let calls = vec![Call::bag_tag(&ticket, "with a ticket"); 9];
     let answers = send_all(calls, &others).await;
     cluster.check_answers(&answers);
     let ok = answers
@@ -99,8 +103,8 @@
     let fresh = Call::new("/v1/tickets", "").send(to).await.unwrap().json();
     let fresh = fresh["ticket"].as_str().unwrap().to_owned();
     cluster.instances[0].kill();
-    let got = Call::tag(&fresh, "late").send(others[0]).await.unwrap();
-    assert_eq!(got.verdict(), "outcome_unknown");
+    let got = Call::bag_tag(&fresh, "late").send(others[0]).await.unwrap();
+    assert_eq!(got.error_type(), "outcome_unknown");
     assert!(!cluster.plain.executions().contains_key("late"));
 }
 
@@ -111,12 +115,12 @@
         .plain
         .fault(|f| f.delay = std::time::Duration::from_secs(2));
     let to = cluster.instances[0].callers;
-    let call = Call::tag("key", "tag");
+    let call = Call::bag_tag("key", "tag");
     let first = tokio::spawn({
         let call = call.clone();
         async move { call.send(to).await }
     });
-    until("it to be carried out", async || {
+    wait_until("it to be carried out", async || {
         cluster.plain.executions().contains_key("tag")
     })
     .await;
@@ -124,7 +128,7 @@
     assert!(first.await.unwrap().is_none(), "the dead answered");
     let again = call.send(cluster.instances[1].callers).await.unwrap();
     assert_eq!(
-        (again.verdict().as_str(), again.reason().as_str()),
+        (again.error_type().as_str(), again.reason().as_str()),
         ("outcome_unknown", "duplicate_key")
     );
     cluster.check_answers(&[(call, Some(again))]);
@@ -137,13 +141,13 @@
     cluster
         .platform
         .fault(|f| f.delay = std::time::Duration::from_millis(400));
-    let call = Call::tag("key", "tag");
+    let call = Call::bag_tag("key", "tag");
     let to = cluster.instances[0].callers;
     let first = tokio::spawn({
         let call = call.clone();
         async move { call.send(to).await }
     });
-    cluster.instances[0].wait_held(1, 0).await;
+    cluster.instances[0].wait_for_counts(1, 0).await;
     cluster.instances[0].signal("STOP");
     tokio::time::sleep(std::time::Duration::from_millis(1_500)).await;
     let again = call.send(cluster.instances[1].callers).await.unwrap();
@@ -164,14 +168,14 @@
 async fn an_answer_lost_after_it_ran_is_unknown() {
     let cluster = Cluster::start(three()).await;
     cluster.plain.fault(|f| f.lose_answers = 1);
-    let call = Call::tag("key", "tag");
+    let call = Call::bag_tag("key", "tag");
     let got = call.send(cluster.instances[0].callers).await.unwrap();
-    assert_eq!(got.verdict(), "outcome_unknown");
+    assert_eq!(got.error_type(), "outcome_unknown");
     let again = call.send(cluster.instances[1].callers).await.unwrap();
     assert_eq!(again.reason(), "duplicate_key");
     cluster.plain.fault(|f| f.cut_answers = 1);
-    let cut = Call::tag("key-2", "tag-2");
+    let cut = Call::bag_tag("key-2", "tag-2");
     let got = cut.send(cluster.instances[0].callers).await;
-    assert!(got.is_none_or(|g| !g.whole), "a cut answer looked whole");
+    assert!(got.is_none_or(|g| !g.complete), "a cut answer looked whole");
     cluster.check_answers(&[(call, Some(again))]);
 }
--- a/tests/cluster/operators.rs
+++ b/tests/cluster/operators.rs
@@ -6,23 +6,23 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn any_instance_queries_all_and_lists_those_that_did_not_answer() {
-    let mut cluster = Cluster::start(Plan {
+    let mut cluster = Cluster::start(ClusterOptions {
         instances: 3,
-        engines: vec![slow(1, 20)],
-        ..Plan::default()
+        engines: vec![slow_engine(1, 20)],
+        ..ClusterOptions::default()
     })
     .await;
     let caller_addrs: Vec<_> = cluster.instances.iter().map(|i| i.callers).collect();
     let calls = (0..9).map(|n| Call::completion("gate", &format!("p{n}"), 400, false));
     let sent = tokio::spawn(async move { send_all(calls.collect(), &caller_addrs).await });
     for instance in &cluster.instances {
-        until("three to be held", async || {
+        wait_until("three to be held", async || {
             let state = instance.dump().await;
             state["waiting"].as_u64().unwrap_or(0) + state["running"].as_u64().unwrap_or(0) == 3
         })
         .await;
     }
-    until("eight to wait", async || {
+    wait_until("eight to wait", async || {
         let reply = cluster.instances[0].command("queued count").await;
         reply.rows[0]["count"] == 8
     })
@@ -49,14 +49,14 @@
     let id = reply.rows[0]["id"].as_str().unwrap().to_owned();
     // The entry instance counts a request as queued before the pool's leader has decided that it waits. Until then
     // `why` answers only that the entry instance holds it.
-    until("its leader to say why it waits", async || {
+    wait_until("its leader to say why it waits", async || {
         let why = cluster.instances[0].command(&format!("why {id}")).await;
         format!("{why:?}").contains("endpoints have room")
     })
     .await;
     let cancelled = cluster.instances[2].command(&format!("cancel {id}")).await;
     assert_eq!(cancelled.status, Status::Done);
-    until("the cancelled one to be gone", async || {
+    wait_until("the cancelled one to be gone", async || {
         cluster.instances[0].command("queued count").await.rows[0]["count"] == 7
     })
     .await;
@@ -70,7 +70,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn reader_can_query_but_not_change_and_wrong_keys_are_rejected() {
-    let cluster = Cluster::start(Plan::default()).await;
+    let cluster = Cluster::start(ClusterOptions::default()).await;
     let one = &cluster.instances[0];
     let queried = one
         .command_as(READER_KEY, "show instances", None)
@@ -99,9 +99,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn endpoint_orders_carry_increasing_fences_and_weight_loads_are_rate_limited() {
-    let cluster = Cluster::start(Plan {
+    let cluster = Cluster::start(ClusterOptions {
         extra_toml: "[policy]\nweight_loads_per_minute = 2\n".to_owned(),
-        ..Plan::default()
+        ..ClusterOptions::default()
     })
     .await;
     let order = "order endpoint agent-1 load model m1";
@@ -143,7 +143,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn instance_can_be_stopped_through_another() {
-    let mut cluster = Cluster::start(Plan::default()).await;
+    let mut cluster = Cluster::start(ClusterOptions::default()).await;
     let reply = cluster.instances[0].command("stop instance i2").await;
     assert_eq!(reply.status, Status::Done, "{reply:?}");
     assert_eq!(cluster.instances[1].wait_exit().await, Some(0));
--- a/tests/cluster/shedding.rs
+++ b/tests/cluster/shedding.rs
@@ -5,12 +5,12 @@
 use crate::support::*;
 
 /// One slow engine and room for few waiting requests.
-fn crowded(instances: usize) -> Plan {
-    Plan {
+fn crowded(instances: usize) -> ClusterOptions {
+    ClusterOptions {
         instances,
-        engines: vec![slow(1, 5)],
+        engines: vec![slow_engine(1, 5)],
         max_waiting: 10,
-        ..Plan::default()
+        ..ClusterOptions::default()
     }
 }
 
@@ -20,8 +20,8 @@
         .collect()
 }
 
-fn shed(answers: &[(Call, Option<Got>)]) -> usize {
-    let was_shed = |g: &Got| matches!(g.reason().as_str(), "queue_full" | "tier_shed");
+fn shed(answers: &[(Call, Option<Response>)]) -> usize {
+    let was_shed = |g: &Response| matches!(g.reason().as_str(), "queue_full" | "tier_shed");
     answers
         .iter()
         .filter(|(_, g)| g.as_ref().is_some_and(was_shed))
@@ -51,7 +51,7 @@
     let told = kiosk
         .iter()
         .filter_map(|(_, g)| g.as_ref())
-        .filter(|g| g.verdict() == "not_run");
+        .filter(|g| g.error_type() == "not_run");
     assert!(told.clone().count() > 0);
     for got in told {
         assert!(got.retry_after.is_some(), "{got:?}");
@@ -84,10 +84,10 @@
     let busy_at = cluster.instances[leader].callers;
     let long = vec![Call::completion("gate", "long", 600, false)];
     let busy = tokio::spawn(async move { send_all(long, &[busy_at]).await });
-    cluster.instances[leader].wait_held(0, 1).await;
+    cluster.instances[leader].wait_for_counts(0, 1).await;
     let kept_at = cluster.instances[paused].callers;
     let kept = tokio::spawn(async move { send_all(of_tier("kiosk", 1), &[kept_at]).await });
-    cluster.instances[paused].wait_held(1, 0).await;
+    cluster.instances[paused].wait_for_counts(1, 0).await;
     cluster.instances[paused].signal("STOP");
     let to = cluster.instances[entry].callers;
     let gate = send_all(of_tier("gate", 50), &[to]).await;
--- a/tests/cluster/support.rs
+++ b/tests/cluster/support.rs
@@ -33,7 +33,7 @@
 pub const READER_KEY: &str = "reader-key-of-the-tests";
 const CLUSTER_KEY: &str = "cluster-key-of-the-tests";
 /// Far above what anything here takes: only a hang reaches it.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 static NEXT_CLUSTER: AtomicU8 = AtomicU8::new(1);
 
@@ -57,7 +57,7 @@
 }
 
 /// How a cluster is made.
-pub struct Plan {
+pub struct ClusterOptions {
     pub instances: usize,
     pub engines: Vec<Speed>,
     pub max_waiting: u32,
@@ -65,11 +65,11 @@
     pub flags: Vec<String>,
 }
 
-impl Default for Plan {
+impl Default for ClusterOptions {
     fn default() -> Self {
         Self {
             instances: 2,
-            engines: vec![quick(), quick()],
+            engines: vec![fast_engine(), fast_engine()],
             max_waiting: 20_000,
             extra_toml: String::new(),
             flags: Vec::new(),
@@ -77,7 +77,7 @@
     }
 }
 
-pub fn quick() -> Speed {
+pub fn fast_engine() -> Speed {
     Speed {
         slots: 8,
         prefill_tokens_per_s: 200_000.0,
@@ -86,32 +86,32 @@
     }
 }
 
-pub fn slow(slots: usize, step_ms: u64) -> Speed {
+pub fn slow_engine(slots: usize, step_ms: u64) -> Speed {
     Speed {
         slots,
         step: Duration::from_millis(step_ms),
-        ..quick()
+        ..fast_engine()
     }
 }
 
 /// What a caller got.
 #[derive(Debug, Clone)]
-pub struct Got {
+pub struct Response {
     pub status: StatusCode,
     pub id: Option<String>,
     pub retry_after: Option<String>,
     pub text: String,
     /// Whether the body came to its marked end.
-    pub whole: bool,
+    pub complete: bool,
 }
 
-impl Got {
+impl Response {
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.text).unwrap_or(Value::Null)
     }
 
     /// The refusal's type: `not_run`, `outcome_unknown` or `bad_request`.
-    pub fn verdict(&self) -> String {
+    pub fn error_type(&self) -> String {
         self.json()["error"]["type"]
             .as_str()
             .unwrap_or("")
@@ -139,11 +139,11 @@
         let body = serde_json::json!({
             "model": "agent-llm", "prompt": prompt, "max_tokens": tokens, "stream": stream,
         });
-        Self::new("/v1/completions", &body.to_string()).with("x-tier", tier)
+        Self::new("/v1/completions", &body.to_string()).with_header("x-tier", tier)
     }
 
-    pub fn tag(key: &str, body: &str) -> Self {
-        Self::new("/v1/services/departure-ctl/bag-tags", body).with("idempotency-key", key)
+    pub fn bag_tag(key: &str, body: &str) -> Self {
+        Self::new("/v1/services/departure-ctl/bag-tags", body).with_header("idempotency-key", key)
     }
 
     pub fn new(path: &str, body: &str) -> Self {
@@ -155,24 +155,24 @@
         }
     }
 
-    pub fn with(mut self, name: &str, value: &str) -> Self {
+    pub fn with_header(mut self, name: &str, value: &str) -> Self {
         self.headers.retain(|(n, _)| n != name);
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
 
     pub fn deadline_ms(self, ms: u64) -> Self {
-        self.with("x-deadline-ms", &ms.to_string())
+        self.with_header("x-deadline-ms", &ms.to_string())
     }
 
     /// Sends it; none if no answer's head came.
-    pub async fn send(&self, to: SocketAddr) -> Option<Got> {
-        time::timeout(PATIENCE, self.try_send(to))
+    pub async fn send(&self, to: SocketAddr) -> Option<Response> {
+        time::timeout(TEST_TIMEOUT, self.try_send(to))
             .await
             .expect("an answer, or a broken connection")
     }
 
-    async fn try_send(&self, to: SocketAddr) -> Option<Got> {
+    async fn try_send(&self, to: SocketAddr) -> Option<Response> {
         let stream = TcpStream::connect(to).await.ok()?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(connection);
@@ -192,28 +192,28 @@
         };
         let (id, retry_after) = (header("x-request-id"), header("retry-after"));
         let mut text = Vec::new();
-        let mut whole = true;
+        let mut complete = true;
         while let Some(frame) = response.body_mut().frame().await {
             match frame {
                 Ok(frame) => text.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
                 Err(_) => {
-                    whole = false;
+                    complete = false;
                     break;
                 }
             }
         }
-        Some(Got {
+        Some(Response {
             status: response.status(),
             id,
             retry_after,
             text: String::from_utf8_lossy(&text).into_owned(),
-            whole,
+            complete,
         })
     }
 }
 
 /// Returns the text of an answer of the engine: from JSON, or from the events of a stream.
-pub fn answer_text(got: &Got) -> String {
+pub fn completion_text(got: &Response) -> String {
     if let Some(text) = got.json()["choices"][0]["text"].as_str() {
         return text.to_owned();
     }
@@ -225,7 +225,7 @@
 }
 
 impl Cluster {
-    pub async fn start(plan: Plan) -> Self {
+    pub async fn start(plan: ClusterOptions) -> Self {
         let platform = Platform::start().await;
         let plain = Plain::start().await;
         let mut engines = Vec::new();
@@ -252,15 +252,15 @@
             instances,
         };
         cluster.put_config(1, &cluster.toml(&plan));
-        cluster.list_all();
+        cluster.register_instances();
         for instance in &mut cluster.instances {
             instance.spawn();
         }
-        cluster.wait_met().await;
+        cluster.wait_for_membership().await;
         cluster
     }
 
-    pub fn toml(&self, plan: &Plan) -> String {
+    pub fn toml(&self, plan: &ClusterOptions) -> String {
         let mut toml = format!(
             r#"
             hall = [{{ name = "nord", data_centre = "broye" }}]
@@ -319,7 +319,7 @@
         self.platform.put(CONFIG_KEY, stored.write());
     }
 
-    pub fn list_all(&self) {
+    pub fn register_instances(&self) {
         let listed = |i: &Instance| Listed {
             name: i.name.clone(),
             peer_addr: i.peers,
@@ -330,11 +330,11 @@
     }
 
     /// Waits until every running instance is ready and sees as many alive as run.
-    pub async fn wait_met(&self) {
+    pub async fn wait_for_membership(&self) {
         let running = self.running();
         for instance in &running {
             let what = format!("{} to be ready and to see {}", instance.name, running.len());
-            until(&what, async || {
+            wait_until(&what, async || {
                 let state = instance.dump().await;
                 let alive = state["peers"]["members"].as_array().map_or(0, |members| {
                     members.iter().filter(|m| m["liveness"] == "Alive").count()
@@ -382,26 +382,30 @@
     }
 
     /// Checks what must hold of every answer that was got, whatever happened.
-    pub fn check_answers(&self, answers: &[(Call, Option<Got>)]) {
+    pub fn check_answers(&self, answers: &[(Call, Option<Response>)]) {
         let starts = self.starts();
         for (id, count) in &starts {
             assert_eq!(*count, 1, "request {id} was dispatched {count} times");
         }
         for (call, got) in answers {
             let Some(got) = got else { continue };
-            if got.verdict() == "not_run" {
+            if got.error_type() == "not_run" {
                 let id = got.id.clone().or(got.json()["error"]["request_id"]
                     .as_str()
                     .map(str::to_owned));
                 let ran = id.is_some_and(|id| starts.contains_key(&id));
                 assert!(!ran, "told not_run, but it ran: {got:?}");
             }
-            if got.status == StatusCode::OK && got.whole && call.path == "/v1/completions" {
+            if got.status == StatusCode::OK && got.complete && call.path == "/v1/completions" {
                 let body: Value = serde_json::from_str(&call.body).unwrap();
                 let prompt = body["prompt"].as_str().unwrap();
                 let tokens = body["max_tokens"].as_u64().unwrap() as u32;
                 let expected = standins::engine::expected_text(prompt, tokens);
-                assert_eq!(answer_text(got), expected, "another's answer, or not whole");
+                assert_eq!(
+                    completion_text(got),
+                    expected,
+                    "another's answer, or not whole"
+                );
                 if body["stream"] == true {
                     assert!(got.text.ends_with("data: [DONE]\n\n"));
                 }
@@ -452,7 +456,7 @@
     }
 
     /// Adds flags for the next start.
-    pub fn flags(&mut self, flags: &[&str]) {
+    pub fn add_flags(&mut self, flags: &[&str]) {
         self.extra.extend(flags.iter().map(|f| (*f).to_owned()));
     }
 
@@ -529,8 +533,8 @@
     }
 
     /// Waits until so many requests wait and run here.
-    pub async fn wait_held(&self, waiting: u64, running: u64) {
-        until(
+    pub async fn wait_for_counts(&self, waiting: u64, running: u64) {
+        wait_until(
             &format!("{waiting} waiting and {running} running"),
             async || {
                 let state = self.dump().await;
@@ -548,16 +552,19 @@
 }
 
 /// Waits for a condition.
-pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let started = time::Instant::now();
     while !holds().await {
-        assert!(started.elapsed() < PATIENCE, "waited in vain for {what}");
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "waited in vain for {what}"
+        );
         time::sleep(Duration::from_millis(20)).await;
     }
 }
 
 /// Sends many calls at once, in turn to the given addresses.
-pub async fn send_all(calls: Vec<Call>, to: &[SocketAddr]) -> Vec<(Call, Option<Got>)> {
+pub async fn send_all(calls: Vec<Call>, to: &[SocketAddr]) -> Vec<(Call, Option<Response>)> {
     let mut tasks = Vec::new();
     for (index, call) in calls.into_iter().enumerate() {
         let to = to[index % to.len()];
