--- a/tests/cluster/support.rs
+++ b/tests/cluster/support.rs
@@ -1,4 +1,4 @@
-//! Starts instances as processes of their own among stand-ins, and calls them.
+//! Starts instances as child processes against stand-in servers and sends requests to them.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -32,23 +32,23 @@
 pub const OPERATOR_KEY: &str = "operator-key-of-the-tests";
 pub const READER_KEY: &str = "reader-key-of-the-tests";
 const CLUSTER_KEY: &str = "cluster-key-of-the-tests";
-/// Far above what anything here takes: only a hang reaches it.
+/// Far longer than any step of these tests takes, so that only a hang reaches it.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 static NEXT_CLUSTER: AtomicU8 = AtomicU8::new(1);
 
-/// One instance, as a process.
+/// An instance that runs as a child process.
 pub struct Instance {
     pub name: String,
     pub callers: SocketAddr,
     pub operators: SocketAddr,
     pub peers: SocketAddr,
     platform: SocketAddr,
-    extra: Vec<String>,
+    extra_flags: Vec<String>,
     child: Option<Child>,
 }
 
-/// Instances among stand-ins.
+/// Instances together with the stand-in platform, engines and plain service that they use.
 pub struct Cluster {
     pub platform: Platform,
     pub engines: Vec<Engine>,
@@ -56,7 +56,7 @@
     pub instances: Vec<Instance>,
 }
 
-/// How a cluster is made.
+/// Number of instances, engine speeds and settings that a cluster is started with.
 pub struct ClusterOptions {
     pub instances: usize,
     pub engines: Vec<Speed>,
@@ -94,14 +94,14 @@
     }
 }
 
-/// What a caller got.
+/// The response that a caller received.
 #[derive(Debug, Clone)]
 pub struct Response {
     pub status: StatusCode,
     pub id: Option<String>,
     pub retry_after: Option<String>,
     pub text: String,
-    /// Whether the body came to its marked end.
+    /// Whether the body was received up to its declared end, rather than cut off.
     pub complete: bool,
 }
 
@@ -110,7 +110,7 @@
         serde_json::from_str(&self.text).unwrap_or(Value::Null)
     }
 
-    /// The refusal's type: `not_run`, `outcome_unknown` or `bad_request`.
+    /// Returns the type of the error body: `not_run`, `outcome_unknown` or `bad_request`.
     pub fn error_type(&self) -> String {
         self.json()["error"]["type"]
             .as_str()
@@ -126,7 +126,7 @@
     }
 }
 
-/// A request to send.
+/// A caller's POST request: path, headers and body.
 #[derive(Clone)]
 pub struct Call {
     pub path: String,
@@ -165,11 +165,11 @@
         self.with_header("x-deadline-ms", &ms.to_string())
     }
 
-    /// Sends it; none if no answer's head came.
+    /// Sends the request. Returns `None` if the connection failed before the response headers arrived.
     pub async fn send(&self, to: SocketAddr) -> Option<Response> {
         time::timeout(TEST_TIMEOUT, self.try_send(to))
             .await
-            .expect("an answer, or a broken connection")
+            .expect("a response or a broken connection")
     }
 
     async fn try_send(&self, to: SocketAddr) -> Option<Response> {
@@ -212,12 +212,15 @@
     }
 }
 
-/// Returns the text of an answer of the engine: from JSON, or from the events of a stream.
-pub fn completion_text(got: &Response) -> String {
-    if let Some(text) = got.json()["choices"][0]["text"].as_str() {
+/// Returns the generated text of a completion, from the JSON body or from the events of a stream.
+pub fn completion_text(response: &Response) -> String {
+    if let Some(text) = response.json()["choices"][0]["text"].as_str() {
         return text.to_owned();
     }
-    let data = got.text.lines().filter_map(|l| l.strip_prefix("data: "));
+    let data = response
+        .text
+        .lines()
+        .filter_map(|l| l.strip_prefix("data: "));
     let events = data.filter_map(|d| serde_json::from_str::<Value>(d).ok());
     events
         .filter_map(|e| e["choices"][0]["text"].as_str().map(str::to_owned))
@@ -225,23 +228,23 @@
 }
 
 impl Cluster {
-    pub async fn start(plan: ClusterOptions) -> Self {
+    pub async fn start(options: ClusterOptions) -> Self {
         let platform = Platform::start().await;
         let plain = Plain::start().await;
         let mut engines = Vec::new();
-        for speed in &plan.engines {
+        for speed in &options.engines {
             engines.push(Engine::start(*speed).await);
         }
-        let cluster = NEXT_CLUSTER.fetch_add(1, Ordering::Relaxed);
-        let process = (std::process::id() % 200) as u8 + 10;
-        let instances: Vec<Instance> = (0..plan.instances)
+        let cluster_number = NEXT_CLUSTER.fetch_add(1, Ordering::Relaxed);
+        let second_octet = (std::process::id() % 200) as u8 + 10;
+        let instances: Vec<Instance> = (0..options.instances)
             .map(|n| {
-                let ip = Ipv4Addr::new(127, process, cluster, n as u8 + 1);
+                let ip = Ipv4Addr::new(127, second_octet, cluster_number, n as u8 + 1);
                 Instance::new(
                     format!("i{}", n + 1),
                     ip,
                     platform.addr(),
-                    plan.flags.clone(),
+                    options.flags.clone(),
                 )
             })
             .collect();
@@ -251,7 +254,7 @@
             plain,
             instances,
         };
-        cluster.put_config(1, &cluster.toml(&plan));
+        cluster.put_config(1, &cluster.toml(&options));
         cluster.register_instances();
         for instance in &mut cluster.instances {
             instance.spawn();
@@ -260,7 +263,7 @@
         cluster
     }
 
-    pub fn toml(&self, plan: &ClusterOptions) -> String {
+    pub fn toml(&self, options: &ClusterOptions) -> String {
         let mut toml = format!(
             r#"
             hall = [{{ name = "nord", data_centre = "broye" }}]
@@ -295,10 +298,10 @@
             hex::encode(key_digest(CALLER_KEY)),
             hex::encode(key_digest(OTHER_KEY)),
             hex::encode(key_digest(READER_KEY)),
-            plan.max_waiting,
+            options.max_waiting,
             self.plain.addr(),
         );
-        for (index, (engine, speed)) in self.engines.iter().zip(&plan.engines).enumerate() {
+        for (index, (engine, speed)) in self.engines.iter().zip(&options.engines).enumerate() {
             toml.push_str(&format!(
                 "[[endpoint]]\nname = \"agent-{}\"\npool = \"agent\"\naddr = \"{}\"\n\
                  hall = \"nord\"\nslots = {}\nchecks_fences = true\n",
@@ -307,13 +310,13 @@
                 speed.slots,
             ));
         }
-        toml.push_str(&plan.extra_toml);
+        toml.push_str(&options.extra_toml);
         toml
     }
 
-    /// Sets the configuration as the platform holds it.
+    /// Stores a configuration in the platform, in the format in which instances read it.
     pub fn put_config(&self, version: u64, toml: &str) {
-        let config = config::parse(toml).expect("the tests' configuration has no fault");
+        let config = config::parse(toml).expect("the test configuration is valid");
         let mut stored = StoredConfig::default();
         stored.set(&Versioned::from_config(version, config));
         self.platform.put(CONFIG_KEY, stored.write());
@@ -329,7 +332,8 @@
             .list(self.instances.iter().map(listed).collect());
     }
 
-    /// Waits until every running instance is ready and sees as many alive as run.
+    /// Waits until every running instance is ready and its membership view shows every running instance
+    /// as alive.
     pub async fn wait_for_membership(&self) {
         let running = self.running();
         for instance in &running {
@@ -352,7 +356,7 @@
             .collect()
     }
 
-    /// Returns which instance leads a pool, by its place.
+    /// Returns the index of the instance that leads a pool and has entries for it.
     pub async fn leader_of(&self, pool: &str) -> usize {
         for (index, instance) in self.instances.iter().enumerate() {
             if instance.child.is_none() {
@@ -367,10 +371,10 @@
                 return index;
             }
         }
-        panic!("nobody leads {pool}");
+        panic!("no instance leads pool {pool}");
     }
 
-    /// How often each request id was started on any engine.
+    /// Returns how many times each request id was started, summed over all engines.
     pub fn starts(&self) -> std::collections::HashMap<String, u32> {
         let mut starts = std::collections::HashMap::new();
         for engine in &self.engines {
@@ -381,56 +385,63 @@
         starts
     }
 
-    /// Checks what must hold of every answer that was got, whatever happened.
-    pub fn check_answers(&self, answers: &[(Call, Option<Response>)]) {
+    /// Checks the guarantees that hold under every failure: no request runs twice, a request reported as
+    /// `not_run` never ran, and a complete completion has the text that belongs to its own prompt.
+    pub fn check_answers(&self, responses: &[(Call, Option<Response>)]) {
         let starts = self.starts();
         for (id, count) in &starts {
             assert_eq!(*count, 1, "request {id} was dispatched {count} times");
         }
-        for (call, got) in answers {
-            let Some(got) = got else { continue };
-            if got.error_type() == "not_run" {
-                let id = got.id.clone().or(got.json()["error"]["request_id"]
-                    .as_str()
-                    .map(str::to_owned));
+        for (call, response) in responses {
+            let Some(response) = response else { continue };
+            if response.error_type() == "not_run" {
+                let id = response
+                    .id
+                    .clone()
+                    .or(response.json()["error"]["request_id"]
+                        .as_str()
+                        .map(str::to_owned));
                 let ran = id.is_some_and(|id| starts.contains_key(&id));
-                assert!(!ran, "told not_run, but it ran: {got:?}");
+                assert!(!ran, "reported as not_run, but it ran: {response:?}");
             }
-            if got.status == StatusCode::OK && got.complete && call.path == "/v1/completions" {
+            if response.status == StatusCode::OK
+                && response.complete
+                && call.path == "/v1/completions"
+            {
                 let body: Value = serde_json::from_str(&call.body).unwrap();
                 let prompt = body["prompt"].as_str().unwrap();
                 let tokens = body["max_tokens"].as_u64().unwrap() as u32;
                 let expected = standins::engine::expected_text(prompt, tokens);
                 assert_eq!(
-                    completion_text(got),
+                    completion_text(response),
                     expected,
-                    "another's answer, or not whole"
+                    "the text belongs to another request or is incomplete"
                 );
                 if body["stream"] == true {
-                    assert!(got.text.ends_with("data: [DONE]\n\n"));
+                    assert!(response.text.ends_with("data: [DONE]\n\n"));
                 }
             }
         }
         for (body, count) in self.plain.executions() {
-            assert_eq!(count, 1, "`{body}` was carried out {count} times");
+            assert_eq!(count, 1, "`{body}` was executed {count} times");
         }
     }
 }
 
 impl Instance {
-    fn new(name: String, ip: Ipv4Addr, platform: SocketAddr, extra: Vec<String>) -> Self {
+    fn new(name: String, ip: Ipv4Addr, platform: SocketAddr, extra_flags: Vec<String>) -> Self {
         Self {
             name,
             callers: (ip, 7_001).into(),
             operators: (ip, 7_002).into(),
             peers: (ip, 7_003).into(),
             platform,
-            extra,
+            extra_flags,
             child: None,
         }
     }
 
-    /// Starts the process, after an end of the earlier one if there was one.
+    /// Starts the process. Call it again to restart an instance whose process has ended.
     pub fn spawn(&mut self) {
         let child = Command::new(env!("CARGO_BIN_EXE_ryevalve"))
             .args([
@@ -446,7 +457,7 @@
             .args(["--operator-addr", &self.operators.to_string()])
             .args(["--peer-addr", &self.peers.to_string()])
             .args(["--platform-addr", &self.platform.to_string()])
-            .args(&self.extra)
+            .args(&self.extra_flags)
             .env("RYEVALVE_CLUSTER_KEY", CLUSTER_KEY)
             .env("RYEVALVE_OPERATOR_KEY", OPERATOR_KEY)
             .stderr(Stdio::null())
@@ -455,9 +466,10 @@
         self.child = Some(child);
     }
 
-    /// Adds flags for the next start.
+    /// Adds command-line flags that apply from the next start on.
     pub fn add_flags(&mut self, flags: &[&str]) {
-        self.extra.extend(flags.iter().map(|f| (*f).to_owned()));
+        self.extra_flags
+            .extend(flags.iter().map(|f| (*f).to_owned()));
     }
 
     pub fn kill(&mut self) {
@@ -467,7 +479,7 @@
         }
     }
 
-    /// Sends a signal, as `STOP`, `CONT` or `TERM`.
+    /// Sends a signal to the process, by name: `STOP`, `CONT` or `TERM`.
     pub fn signal(&self, name: &str) {
         let id = self.child.as_ref().expect("a running instance").id();
         let status = Command::new("kill")
@@ -476,12 +488,12 @@
         assert!(status.expect("run kill").success());
     }
 
-    /// Waits for the process to end; returns its exit code.
+    /// Waits for the process to exit and returns its exit code, or `None` if a signal ended it.
     pub async fn wait_exit(&mut self) -> Option<i32> {
         let mut child = self.child.take().expect("a running instance");
         let waited = tokio::task::spawn_blocking(move || child.wait()).await;
         waited
-            .expect("the waiting task")
+            .expect("the waiting task panicked")
             .expect("reap the instance")
             .code()
     }
@@ -493,7 +505,7 @@
             .unwrap_or(Value::Null)
     }
 
-    /// Fetches a page of the operators' listener that needs no key.
+    /// Fetches a path of the operator listener that needs no key.
     pub async fn get(&self, path: &str) -> String {
         let stream = TcpStream::connect(self.operators).await.expect("connect");
         let handshake = http1::handshake(TokioIo::new(stream)).await;
@@ -503,12 +515,12 @@
         let request = request
             .body(Full::<Bytes>::default())
             .expect("a valid request");
-        let response = sender.send_request(request).await.expect("an answer");
+        let response = sender.send_request(request).await.expect("a response");
         let body = response
             .into_body()
             .collect()
             .await
-            .expect("a whole answer");
+            .expect("a complete body");
         String::from_utf8_lossy(&body.to_bytes()).into_owned()
     }
 
@@ -528,11 +540,11 @@
             text: text.to_owned(),
             id: id.map(str::to_owned),
         };
-        let given = client::command(self.operators, &Secret::new(key), &body).await;
-        given.map_err(|e| e.to_string())
+        let result = client::command(self.operators, &Secret::new(key), &body).await;
+        result.map_err(|e| e.to_string())
     }
 
-    /// Waits until so many requests wait and run here.
+    /// Waits until this instance has exactly `waiting` queued and `running` running requests.
     pub async fn wait_for_counts(&self, waiting: u64, running: u64) {
         wait_until(
             &format!("{waiting} waiting and {running} running"),
@@ -551,31 +563,31 @@
     }
 }
 
-/// Waits for a condition.
+/// Polls a condition every 20 ms until it holds. Panics after [`TEST_TIMEOUT`].
 pub async fn wait_until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let started = time::Instant::now();
     while !holds().await {
         assert!(
             started.elapsed() < TEST_TIMEOUT,
-            "waited in vain for {what}"
+            "timed out waiting for {what}"
         );
         time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// Sends many calls at once, in turn to the given addresses.
+/// Sends all calls concurrently, spread round-robin over the addresses.
 pub async fn send_all(calls: Vec<Call>, to: &[SocketAddr]) -> Vec<(Call, Option<Response>)> {
     let mut tasks = Vec::new();
     for (index, call) in calls.into_iter().enumerate() {
         let to = to[index % to.len()];
         tasks.push(tokio::spawn(async move {
-            let got = call.send(to).await;
-            (call, got)
+            let response = call.send(to).await;
+            (call, response)
         }));
     }
-    let mut answers = Vec::new();
+    let mut responses = Vec::new();
     for task in tasks {
-        answers.push(task.await.expect("the caller's task"));
+        responses.push(task.await.expect("the caller task panicked"));
     }
-    answers
+    responses
 }
