--- a/tests/cluster/failures.rs
+++ b/tests/cluster/failures.rs
@@ -1,4 +1,4 @@
-//! Instances die, are paused or stopped; endpoints leave; the platform is away.
+//! Behaviour when instances are killed, paused or shut down, an endpoint closes or the platform is down.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 
 use crate::support::*;
 
-/// Long enough that a leader can be killed while requests wait and run.
-fn busy_plan(instances: usize) -> ClusterOptions {
+/// Engines so slow that a leader can be killed while requests are queued and running.
+fn busy_cluster(instances: usize) -> ClusterOptions {
     ClusterOptions {
         instances,
         engines: vec![slow_engine(2, 10), slow_engine(2, 10)],
@@ -22,9 +22,10 @@
         .collect()
 }
 
-/// Kills or pauses the leader while requests wait at the others; all of those are answered.
-async fn others_lose_nothing(act: impl AsyncFnOnce(&mut Cluster, usize)) {
-    let mut cluster = Cluster::start(busy_plan(3)).await;
+/// Runs `fail_leader` while requests are queued at the other instances, and checks that each of these
+/// requests is answered completely.
+async fn check_others_lose_nothing(fail_leader: impl AsyncFnOnce(&mut Cluster, usize)) {
+    let mut cluster = Cluster::start(busy_cluster(3)).await;
     Call::completion("gate", "first", 1, false)
         .send(cluster.instances[0].callers)
         .await;
@@ -34,36 +35,36 @@
         .iter()
         .map(|n| cluster.instances[*n].callers)
         .collect();
-    let sent = tokio::spawn(async move { send_all(calls(60, 10), &to).await });
+    let sending = tokio::spawn(async move { send_all(calls(60, 10), &to).await });
     for n in &others {
-        wait_until("requests to wait", async || {
+        wait_until("requests to be queued", async || {
             cluster.instances[*n].dump().await["waiting"].as_u64() > Some(10)
         })
         .await;
     }
-    act(&mut cluster, leader).await;
-    let answers = sent.await.unwrap();
-    cluster.check_answers(&answers);
-    for (_, got) in &answers {
-        let got = got.as_ref().expect("an answer");
+    fail_leader(&mut cluster, leader).await;
+    let responses = sending.await.unwrap();
+    cluster.check_answers(&responses);
+    for (_, response) in &responses {
+        let response = response.as_ref().expect("a response");
         assert!(
-            got.status == StatusCode::OK && got.complete,
-            "lost with the leader: {got:?}"
+            response.status == StatusCode::OK && response.complete,
+            "lost when the leader failed: {response:?}"
         );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_leader_loses_no_request_of_the_others() {
-    others_lose_nothing(async |cluster, leader| cluster.instances[leader].kill()).await;
+async fn killing_the_leader_loses_no_request_of_other_instances() {
+    check_others_lose_nothing(async |cluster, leader| cluster.instances[leader].kill()).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_leader_that_goes_on_sends_nothing_twice() {
-    others_lose_nothing(async |cluster, leader| {
+async fn a_resumed_leader_dispatches_no_request_twice() {
+    check_others_lose_nothing(async |cluster, leader| {
         cluster.instances[leader].signal("STOP");
         let other = (leader + 1) % 3;
-        wait_until("another leader", async || {
+        wait_until("the paused leader to be seen as dead", async || {
             let state = cluster.instances[other].dump().await;
             let members = state["peers"]["members"]
                 .as_array()
@@ -79,87 +80,94 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_killed_entry_and_leader_at_once_leave_the_rest_serving() {
-    let mut cluster = Cluster::start(busy_plan(4)).await;
+async fn killing_the_leader_and_another_instance_leaves_the_others_serving() {
+    let mut cluster = Cluster::start(busy_cluster(4)).await;
     Call::completion("gate", "first", 1, false)
         .send(cluster.instances[0].callers)
         .await;
     let leader = cluster.leader_of("agent").await;
     let entry = (leader + 1) % 4;
-    let rest: Vec<_> = (0..4).filter(|n| *n != leader && *n != entry).collect();
-    let all: Vec<_> = cluster.instances.iter().map(|i| i.callers).collect();
-    let to_rest: Vec<_> = rest.iter().map(|n| all[*n]).collect();
-    let to_dying = vec![all[leader], all[entry]];
-    let dying = tokio::spawn(async move { send_all(calls(30, 10), &to_dying).await });
-    let living = tokio::spawn(async move { send_all(calls(30, 10), &to_rest).await });
-    wait_until("requests to wait", async || {
-        cluster.instances[rest[0]].dump().await["waiting"].as_u64() > Some(4)
+    let survivors: Vec<_> = (0..4).filter(|n| *n != leader && *n != entry).collect();
+    let addrs: Vec<_> = cluster.instances.iter().map(|i| i.callers).collect();
+    let surviving_addrs: Vec<_> = survivors.iter().map(|n| addrs[*n]).collect();
+    let killed_addrs = vec![addrs[leader], addrs[entry]];
+    let killed_responses =
+        tokio::spawn(async move { send_all(calls(30, 10), &killed_addrs).await });
+    let surviving_responses =
+        tokio::spawn(async move { send_all(calls(30, 10), &surviving_addrs).await });
+    wait_until("requests to be queued", async || {
+        cluster.instances[survivors[0]].dump().await["waiting"].as_u64() > Some(4)
     })
     .await;
     cluster.instances[leader].kill();
     cluster.instances[entry].kill();
-    // Those who held a connection to the dead see it broken, never a finished answer.
-    let dying = dying.await.unwrap();
-    let living = living.await.unwrap();
-    cluster.check_answers(&dying);
-    cluster.check_answers(&living);
-    for (_, got) in &living {
+    // Callers connected to a killed instance see a broken connection, never a response that looks complete.
+    let killed_responses = killed_responses.await.unwrap();
+    let surviving_responses = surviving_responses.await.unwrap();
+    cluster.check_answers(&killed_responses);
+    cluster.check_answers(&surviving_responses);
+    for (_, response) in &surviving_responses {
         assert!(
-            got.as_ref()
-                .is_some_and(|g| g.status == StatusCode::OK && g.complete),
-            "{got:?}"
+            response
+                .as_ref()
+                .is_some_and(|r| r.status == StatusCode::OK && r.complete),
+            "{response:?}"
         );
     }
-    // A fresh start under the same name takes its place.
+    // New processes with the same names replace the killed instances.
     cluster.instances[leader].spawn();
     cluster.instances[entry].spawn();
     cluster.wait_for_membership().await;
-    let got = Call::completion("gate", "again", 2, false)
-        .send(all[leader])
+    let response = Call::completion("gate", "again", 2, false)
+        .send(addrs[leader])
         .await
         .unwrap();
-    assert_eq!(got.status, StatusCode::OK);
+    assert_eq!(response.status, StatusCode::OK);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_nothing_off() {
-    let mut cluster = Cluster::start(busy_plan(2)).await;
+async fn a_graceful_shutdown_completes_accepted_requests() {
+    let mut cluster = Cluster::start(busy_cluster(2)).await;
     let to = cluster.instances[0].callers;
-    let sent = tokio::spawn(async move { send_all(calls(20, 20), &[to]).await });
+    let sending = tokio::spawn(async move { send_all(calls(20, 20), &[to]).await });
     cluster.instances[0].wait_for_counts(16, 4).await;
     cluster.instances[0].signal("TERM");
     let operators = cluster.instances[0].operators;
-    wait_until("not ready to be seen", async || {
-        let raw = Call::new("/readyz", "");
-        raw.send(operators)
+    wait_until("the readiness probe to fail", async || {
+        let probe = Call::new("/readyz", "");
+        probe
+            .send(operators)
             .await
-            .is_none_or(|g| g.status != StatusCode::OK)
+            .is_none_or(|r| r.status != StatusCode::OK)
     })
     .await;
-    let answers = sent.await.unwrap();
-    cluster.check_answers(&answers);
-    for (_, got) in &answers {
-        let got = got.as_ref().expect("an answer");
+    let responses = sending.await.unwrap();
+    cluster.check_answers(&responses);
+    for (_, response) in &responses {
+        let response = response.as_ref().expect("a response");
         assert!(
-            got.status == StatusCode::OK && got.complete,
-            "cut off by the stop: {got:?}"
+            response.status == StatusCode::OK && response.complete,
+            "cut off by the shutdown: {response:?}"
         );
     }
     assert_eq!(cluster.instances[0].wait_exit().await, Some(0));
-    let left = &cluster.instances[1];
-    wait_until("the one that left to be known as gone", async || {
-        let state = left.dump().await;
-        state["peers"]["members"]
-            .as_array()
-            .unwrap()
-            .iter()
-            .any(|m| m["liveness"] == "Left")
-    })
+    let remaining = &cluster.instances[1];
+    wait_until(
+        "the stopped instance to be seen as having left",
+        async || {
+            let state = remaining.dump().await;
+            state["peers"]["members"]
+                .as_array()
+                .unwrap()
+                .iter()
+                .any(|m| m["liveness"] == "Left")
+        },
+    )
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_drain_holds_everywhere_with_the_platform_down() {
+async fn a_drain_applies_on_every_instance_while_the_platform_is_down() {
     let cluster = Cluster::start(ClusterOptions {
         instances: 3,
         ..ClusterOptions::default()
@@ -170,32 +178,32 @@
     assert!(reply.message.contains("in force on 3 of 3"), "{reply:?}");
     let before = cluster.engines[0].counts().starts.len();
     let to: Vec<_> = cluster.instances.iter().map(|i| i.callers).collect();
-    let answers = send_all(calls(60, 3), &to).await;
-    cluster.check_answers(&answers);
+    let responses = send_all(calls(60, 3), &to).await;
+    cluster.check_answers(&responses);
     assert!(
-        answers
+        responses
             .iter()
-            .all(|(_, g)| g.as_ref().is_some_and(|g| g.status == StatusCode::OK))
+            .all(|(_, r)| r.as_ref().is_some_and(|r| r.status == StatusCode::OK))
     );
     assert_eq!(
         cluster.engines[0].counts().starts.len(),
         before,
-        "new work on a drained endpoint"
+        "requests were started on a drained endpoint"
     );
     let reply = cluster.instances[2]
         .command("undrain endpoint agent-1")
         .await;
     assert!(reply.message.contains("in force on 3 of 3"), "{reply:?}");
-    let answers = send_all(calls(60, 3), &to).await;
-    cluster.check_answers(&answers);
+    let responses = send_all(calls(60, 3), &to).await;
+    cluster.check_answers(&responses);
     assert!(
         cluster.engines[0].counts().starts.len() > before,
-        "still drained"
+        "the endpoint is still drained"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn serving_goes_on_while_the_platform_is_away_and_instances_come_and_go() {
+async fn instances_join_and_leave_while_the_platform_is_down() {
     let mut cluster = Cluster::start(ClusterOptions {
         instances: 3,
         ..ClusterOptions::default()
@@ -204,13 +212,13 @@
     cluster.platform.fault(|f| f.down = true);
     cluster.instances[0].kill();
     let to = [cluster.instances[1].callers, cluster.instances[2].callers];
-    let answers = send_all(calls(60, 3), &to).await;
+    let responses = send_all(calls(60, 3), &to).await;
     assert!(
-        answers
+        responses
             .iter()
-            .all(|(_, g)| g.as_ref().is_some_and(|g| g.status == StatusCode::OK))
+            .all(|(_, r)| r.as_ref().is_some_and(|r| r.status == StatusCode::OK))
     );
-    // A fresh instance learns everything from its peers; only its seeds say where they are.
+    // The restarted instance gets its configuration from its peers, which it finds only through `--seeds`.
     let seeds = format!(
         "{},{}",
         cluster.instances[1].peers, cluster.instances[2].peers
@@ -220,34 +228,35 @@
     cluster.wait_for_membership().await;
     let version = &cluster.instances[0].dump().await["config_version"];
     assert_eq!(*version, 1);
-    let got = Call::completion("gate", "x", 2, false)
+    let response = Call::completion("gate", "x", 2, false)
         .send(cluster.instances[0].callers)
         .await;
-    assert_eq!(got.unwrap().status, StatusCode::OK);
+    assert_eq!(response.unwrap().status, StatusCode::OK);
     cluster.instances[1].signal("TERM");
     assert_eq!(cluster.instances[1].wait_exit().await, Some(0));
-    cluster.check_answers(&answers);
+    cluster.check_answers(&responses);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_endpoint_that_is_gone_gets_what_was_not_sent_elsewhere() {
+async fn requests_for_a_closed_endpoint_run_on_another() {
     let mut cluster = Cluster::start(ClusterOptions::default()).await;
-    // Its listener closes: connects fail, so nothing was sent, and the requests go elsewhere.
+    // The listener closes, so connecting fails before any request is sent and another endpoint can run it.
     drop(cluster.engines.remove(0));
     let to: Vec<_> = cluster.instances.iter().map(|i| i.callers).collect();
-    let answers = send_all(calls(40, 3), &to).await;
-    cluster.check_answers(&answers);
-    for (_, got) in &answers {
+    let responses = send_all(calls(40, 3), &to).await;
+    cluster.check_answers(&responses);
+    for (_, response) in &responses {
         assert!(
-            got.as_ref()
-                .is_some_and(|g| g.status == StatusCode::OK && g.complete),
-            "{got:?}"
+            response
+                .as_ref()
+                .is_some_and(|r| r.status == StatusCode::OK && r.complete),
+            "{response:?}"
         );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_expired_request_did_not_run() {
+async fn a_request_whose_deadline_passes_in_the_queue_never_runs() {
     let cluster = Cluster::start(ClusterOptions {
         instances: 1,
         engines: vec![slow_engine(1, 20)],
@@ -259,14 +268,14 @@
         tokio::spawn(async move { Call::completion("gate", "long", 300, false).send(to).await });
     cluster.instances[0].wait_for_counts(0, 1).await;
     let short = Call::completion("gate", "short", 1, false).deadline_ms(200);
-    let got = short.send(to).await.unwrap();
+    let response = short.send(to).await.unwrap();
     assert_eq!(
-        (got.status.as_u16(), got.reason().as_str()),
+        (response.status.as_u16(), response.reason().as_str()),
         (504, "deadline_passed")
     );
     let long = long.await.unwrap();
     cluster.check_answers(&[
-        (short, Some(got)),
+        (short, Some(response)),
         (Call::completion("gate", "long", 300, false), long),
     ]);
     tokio::time::sleep(Duration::from_millis(50)).await;
--- a/tests/cluster/main.rs
+++ b/tests/cluster/main.rs
@@ -1,4 +1,4 @@
-//! Instances as processes among stand-ins, under failure.
+//! Integration tests that run instances as processes against stand-in servers and inject failures.
 
 mod answers;
 mod configuration;
