--- a/examples/policy.rs
+++ b/examples/policy.rs
@@ -1,10 +1,11 @@
-//! Measures the policy over many traces: against the bound, the baselines, and itself with rules off.
+//! Replays many traces and compares the policy with the bound, with the baselines, and with itself when
+//! single rules are off.
 //!
 //!     cargo run --release --example policy -- --seeds 11-20 [--faults all|none,burst] [--workload W]
 //!         [--set '{"work_weight": 2.0}'] [--baselines] [--ablate] [--each]
 //!
-//! `--set` changes settings of the policy, as JSON; `--baselines` replays the baselines too;
-//! `--ablate` replays with each rule off in turn; `--each` prints every trace.
+//! `--set` overrides policy settings with a JSON object; `--baselines` also replays the baselines;
+//! `--ablate` also replays with each rule off in turn; `--each` prints a line per trace and policy.
 
 use std::{collections::BTreeMap, sync::Mutex, thread};
 
@@ -39,7 +40,7 @@
     requests: usize,
 }
 
-/// What one policy came to on one trace.
+/// The outcome of one policy on one trace, with the bound for that trace.
 struct Sample {
     policy: String,
     workload: &'static str,
@@ -50,32 +51,32 @@
 }
 
 impl Sample {
-    fn top_share(&self) -> f64 {
-        share(self.outcome.tiers[0].in_time, self.bound.tiers[0].in_time)
+    fn top_tier_ratio(&self) -> f64 {
+        ratio(self.outcome.tiers[0].in_time, self.bound.tiers[0].in_time)
     }
 
     fn in_time(&self) -> u64 {
         self.outcome.tiers.iter().map(|t| t.in_time).sum()
     }
 
-    fn sum_share(&self) -> f64 {
-        share(self.in_time(), self.bound.in_time_sum)
+    fn in_time_ratio(&self) -> f64 {
+        ratio(self.in_time(), self.bound.in_time_sum)
     }
 
-    fn extra_prefill(&self) -> f64 {
-        share(
+    fn extra_prefill_ratio(&self) -> f64 {
+        ratio(
             self.outcome.prefill_tokens,
             self.outcome.prefill_tokens_min_of_answered,
         )
     }
 }
 
-fn share(part: u64, whole: u64) -> f64 {
+fn ratio(part: u64, whole: u64) -> f64 {
     part as f64 / whole.max(1) as f64
 }
 
 fn main() {
-    let options = options();
+    let options = parse_options();
     let mut jobs: Vec<(&str, Workload, &str, Fault, u64)> = Vec::new();
     for &(workload_name, workload) in &options.workloads {
         for &(fault_name, fault) in &options.faults {
@@ -131,10 +132,10 @@
             s.fault,
             s.seed,
             s.policy,
-            s.top_share(),
-            s.sum_share(),
+            s.top_tier_ratio(),
+            s.in_time_ratio(),
             s.outcome.wasted_prefill_tokens,
-            s.extra_prefill(),
+            s.extra_prefill_ratio(),
             s.outcome.violations
         );
     }
@@ -162,19 +163,19 @@
         println!(
             "{workload:<9} {policy:<24} {:>6}  {:>8.4}  {:>9.4}  {:>8.4}  {:>9.4}  {:>10.0}  {:>11.0} {:>10.0}  {:>13.3}  {behind:>6}  {violations:>10}",
             group.len(),
-            mean(&Sample::top_share),
-            worst(&Sample::top_share),
-            mean(&Sample::sum_share),
-            worst(&Sample::sum_share),
+            mean(&Sample::top_tier_ratio),
+            worst(&Sample::top_tier_ratio),
+            mean(&Sample::in_time_ratio),
+            worst(&Sample::in_time_ratio),
             mean(&|s| s.outcome.wasted_prefill_tokens as f64),
             mean(&|s| s.outcome.thrown_away_tokens as f64),
             mean(&|s| s.outcome.computed_again_tokens as f64),
-            mean(&Sample::extra_prefill),
+            mean(&Sample::extra_prefill_ratio),
         );
     }
 }
 
-/// Whether another policy had more of the top tier in time on the same trace.
+/// Returns whether another policy finished more top-tier requests in time on the same trace.
 fn is_behind(sample: &Sample, samples: &[Sample]) -> bool {
     samples.iter().any(|other| {
         let same = (other.workload, other.fault, other.seed)
@@ -183,7 +184,7 @@
     })
 }
 
-fn options() -> Options {
+fn parse_options() -> Options {
     let mut options = Options {
         seeds: 1..=10,
         faults: FAULTS.to_vec(),
@@ -213,7 +214,7 @@
                 options.workloads.retain(|(name, _)| *name == text);
             }
             "--requests" => options.requests = value().parse().expect("a number"),
-            "--set" => settings = changed(&settings, &value()),
+            "--set" => settings = with_changes(&settings, &value()),
             "--baselines" => baselines = true,
             "--ablate" => ablate = true,
             "--each" => options.each = true,
@@ -225,24 +226,24 @@
 }
 
 fn policies(settings: &PolicySettings, baselines: bool, ablate: bool) -> Vec<Policy> {
-    let own = |name: &str, settings: PolicySettings| {
+    let scheduler = |name: &str, settings: PolicySettings| {
         Policy::Scheduler(name.to_owned(), Box::new(settings))
     };
-    let mut policies = vec![own("ryevalve", settings.clone())];
+    let mut policies = vec![scheduler("ryevalve", settings.clone())];
     if baselines {
         let names = POLICIES.iter().filter(|n| **n != "ryevalve");
         policies.extend(names.filter_map(|n| n.parse::<Policy>().ok()));
     }
     if ablate {
         for rule in RULES {
-            let off = changed(settings, &json!({rule: false}).to_string());
-            policies.push(own(&format!("no {rule}"), off));
+            let off = with_changes(settings, &json!({rule: false}).to_string());
+            policies.push(scheduler(&format!("no {rule}"), off));
         }
     }
     policies
 }
 
-fn changed(settings: &PolicySettings, json: &str) -> PolicySettings {
+fn with_changes(settings: &PolicySettings, json: &str) -> PolicySettings {
     let mut fields: Map<String, Value> = serde_json::to_value(settings)
         .ok()
         .and_then(|v| v.as_object().cloned())
--- a/examples/quickstart.rs
+++ b/examples/quickstart.rs
@@ -1,7 +1,7 @@
-//! Brings up stand-ins and two instances on loopback, and prints commands to try.
+//! Starts stand-in servers and two instances on loopback, and prints commands to try.
 //!
-//! The instances are processes of their own: this program starts itself again as
-//! `ryevalve serve`. Ctrl-C stops everything.
+//! Each instance is a separate process: this program runs its own executable again with the
+//! arguments of `ryevalve serve`. Ctrl-C stops everything.
 
 use std::{net::SocketAddr, process::ExitCode, time::Duration};
 
@@ -28,10 +28,10 @@
 const CALLER_KEY: &str = "quickstart-airline-key";
 const OPERATOR_KEY: &str = "quickstart-operator-key";
 const CLUSTER_KEY: &str = "quickstart-cluster-key";
-const READY_TRIES: u32 = 100;
+const READY_ATTEMPTS: u32 = 100;
 
-/// Where one instance listens.
-struct Ports {
+/// Name and listener addresses of one instance.
+struct ListenAddrs {
     name: &'static str,
     callers: SocketAddr,
     operators: SocketAddr,
@@ -52,11 +52,11 @@
     let engines = start_engines().await;
     let plain = Plain::start().await;
     put_config(&platform, &engines, &plain);
-    let instances = [ports("one", 18_080), ports("two", 18_090)];
-    platform.list(instances.iter().map(listed).collect());
-    let mut children: Vec<Child> = instances
+    let instances = [pick_addrs("one", 18_080), pick_addrs("two", 18_090)];
+    platform.list(instances.iter().map(platform_entry).collect());
+    let mut processes: Vec<Child> = instances
         .iter()
-        .map(|ports| start_instance(ports, platform.addr()))
+        .map(|addrs| start_instance(addrs, platform.addr()))
         .collect();
     if !wait_ready(&instances).await {
         eprintln!("the instances did not get ready");
@@ -65,13 +65,13 @@
     print_commands(&instances);
     wait_for_signal().await;
     println!("\nstopping");
-    for child in &mut children {
+    for child in &mut processes {
         stop(child).await;
     }
     ExitCode::SUCCESS
 }
 
-/// Four engines of unlike speed.
+/// Starts four engines of different speeds.
 async fn start_engines() -> Vec<Engine> {
     let mut engines = Vec::new();
     for (slots, prefill_tokens_per_s, step_ms) in [
@@ -164,45 +164,46 @@
     platform.put(CONFIG_KEY, stored.write());
 }
 
-/// Takes three ports in a row from `base` on, or the next free ones.
-fn ports(name: &'static str, base: u16) -> Ports {
-    let free = |port: &u16| {
+/// Picks three free loopback ports: from the ten ports starting at `base`, then from `base + 1000` on.
+fn pick_addrs(name: &'static str, base: u16) -> ListenAddrs {
+    let is_free = |port: &u16| {
         std::net::TcpListener::bind(("127.0.0.1", *port)).is_ok()
             && std::net::UdpSocket::bind(("127.0.0.1", *port)).is_ok()
     };
-    let mut found = (base..base + 10).chain(base + 1_000..).filter(free);
-    let mut next = || SocketAddr::from(([127, 0, 0, 1], found.next().expect("a free port")));
-    Ports {
+    let mut free_ports = (base..base + 10).chain(base + 1_000..).filter(is_free);
+    let mut next_addr =
+        || SocketAddr::from(([127, 0, 0, 1], free_ports.next().expect("a free port")));
+    ListenAddrs {
         name,
-        callers: next(),
-        operators: next(),
-        peers: next(),
+        callers: next_addr(),
+        operators: next_addr(),
+        peers: next_addr(),
     }
 }
 
-fn listed(ports: &Ports) -> Listed {
+fn platform_entry(addrs: &ListenAddrs) -> Listed {
     Listed {
-        name: ports.name.to_owned(),
-        peer_addr: ports.peers,
+        name: addrs.name.to_owned(),
+        peer_addr: addrs.peers,
         leaving: false,
     }
 }
 
-fn start_instance(ports: &Ports, platform: SocketAddr) -> Child {
+fn start_instance(addrs: &ListenAddrs, platform: SocketAddr) -> Child {
     let program = std::env::current_exe().expect("this program's path");
     Command::new(program)
         .args([
             "serve",
             "--name",
-            ports.name,
+            addrs.name,
             "--hall",
             "nord",
             "--data-centre",
             "broye",
         ])
-        .args(["--caller-addr", &ports.callers.to_string()])
-        .args(["--operator-addr", &ports.operators.to_string()])
-        .args(["--peer-addr", &ports.peers.to_string()])
+        .args(["--caller-addr", &addrs.callers.to_string()])
+        .args(["--operator-addr", &addrs.operators.to_string()])
+        .args(["--peer-addr", &addrs.peers.to_string()])
         .args(["--platform-addr", &platform.to_string()])
         .args(["--log-format", "plain"])
         .env("RYEVALVE_CLUSTER_KEY", CLUSTER_KEY)
@@ -212,20 +213,20 @@
         .expect("start an instance")
 }
 
-async fn wait_ready(instances: &[Ports]) -> bool {
+async fn wait_ready(instances: &[ListenAddrs]) -> bool {
     let key = Secret::new(OPERATOR_KEY);
     let body = CommandBody {
         text: "show instances".to_owned(),
         id: None,
     };
-    for _ in 0..READY_TRIES {
+    for _ in 0..READY_ATTEMPTS {
         time::sleep(Duration::from_millis(100)).await;
         let mut ready = 0;
-        for ports in instances {
-            let met = client::command(ports.operators, &key, &body).await;
-            let state = client::dump(ports.operators, &key).await;
-            let all_met = met.is_ok_and(|reply| reply.rows.len() == instances.len());
-            ready += usize::from(all_met && state.is_ok_and(|s| s["ready"] == true));
+        for addrs in instances {
+            let instances_seen = client::command(addrs.operators, &key, &body).await;
+            let state = client::dump(addrs.operators, &key).await;
+            let sees_all = instances_seen.is_ok_and(|reply| reply.rows.len() == instances.len());
+            ready += usize::from(sees_all && state.is_ok_and(|s| s["ready"] == true));
         }
         if ready == instances.len() {
             return true;
@@ -234,15 +235,15 @@
     false
 }
 
-fn print_commands(instances: &[Ports]) {
+fn print_commands(instances: &[ListenAddrs]) {
     let [one, two] = instances else { return };
     println!("\nTwo instances are ready. Try, in another terminal:\n");
-    for (ports, stream) in [(one, false), (two, true)] {
+    for (addrs, stream) in [(one, false), (two, true)] {
         println!(
             "curl -sN http://{}/v1/completions -H 'authorization: Bearer {CALLER_KEY}' \
              -H 'x-tier: gate' -d '{{\"model\":\"agent-llm\",\"prompt\":\"Rebook the family of \
              five\",\"max_tokens\":8,\"stream\":{stream}}}'\n",
-            ports.callers
+            addrs.callers
         );
     }
     println!(
@@ -259,10 +260,10 @@
     println!(
         "The program itself is built by `cargo build --release`, as target/release/ryevalve:\n"
     );
-    let command = |ports: &Ports, text: &str| {
+    let command = |addrs: &ListenAddrs, text: &str| {
         println!(
             "ryevalve command '{text}' --at {} --key {OPERATOR_KEY}",
-            ports.operators
+            addrs.operators
         );
     };
     command(one, "show instances");
@@ -288,11 +289,11 @@
     }
 }
 
-/// Lets an instance stop as planned.
+/// Shuts an instance down gracefully with SIGTERM and waits up to 10 s for it to exit.
 async fn stop(child: &mut Child) {
     if let Some(id) = child.id() {
-        let told = Command::new("kill").arg(id.to_string()).status().await;
-        if told.is_ok() {
+        let signalled = Command::new("kill").arg(id.to_string()).status().await;
+        if signalled.is_ok() {
             let _ = time::timeout(Duration::from_secs(10), child.wait()).await;
         }
     }
