--- a/tests/cluster/answers.rs
+++ b/tests/cluster/answers.rs
@@ -38,7 +38,7 @@
             Call::completion(tier, &prompt, 1 + (n as u32 * 7) % 12, n % 2 == 0)
         });
         let answers = send_all(calls.collect(), &to).await;
-        cluster.check_answers(&answers);
+        cluster.check_responses(&answers);
         for (_, got) in answers {
             let got = got.expect("an answer");
             let is_whole = got.status == StatusCode::OK && got.complete;
--- a/tests/cluster/failures.rs
+++ b/tests/cluster/failures.rs
@@ -44,7 +44,7 @@
     }
     fail_leader(&mut cluster, leader).await;
     let responses = sending.await.unwrap();
-    cluster.check_answers(&responses);
+    cluster.check_responses(&responses);
     for (_, response) in &responses {
         let response = response.as_ref().expect("a response");
         assert!(
@@ -104,8 +104,8 @@
     // Callers connected to a killed instance see a broken connection, never a response that looks complete.
     let killed_responses = killed_responses.await.unwrap();
     let surviving_responses = surviving_responses.await.unwrap();
-    cluster.check_answers(&killed_responses);
-    cluster.check_answers(&surviving_responses);
+    cluster.check_responses(&killed_responses);
+    cluster.check_responses(&surviving_responses);
     for (_, response) in &surviving_responses {
         assert!(
             response
@@ -142,7 +142,7 @@
     })
     .await;
     let responses = sending.await.unwrap();
-    cluster.check_answers(&responses);
+    cluster.check_responses(&responses);
     for (_, response) in &responses {
         let response = response.as_ref().expect("a response");
         assert!(
@@ -179,7 +179,7 @@
     let before = cluster.engines[0].counts().starts.len();
     let to: Vec<_> = cluster.instances.iter().map(|i| i.callers).collect();
     let responses = send_all(calls(60, 3), &to).await;
-    cluster.check_answers(&responses);
+    cluster.check_responses(&responses);
     assert!(
         responses
             .iter()
@@ -195,7 +195,7 @@
         .await;
     assert!(reply.message.contains("in force on 3 of 3"), "{reply:?}");
     let responses = send_all(calls(60, 3), &to).await;
-    cluster.check_answers(&responses);
+    cluster.check_responses(&responses);
     assert!(
         cluster.engines[0].counts().starts.len() > before,
         "the endpoint is still drained"
@@ -234,7 +234,7 @@
     assert_eq!(response.unwrap().status, StatusCode::OK);
     cluster.instances[1].signal("TERM");
     assert_eq!(cluster.instances[1].wait_exit().await, Some(0));
-    cluster.check_answers(&responses);
+    cluster.check_responses(&responses);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -244,7 +244,7 @@
     drop(cluster.engines.remove(0));
     let to: Vec<_> = cluster.instances.iter().map(|i| i.callers).collect();
     let responses = send_all(calls(40, 3), &to).await;
-    cluster.check_answers(&responses);
+    cluster.check_responses(&responses);
     for (_, response) in &responses {
         assert!(
             response
@@ -274,7 +274,7 @@
         (504, "deadline_passed")
     );
     let long = long.await.unwrap();
-    cluster.check_answers(&[
+    cluster.check_responses(&[
         (short, Some(response)),
         (Call::completion("gate", "long", 300, false), long),
     ]);
--- a/tests/cluster/not_repeatable.rs
+++ b/tests/cluster/not_repeatable.rs
@@ -18,7 +18,7 @@
     let calls =
         (0..60).map(|n| Call::bag_tag(&format!("key-{}", n / 6), &format!("tag {}", n / 6)));
     let answers = send_all(calls.collect(), &to).await;
-    cluster.check_answers(&answers);
+    cluster.check_responses(&answers);
     assert_eq!(cluster.plain.executions().len(), 10);
     let ok = answers
         .iter()
@@ -68,7 +68,7 @@
             .await
             .unwrap();
         assert_eq!(again.reason(), "duplicate_key");
-        cluster.check_answers(&[(call, Some(got))]);
+        cluster.check_responses(&[(call, Some(got))]);
     }
 }
 
@@ -93,7 +93,7 @@
     ];
     let calls = vec![Call::bag_tag(&ticket, "with a ticket"); 9];
     let answers = send_all(calls, &others).await;
-    cluster.check_answers(&answers);
+    cluster.check_responses(&answers);
     let ok = answers
         .iter()
         .filter(|(_, g)| g.as_ref().unwrap().status == StatusCode::OK)
@@ -131,7 +131,7 @@
         (again.error_type().as_str(), again.reason().as_str()),
         ("outcome_unknown", "duplicate_key")
     );
-    cluster.check_answers(&[(call, Some(again))]);
+    cluster.check_responses(&[(call, Some(again))]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -153,7 +153,7 @@
     let again = call.send(cluster.instances[1].callers).await.unwrap();
     cluster.instances[0].signal("CONT");
     let first = first.await.unwrap().expect("an answer");
-    cluster.check_answers(&[
+    cluster.check_responses(&[
         (call.clone(), Some(first.clone())),
         (call, Some(again.clone())),
     ]);
@@ -177,5 +177,5 @@
     let cut = Call::bag_tag("key-2", "tag-2");
     let got = cut.send(cluster.instances[0].callers).await;
     assert!(got.is_none_or(|g| !g.complete), "a cut answer looked whole");
-    cluster.check_answers(&[(call, Some(again))]);
+    cluster.check_responses(&[(call, Some(again))]);
 }
--- a/tests/cluster/operators.rs
+++ b/tests/cluster/operators.rs
@@ -65,7 +65,7 @@
     assert_eq!(reply.missing, ["i3"], "a partial answer was shown as whole");
     cluster.instances[0].kill();
     cluster.instances[1].kill();
-    cluster.check_answers(&sent.await.unwrap());
+    cluster.check_responses(&sent.await.unwrap());
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/cluster/shedding.rs
+++ b/tests/cluster/shedding.rs
@@ -36,8 +36,8 @@
         send_all(of_tier("kiosk", 40), &to),
         send_all(of_tier("gate", 8), &to),
     );
-    cluster.check_answers(&kiosk);
-    cluster.check_answers(&gate);
+    cluster.check_responses(&kiosk);
+    cluster.check_responses(&gate);
     assert!(shed(&kiosk) > 0);
     assert_eq!(
         shed(&gate),
@@ -64,7 +64,7 @@
     let cluster = Cluster::start(crowded(3)).await;
     let to: Vec<_> = cluster.instances.iter().map(|i| i.callers).collect();
     let gate = send_all(of_tier("gate", 60), &to).await;
-    cluster.check_answers(&gate);
+    cluster.check_responses(&gate);
     assert!(
         shed(&gate) > 0,
         "over the limit, with nothing lower kept, and yet all were kept"
@@ -100,6 +100,6 @@
     let kept = kept.await.unwrap();
     let busy = busy.await.unwrap();
     for answers in [&gate, &kept, &busy] {
-        cluster.check_answers(answers);
+        cluster.check_responses(answers);
     }
 }
--- a/tests/cluster/support.rs
+++ b/tests/cluster/support.rs
@@ -332,8 +332,8 @@
             .list(self.instances.iter().map(listed).collect());
     }
 
-    /// Waits until every running instance is ready and its membership view shows every running instance
-    /// as alive.
+    /// Waits until every running instance is ready and its membership view shows as many members alive as
+    /// there are running instances.
     pub async fn wait_for_membership(&self) {
         let running = self.running();
         for instance in &running {
@@ -386,8 +386,9 @@
     }
 
     /// Checks the guarantees that hold under every failure: no request runs twice, a request reported as
-    /// `not_run` never ran, and a complete completion has the text that belongs to its own prompt.
-    pub fn check_answers(&self, responses: &[(Call, Option<Response>)]) {
+    /// `not_run` never ran, a complete completion has the text that belongs to its own prompt, and a
+    /// complete stream ends with `[DONE]`.
+    pub fn check_responses(&self, responses: &[(Call, Option<Response>)]) {
         let starts = self.starts();
         for (id, count) in &starts {
             assert_eq!(*count, 1, "request {id} was dispatched {count} times");
