--- a/tests/cluster/answers.rs
+++ b/tests/cluster/answers.rs
@@ -1,4 +1,5 @@
-//! Answers are whole and the caller's own, or visibly not whole; bad input gets a clear answer.
+//! Every caller gets its own complete answer or one that is recognisably incomplete. Invalid input gets a
+//! specific error.
 
 use hyper::StatusCode;
 use tokio::{
@@ -8,12 +9,13 @@
 
 use crate::support::*;
 
-/// How many requests the large run sends, and how many at a time.
-const MANY: usize = 10_000;
-const AT_ONCE: usize = 250;
+/// Number of requests in the large run.
+const REQUESTS: usize = 10_000;
+/// Number of these requests that are in flight at the same time.
+const CONCURRENT_REQUESTS: usize = 250;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn ten_thousand_answers_are_whole_and_the_callers_own() {
+async fn ten_thousand_answers_are_complete_or_marked_and_reach_their_caller() {
     let plan = ClusterOptions {
         engines: vec![
             fast_engine(),
@@ -27,12 +29,12 @@
     for (index, engine) in cluster.engines.iter().enumerate() {
         engine.fault(|f| f.cut_every = 7 + index as u64);
     }
-    // The last one also forgets what it cut, so that nothing can be resumed there.
+    // The last engine also drops the streams that it cut, so that none of them can be resumed.
     cluster.engines[3].fault(|f| f.forget_cut = true);
     let to: Vec<_> = cluster.instances.iter().map(|i| i.callers).collect();
     let (mut whole, mut cut) = (0, 0);
-    for round in 0..MANY / AT_ONCE {
-        let calls = (0..AT_ONCE).map(|n| {
+    for round in 0..REQUESTS / CONCURRENT_REQUESTS {
+        let calls = (0..CONCURRENT_REQUESTS).map(|n| {
             let tier = ["gate", "counter", "kiosk"][n % 3];
             let prompt = format!("prompt {round} {n}");
             Call::completion(tier, &prompt, 1 + (n as u32 * 7) % 12, n % 2 == 0)
@@ -49,12 +51,15 @@
                     || got
                         .text
                         .contains("event: error\ndata: {\"error\":{\"type\":\"outcome_unknown\"");
-                assert!(unknown, "neither whole nor said to be unknown: {got:?}");
+                assert!(
+                    unknown,
+                    "neither complete nor reported as of unknown outcome: {got:?}"
+                );
                 assert!(!got.text.contains("[DONE]"));
             }
         }
     }
-    assert_eq!(whole + cut, MANY);
+    assert_eq!(whole + cut, REQUESTS);
     let resumed: u64 = cluster.engines.iter().map(|e| e.counts().resumed).sum();
     assert!(resumed > 0, "no stream was resumed, so nothing was tested");
     assert!(cut > 0, "no stream was cut for good, so nothing was tested");
@@ -64,7 +69,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_frees_the_engine() {
+async fn a_disconnecting_caller_frees_the_engine() {
     let plan = ClusterOptions {
         engines: vec![slow_engine(1, 20)],
         instances: 1,
@@ -90,7 +95,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_gets_a_clear_answer_and_leaves_nothing() {
+async fn invalid_input_gets_a_specific_error_and_holds_nothing() {
     let plan = ClusterOptions {
         instances: 1,
         flags: [
@@ -195,7 +200,7 @@
     assert!(slow_body(to).await.starts_with("HTTP/1.1 408"));
     // An idle connection is closed.
     assert_eq!(raw(to, b"").await, "");
-    // A header that never ends, or is huge, gets no request through; the connection is closed.
+    // An unterminated or oversized header is not processed as a request; the connection is closed.
     assert!(
         !raw(to, b"POST /v1/completions HTTP/1.1\r\nhost: x\r\n")
             .await
@@ -219,10 +224,10 @@
     raw(to, head.as_bytes()).await
 }
 
-/// Sends bytes and returns all that comes until the connection is closed.
+/// Sends bytes and returns what is received up to the end of the response head or the end of the connection.
 async fn raw(to: std::net::SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(to).await.expect("connect");
-    // The other side may close before it has read all.
+    // The server may close the connection before it has read everything.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let mut part = [0; 1_024];
--- a/tests/cluster/not_repeatable.rs
+++ b/tests/cluster/not_repeatable.rs
@@ -1,10 +1,10 @@
-//! A request that may not be repeated runs at most once, whoever presents it again.
+//! A request that may not be repeated runs at most once, whichever instance receives it again.
 
 use hyper::StatusCode;
 
 use crate::support::*;
 
-fn three() -> ClusterOptions {
+fn three_instances() -> ClusterOptions {
     ClusterOptions {
         instances: 3,
         ..ClusterOptions::default()
@@ -12,8 +12,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_key_through_every_instance_at_once_runs_once() {
-    let cluster = Cluster::start(three()).await;
+async fn a_key_sent_through_all_instances_at_once_runs_once() {
+    let cluster = Cluster::start(three_instances()).await;
     let to: Vec<_> = cluster.instances.iter().map(|i| i.callers).collect();
     let calls =
         (0..60).map(|n| Call::bag_tag(&format!("key-{}", n / 6), &format!("tag {}", n / 6)));
@@ -34,8 +34,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn keys_of_two_organisations_do_not_meet() {
-    let cluster = Cluster::start(three()).await;
+async fn keys_of_different_organisations_are_independent() {
+    let cluster = Cluster::start(three_instances()).await;
     let to = cluster.instances[0].callers;
     let first = Call::bag_tag("same", "of the airline")
         .send(to)
@@ -51,8 +51,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_of_the_platform_is_settled_by_reading() {
-    let cluster = Cluster::start(three()).await;
+async fn a_claim_whose_write_answer_was_lost_is_found_by_reading() {
+    let cluster = Cluster::start(three_instances()).await;
     for n in 0..6 {
         cluster.platform.fault(|f| f.lose_write_answers = 1);
         let to = cluster.instances[n % 3].callers;
@@ -73,8 +73,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_the_platform_keys_are_refused_and_tickets_work() {
-    let mut cluster = Cluster::start(three()).await;
+async fn while_the_platform_is_down_keys_are_refused_and_tickets_work() {
+    let mut cluster = Cluster::start(three_instances()).await;
     cluster.platform.fault(|f| f.down = true);
     let to = cluster.instances[0].callers;
     let refused = Call::bag_tag("key", "with a key").send(to).await.unwrap();
@@ -85,7 +85,7 @@
     assert!(refused.retry_after.is_some());
     let ticket = Call::new("/v1/tickets", "").send(to).await.unwrap().json();
     let ticket = ticket["ticket"].as_str().unwrap().to_owned();
-    // Through another instance than the one that handed it out, and many times at once.
+    // Sends the ticket many times at once, through its issuer and through other instances.
     let others = [
         cluster.instances[1].callers,
         cluster.instances[2].callers,
@@ -99,7 +99,8 @@
         .filter(|(_, g)| g.as_ref().unwrap().status == StatusCode::OK)
         .count();
     assert_eq!(ok, 1);
-    // Its issuer gone, nobody can say whether a ticket was used: unknown, and never run.
+    // Without the issuer it cannot be determined whether a ticket was used, so the outcome is unknown and the
+    // request does not run.
     let fresh = Call::new("/v1/tickets", "").send(to).await.unwrap().json();
     let fresh = fresh["ticket"].as_str().unwrap().to_owned();
     cluster.instances[0].kill();
@@ -109,8 +110,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_whose_entry_died_is_not_run_again() {
-    let mut cluster = Cluster::start(three()).await;
+async fn a_key_whose_entry_crashed_is_not_run_again() {
+    let mut cluster = Cluster::start(three_instances()).await;
     cluster
         .plain
         .fault(|f| f.delay = std::time::Duration::from_secs(2));
@@ -120,12 +121,15 @@
         let call = call.clone();
         async move { call.send(to).await }
     });
-    wait_until("it to be carried out", async || {
+    wait_until("the request to be executed", async || {
         cluster.plain.executions().contains_key("tag")
     })
     .await;
     cluster.instances[0].kill();
-    assert!(first.await.unwrap().is_none(), "the dead answered");
+    assert!(
+        first.await.unwrap().is_none(),
+        "the killed instance answered"
+    );
     let again = call.send(cluster.instances[1].callers).await.unwrap();
     assert_eq!(
         (again.error_type().as_str(), again.reason().as_str()),
@@ -135,9 +139,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_claim_holder_that_goes_on_runs_it_once() {
-    let cluster = Cluster::start(three()).await;
-    // The platform is slow, so that the holder is paused while its claim is under way.
+async fn a_paused_and_resumed_claim_holder_runs_the_request_at_most_once() {
+    let cluster = Cluster::start(three_instances()).await;
+    // The platform is slow, so that the holder is paused while its claim is being written.
     cluster
         .platform
         .fault(|f| f.delay = std::time::Duration::from_millis(400));
@@ -165,8 +169,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_lost_after_it_ran_is_unknown() {
-    let cluster = Cluster::start(three()).await;
+async fn an_answer_lost_after_the_request_ran_has_unknown_outcome() {
+    let cluster = Cluster::start(three_instances()).await;
     cluster.plain.fault(|f| f.lose_answers = 1);
     let call = Call::bag_tag("key", "tag");
     let got = call.send(cluster.instances[0].callers).await.unwrap();
@@ -176,6 +180,9 @@
     cluster.plain.fault(|f| f.cut_answers = 1);
     let cut = Call::bag_tag("key-2", "tag-2");
     let got = cut.send(cluster.instances[0].callers).await;
-    assert!(got.is_none_or(|g| !g.complete), "a cut answer looked whole");
+    assert!(
+        got.is_none_or(|g| !g.complete),
+        "a cut answer looked complete"
+    );
     cluster.check_responses(&[(call, Some(again))]);
 }
