--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -1,11 +1,11 @@
 /* Claims: two arrivals with one key, at two instances; a store with versions whose answers may be
  * lost after the write, and which may refuse. An instance may be paused between any two steps.
- * Holds: the key runs at most once, and an arrival told not_run did not run.
- * Mutations: NO_VERSION (writes are not conditional), GUESS (an unknown write is taken as done),
- * NO_READ (a writer does not look who holds the key).
+ * Holds: the key runs at most once, and an arrival that is answered not_run did not run.
+ * Mutations: NO_VERSION (writes are not conditional), GUESS (a write of unknown outcome counts as done),
+ * NO_READ (a writer does not read who holds the key).
  */
 byte version = 0;
-byte holder = 0;        /* whose claim the store holds; 0 is nobody's */
+byte holder = 0;        /* the arrival whose claim the store holds; 0 is none */
 byte runs = 0;
 bool down = false;
 
--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -2,16 +2,16 @@
  * from the store and from each other, in any order and however late, and may restart.
  * Holds: an instance never goes back; what was accepted is in the store's history of versions once;
  * of two changes made for one version one is accepted.
- * Mutations: NO_CHECK (an instance installs what comes), NO_VERSION (writes are not conditional),
- * SERVE_EMPTY (a restarted instance serves before it has asked its peer and the store).
+ * Mutations: NO_CHECK (an instance installs any version that arrives), NO_VERSION (writes are not conditional),
+ * SERVE_EMPTY (a restarted instance serves before it has queried its peer and the store).
  */
 byte stored = 1;
 byte writes = 0;
-byte accepted = 0;       /* changes told as accepted */
+byte accepted = 0;       /* changes reported as accepted */
 byte installed[2] = 1;
 byte highest[2] = 1;     /* the highest that an instance has served with */
 bool ready[2] = true;
-chan news = [3] of { byte };    /* versions on their way, which may come late and out of order */
+chan news = [3] of { byte };    /* versions in transit, which may arrive late and out of order */
 
 proctype Operator()
 {
@@ -23,7 +23,7 @@
         :: true -> stored = seen + 1; accepted++; writes++
 #else
         :: stored == seen -> stored = seen + 1; accepted++; writes++
-        :: stored != seen -> skip        /* told that it was not accepted */
+        :: stored != seen -> skip        /* reported as not accepted */
 #endif
         fi;
         assert(stored == 1 + accepted)
--- a/spec/levels.pml
+++ b/spec/levels.pml
@@ -2,11 +2,11 @@
  *
  * Time is counted in ticks; a message takes any time, and so does any step of a process that is
  * paused. A level is held for HOLD1 or HOLD2 ticks, acted on for STEP ticks, and a leader counts
- * confirmations for CONFIRM ticks after its asking.
+ * confirmations for CONFIRM ticks after its request.
  * Holds: when a request of tier r is refused for load, no entry keeps one of a lower tier.
  * Mutations: NO_STEP (an entry acts on a level however old), LATE_CONFIRM (a leader counts late
  * confirmations), SKIP_LEVEL (the second level needs no first), SHORT_HOLD (the first level is held
- * no longer than it is acted on), NO_ASK (a leader sheds without asking), IGNORE_KEPT (an entry
+ * no longer than it is acted on), NO_ASK (a leader sheds without requesting the level), IGNORE_KEPT (an entry
  * confirms while it keeps a lower tier).
  */
 #define STEP 1
--- a/spec/registration.pml
+++ b/spec/registration.pml
@@ -1,11 +1,11 @@
 /* Registration, grant, send and change of leader: one entry, one request, two leaders.
  *
- * Leaders act at any later time, so a pause is any delay between two of their steps. The entry
- * changes its mind about who leads up to CHANGES times, with calls that fail after they were taken.
+ * Leaders may act at any later time, so a pause is any delay between two of their steps. The entry
+ * changes its view of who leads up to CHANGES times; calls may fail after they were received.
  * Holds: the request is sent at most once, and no end state leaves it waiting.
- * Mutations: SEND_AGAIN (a grant is taken whatever the stage), KEEP_OLD (a registration that
- * failed leaves the one before in force), LATE_REPLY (a leader heeds a reply to an order of an
- * earlier registration).
+ * Mutations: SEND_AGAIN (a grant is accepted in any stage), KEEP_OLD (a failed registration leaves
+ * the previous one in force), LATE_REPLY (a leader accepts a reply to an order of an earlier
+ * registration).
  */
 #define CHANGES 2
 #define NONE 0
@@ -22,10 +22,10 @@
 byte runs = 0;
 byte epoch = 0;              /* of the request, at the entry */
 byte changes = 0;
-byte nudges = 0;             /* bounded, so that a run that goes nowhere ends */
-byte to = 2;                 /* whom the entry is registered with; 2 is nobody */
-byte with = 0;               /* under which epoch it believes to be */
-byte leader = 0;             /* who leads, as the entry sees it */
+byte nudges = 0;             /* bounded, so that a run without progress ends */
+byte to = 2;                 /* the leader that the entry is registered with; 2 is none */
+byte with = 0;               /* the epoch of that registration, as the entry sees it */
+byte leader = 0;             /* the leader, as the entry sees it */
 bool settled = false;
 
 chan attach[2] = [4] of { byte };
