--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -214,10 +214,10 @@
         let seeds = self.settings.seeds.iter().cycle().skip(first);
         for (after_ms, seed) in DISCOVERY_DELAYS_MS.into_iter().zip(seeds) {
             time::sleep_until(started + Duration::from_millis(after_ms)).await;
-            let answer =
+            let response =
                 copies::exchange_addresses(*seed, self.codec.clone(), self.settings.me.peer_addr);
-            // A seed may no longer run; the next one is asked regardless.
-            let known = answer.await.unwrap_or_default();
+            // A seed may no longer run; the next one is queried regardless.
+            let known = response.await.unwrap_or_default();
             self.add_peers(&known);
         }
     }
@@ -244,11 +244,12 @@
         let view = self.gossip.view();
         self.apply_view(&view);
         quota::tick(&self.gateway).await;
-        let cluster_size = self.count_sharers(now_us, &view);
+        let cluster_size = self.update_instance_counts(now_us, &view);
         let has_state_change = self.take_state_changed();
-        let is_suspected = self.gateway.suspects().take_has_changes();
-        let has_limits = self.gateway.balancer().take_announcements_changed();
-        let changed = self.gateway.balancer().take_changed() || is_suspected || has_limits;
+        let suspects_changed = self.gateway.suspects().take_has_changes();
+        let announcements_changed = self.gateway.balancer().take_announcements_changed();
+        let changed =
+            self.gateway.balancer().take_changed() || suspects_changed || announcements_changed;
         let is_due = {
             let mut state = self.lock();
             state.round_number += 1;
@@ -299,15 +300,15 @@
     /// Sets the issuers of reservations at this hall's endpoints: the hall's aggregators ranked before this
     /// instance, in order. The first aggregator itself has none. Also sets whether this instance is an aggregator.
     fn set_reservation_issuers(&self, now_us: Micros) {
-        let (chosen, is_aggregator) = {
+        let (aggregators, is_aggregator) = {
             let mut state = self.lock();
-            let chosen = state
+            let aggregators = state
                 .aggregators
                 .of_hall(now_us, &self.settings.me.hall, true);
-            (chosen, state.hall_reports.is_aggregator(now_us))
+            (aggregators, state.hall_reports.is_aggregator(now_us))
         };
         let me = self.settings.me.incarnation;
-        let before_me = chosen.iter().take_while(|m| m.info.incarnation != me);
+        let before_me = aggregators.iter().take_while(|m| m.info.incarnation != me);
         let issuers = before_me.map(|m| m.info.peer_addr.ip()).collect();
         self.gateway.reservation_client.set_issuers(issuers);
         self.gateway
@@ -337,33 +338,33 @@
         self.gateway.set_watches_store(watches);
     }
 
-    /// Counts the instances that share limits, logs lost summaries and returns the cluster's size.
-    fn count_sharers(&self, now_us: Micros, view: &View) -> ClusterSize {
-        let (cluster_size, silent, sharers, known_sharers) = {
+    /// Updates the counts of instances that share limits, logs lost summaries and returns the cluster's size.
+    fn update_instance_counts(&self, now_us: Micros, view: &View) -> ClusterSize {
+        let (cluster_size, silent, counts, seen_counts) = {
             let mut state = self.lock();
             let silent = state.peer_table.expire(now_us);
             let silent_halls = state.halls.expire(now_us);
-            let known = state.known_peers(now_us, view);
-            if known < SMALL_CLUSTER {
-                let known = state.peer_table.seen_sharers(now_us);
+            let known_peers = state.known_peers(now_us, view);
+            if known_peers < SMALL_CLUSTER {
+                let seen_counts = state.peer_table.seen_sharers(now_us);
                 (
                     ClusterSize::Small,
                     silent,
                     state.peer_table.sharers(now_us),
-                    known,
+                    seen_counts,
                 )
             } else {
                 let halls = silent_halls.into_iter().map(hall_incarnation).collect();
                 let heard = state.halls.instance_counts(now_us).heard.max(1);
-                let all = (known + 1).max(heard);
-                let sharers = InstanceCounts { all, heard };
-                (ClusterSize::Large, halls, sharers, sharers)
+                let all = (known_peers + 1).max(heard);
+                let counts = InstanceCounts { all, heard };
+                (ClusterSize::Large, halls, counts, counts)
             }
         };
         self.gateway
             .permits
-            .set_reachable_share(known_sharers.share());
-        let instances = self.lock().instances_in_view.max(sharers.all);
+            .set_reachable_share(seen_counts.share());
+        let instances = self.lock().instances_in_view.max(counts.all);
         self.gateway.quota.set_instances(instances);
         if self.gateway.quota.is_bootstrapping() {
             self.gateway
@@ -375,13 +376,13 @@
                 let whose = self.summary_scope(source);
                 log::warn!(
                     target: "ryevalve::process",
-                    whose, instances = sharers.all, instances_heard = sharers.heard;
+                    whose, instances = counts.all, instances_heard = counts.heard;
                     "summaries_lost"
                 );
             }
         }
-        self.update_metrics(now_us, sharers);
-        self.gateway.set_instance_counts(sharers);
+        self.update_metrics(now_us, counts);
+        self.gateway.set_instance_counts(counts);
         self.gateway
             .balancer()
             .load_view_mut()
@@ -398,14 +399,14 @@
     }
 
     /// Updates the gauges for the exchange's current state.
-    fn update_metrics(&self, now_us: Micros, sharers: InstanceCounts) {
+    fn update_metrics(&self, now_us: Micros, counts: InstanceCounts) {
         let state = self.lock();
         let age_s = |hall: u32| {
             let age_us = state.halls.age_us(now_us, hall);
             age_us.map_or(0.0, |us| us as f64 / 1e6)
         };
         let metrics = &self.gateway.metrics;
-        metrics.instances.set(sharers.all as i64);
+        metrics.instances.set(counts.all as i64);
         metrics.hall_summary_age_seconds.set(age_s(self.my_hall));
         metrics.far_summary_age_seconds.set(age_s(OTHER_HALLS));
         let reporters = state
--- a/src/gateway/halls.rs
+++ b/src/gateway/halls.rs
@@ -28,7 +28,8 @@
     seq: u64,
     received_us: Micros,
     instances: u32,
-    heard: u32,
+    /// Number of instances that report to the aggregator.
+    reporting: u32,
 }
 
 #[derive(Debug, Default)]
@@ -48,7 +49,7 @@
         let fresh = fresh.filter(|s| now_us.saturating_sub(s.received_us) < PEER_SILENT_US);
         (
             instances.unwrap_or(0),
-            fresh.map(|s| s.heard).max().unwrap_or(0),
+            fresh.map(|s| s.reporting).max().unwrap_or(0),
         )
     }
 }
@@ -80,7 +81,7 @@
             seq: 0,
             received_us: now_us,
             instances: 0,
-            heard: 0,
+            reporting: 0,
         });
         if source.seq > summary.seq {
             return None;
@@ -88,13 +89,13 @@
         source.seq = summary.seq;
         source.received_us = now_us;
         source.instances = summary.instances;
-        source.heard = summary.heard;
+        source.reporting = summary.heard;
         let was_silent = std::mem::take(&mut hall.is_silent);
         let recent = hall.sources.values();
         let recent = recent.filter(|s| now_us.saturating_sub(s.received_us) < COMPARISON_WINDOW_US);
-        let max_heard = recent.map(|s| s.heard).max().unwrap_or(0);
+        let max_reporting = recent.map(|s| s.reporting).max().unwrap_or(0);
         Some(SummaryEffect {
-            replaces_loads: f64::from(summary.heard) >= f64::from(max_heard) * MIN_COVERAGE,
+            replaces_loads: f64::from(summary.heard) >= f64::from(max_reporting) * MIN_COVERAGE,
             was_silent,
         })
     }
@@ -106,8 +107,8 @@
         for (key, hall) in &mut self.by_key {
             hall.sources
                 .retain(|_, s| now_us.saturating_sub(s.received_us) < PEER_EXPIRY_US);
-            let (_, heard) = hall.counts(now_us);
-            if heard == 0 && !std::mem::replace(&mut hall.is_silent, true) {
+            let (_, reporting) = hall.counts(now_us);
+            if reporting == 0 && !std::mem::replace(&mut hall.is_silent, true) {
                 silent.push(*key);
             }
         }
--- a/src/gateway/peer_table.rs
+++ b/src/gateway/peer_table.rs
@@ -110,10 +110,10 @@
 
     /// Counts the instances that share limits and those that are not silent, this instance included.
     pub fn sharers(&self, now_us: Micros) -> InstanceCounts {
-        let is_heard = |p: &&Peer| now_us.saturating_sub(p.last_seen_us) < PEER_SILENT_US;
+        let is_fresh = |p: &&Peer| now_us.saturating_sub(p.last_seen_us) < PEER_SILENT_US;
         InstanceCounts {
             all: self.by_addr.len() + 1,
-            heard: self.seen().filter(is_heard).count() + 1,
+            heard: self.seen().filter(is_fresh).count() + 1,
         }
     }
 
--- a/src/gateway/receiving.rs
+++ b/src/gateway/receiving.rs
@@ -114,7 +114,7 @@
     /// Applies a summary; `echo` is the sequence number of this instance's newest update that it includes.
     pub(super) fn apply_summary(&self, now_us: Micros, summary: &HallSummary, echo: u64) {
         let is_own = summary.hall == self.my_hall;
-        let noted = {
+        let effect = {
             let mut state = self.lock();
             let sent = state.sent_update(echo).cloned();
             if is_own && sent.is_none() {
@@ -122,18 +122,18 @@
                 return;
             }
             let sent = sent.filter(|_| is_own).unwrap_or_default();
-            let noted = state.halls.apply_summary(now_us, summary);
-            noted.map(|noted| (noted, sent))
+            let effect = state.halls.apply_summary(now_us, summary);
+            effect.map(|effect| (effect, sent))
         };
-        let Some((noted, sent)) = noted else { return };
+        let Some((effect, sent)) = effect else { return };
         let source = hall_incarnation(summary.hall);
-        if noted.was_silent {
+        if effect.was_silent {
             let whose = self.summary_scope(source);
             log::info!(target: "ryevalve::process", whose; "summaries_regained");
         }
         let mut balancer = self.gateway.balancer();
         let has_own_reports = is_own && balancer.load_view().is_hall_aggregator();
-        if noted.replaces_loads && !has_own_reports {
+        if effect.replaces_loads && !has_own_reports {
             let loads = subtract_own(&summary.loads, &sent.loads);
             balancer
                 .load_view_mut()
@@ -165,19 +165,19 @@
         self.fetch(from.ip(), Wanted::Config(update.config_version));
         self.fetch(from.ip(), Wanted::Endpoints(update.endpoints_revision));
         let sent_us = self.lock().sent_update(echo).map(|sent| sent.at_us);
-        let asked_us = |age_ms: u32| Some(sent_us?.saturating_sub(u64::from(age_ms) * 1_000));
-        let evacuations_asked_us = update.evacuations_age_ms.and_then(asked_us);
+        let as_of_us = |age_ms: u32| Some(sent_us?.saturating_sub(u64::from(age_ms) * 1_000));
+        let evacuations_as_of_us = update.evacuations_age_ms.and_then(as_of_us);
         let evacuations = update.evacuations.clone();
         self.gateway
-            .apply_evacuations(evacuations, evacuations_asked_us, "peer");
-        let config_asked_us = update.config_age_ms.and_then(asked_us);
-        if let (Some(asked_us), true) = (config_asked_us, update.config_version == version) {
-            self.gateway.config.confirm(version, asked_us);
+            .apply_evacuations(evacuations, evacuations_as_of_us, "peer");
+        let config_as_of_us = update.config_age_ms.and_then(as_of_us);
+        if let (Some(as_of_us), true) = (config_as_of_us, update.config_version == version) {
+            self.gateway.config.confirm(version, as_of_us);
         }
         let is_same = update.endpoints_revision == revision;
-        let endpoints_asked_us = update.endpoints_age_ms.and_then(asked_us);
-        if let (Some(asked_us), true) = (endpoints_asked_us, is_same) {
-            self.gateway.endpoints_staleness.confirm(asked_us);
+        let endpoints_as_of_us = update.endpoints_age_ms.and_then(as_of_us);
+        if let (Some(as_of_us), true) = (endpoints_as_of_us, is_same) {
+            self.gateway.endpoints_staleness.confirm(as_of_us);
         }
     }
 }
--- a/src/gateway/sending.rs
+++ b/src/gateway/sending.rs
@@ -94,9 +94,9 @@
         }
         // Known instances that the membership has not admitted yet.
         for (ip, peer) in state.peer_table.iter() {
-            let is_late = now_us.saturating_sub(peer.last_seen_us) >= UNADMITTED_US;
+            let is_stale = now_us.saturating_sub(peer.last_seen_us) >= UNADMITTED_US;
             let is_me = *ip == self.settings.me.peer_addr.ip();
-            if !is_late && !is_me && !known.contains(ip) {
+            if !is_stale && !is_me && !known.contains(ip) {
                 targets.push(SocketAddr::new(*ip, self.port));
             }
         }
@@ -135,16 +135,16 @@
             (false, true) => return,
             (false, false) => self.take_own_observations(),
         };
-        let mut plain = self.next_update(now_us, Purpose::Report);
-        self.add_due_updates(now_us, &mut plain, Audience::Peers);
-        plain.dead.clone_from(&observations.dead);
+        let mut base_report = self.next_update(now_us, Purpose::Report);
+        self.add_due_updates(now_us, &mut base_report, Audience::Peers);
+        base_report.dead.clone_from(&observations.dead);
         if !is_aggregator {
-            plain.halls = self
+            base_report.halls = self
                 .lock()
                 .hall_reports
                 .take_relay_queue(FORWARDED_SUMMARIES);
         }
-        let mut with_observations = plain.clone();
+        let mut with_observations = base_report.clone();
         self.add_observations(&mut with_observations, observations);
         for (index, member) in aggregators.iter().enumerate() {
             // Observations are additive, so only one aggregator gets them.
@@ -152,7 +152,7 @@
             let report = if has_observations {
                 &mut with_observations
             } else {
-                &mut plain
+                &mut base_report
             };
             self.lock()
                 .aggregators
@@ -205,18 +205,18 @@
     /// Returns the time between two summaries.
     fn summary_interval_us(&self, reporters: usize, summary_bytes: usize) -> Micros {
         let bytes = (reporters * summary_bytes) as f64;
-        let carried = self.settings.link_bytes_per_s * SUMMARY_LINK_SHARE;
+        let bytes_per_s = self.settings.link_bytes_per_s * SUMMARY_LINK_SHARE;
         let min_us = ReportIntervals {
             instances: reporters,
         };
         let min_us = min_us.min_summary_us();
-        min_us.max((bytes / carried.max(1.0) * 1e6) as Micros)
+        min_us.max((bytes / bytes_per_s.max(1.0) * 1e6) as Micros)
     }
 
     /// Returns the summaries of this hall, which together cover all endpoints.
     fn own_summaries(&self, now_us: Micros, update: &mut Update) -> Vec<HallSummary> {
         let state = self.lock();
-        let headcount = state.hall_reports.instance_counts(now_us);
+        let counts = state.hall_reports.instance_counts(now_us);
         let loads = state.hall_reports.loads(now_us, &update.loads);
         update.loads = Vec::new();
         let parts = split_loads(&loads, LOADS_PER_SUMMARY).into_iter();
@@ -224,8 +224,8 @@
             hall: self.my_hall,
             by: self.settings.me.incarnation,
             seq: update.seq,
-            instances: headcount.instances,
-            heard: headcount.heard,
+            instances: counts.instances,
+            heard: counts.heard,
             span,
             loads,
             ..HallSummary::default()
@@ -242,18 +242,18 @@
         }
         state.remote_summary_at_us = now_us;
         let loads = state.remote_halls.loads();
-        let mut whole = HallSummary {
+        let mut template = HallSummary {
             hall: OTHER_HALLS,
             by: self.settings.me.incarnation,
             seq: update.seq,
             ..HallSummary::default()
         };
-        state.remote_halls.fill_summary(now_us, &mut whole);
+        state.remote_halls.fill_summary(now_us, &mut template);
         let parts = split_loads(&loads, LOADS_PER_SUMMARY).into_iter();
         let parts = parts.map(|(span, loads)| HallSummary {
             span,
             loads,
-            ..whole.clone()
+            ..template.clone()
         });
         let mut parts: Vec<HallSummary> = parts.collect();
         for part in parts.iter_mut().skip(1) {
@@ -299,8 +299,8 @@
     /// Sends the same datagrams to all targets, in batches with pauses that limit the use of the link.
     async fn send_paced(&self, targets: &[IpAddr], datagrams: &[Vec<u8>]) {
         let bytes: usize = datagrams.iter().map(Vec::len).sum();
-        let carried = self.settings.link_bytes_per_s * SEND_LINK_SHARE;
-        let pause = Duration::from_secs_f64((SEND_BATCH * bytes) as f64 / carried.max(1.0));
+        let bytes_per_s = self.settings.link_bytes_per_s * SEND_LINK_SHARE;
+        let pause = Duration::from_secs_f64((SEND_BATCH * bytes) as f64 / bytes_per_s.max(1.0));
         for batch in targets.chunks(SEND_BATCH) {
             for ip in batch {
                 for bytes in datagrams {
