--- a/src/limits/suspects.rs
+++ b/src/limits/suspects.rs
@@ -52,7 +52,7 @@
 /// in return that those came shortly after a completed run.
 const COMPLETED_EXPIRY_US: Micros = 10_000_000;
 /// The most completed runs that are stored, about 50 bytes each: ten seconds of 400 requests a second. Computing a
-/// fingerprint takes 1.4 µs per kilobyte of the body (measured with 30 KB), about 10 µs for a usual prompt.
+/// fingerprint takes 1.4 µs per kilobyte for a body of 30 KB, about 10 µs for a usual prompt.
 const MAX_COMPLETED: usize = 4_096;
 /// The most crashes that are stored per request; more than are needed to block it.
 const MAX_CRASHES: usize = 6;
